--- a/bench/compare_virtual.sh
+++ b/bench/compare_virtual.sh
@@ -11,14 +11,16 @@
 trap 'rm -rf "$scratch"' EXIT
 loads="0.1 0.5 0.8 0.9 1.2 2 5"
 
-build() {  # build SOURCE-ROOT PROGRAM
-  g++ -std=c++20 -O2 -Wno-restrict -I"$1/include" -I"$1/src" -Ibench/model -Ibench/virtual -Ibench/cli "$1"/src/*.cpp bench/model/*.cpp \
-    bench/virtual/*.cpp -o "$2"
+build() {  # build SOURCE-ROOT FOLDER-OF-THE-MODULE PROGRAM
+  g++ -std=c++20 -O2 -Wno-restrict -I"$1/include" -I"$1/$2" -Ibench/model -Ibench/virtual -Ibench/cli "$1/$2"/*.cpp bench/model/*.cpp \
+    bench/virtual/*.cpp -o "$3"
 }
 mkdir "$scratch/then"
-git archive "$revision" include src | tar -x -C "$scratch/then"
-build . "$scratch/now_play" &
-build "$scratch/then" "$scratch/then_play" &
+folder=policy
+git cat-file -e "$revision:policy" 2>/dev/null || folder=src  # its name before the move
+git archive "$revision" include "$folder" | tar -x -C "$scratch/then"
+build . policy "$scratch/now_play" &
+build "$scratch/then" "$folder" "$scratch/then_play" &
 wait
 
 for scenario in "$@"; do
--- a/bench/discovery/main.cpp
+++ b/bench/discovery/main.cpp
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "crowd.h"
-#include "watch_retry.h"
+#include "watch_backoff.h"
 
 namespace {
 
--- a/bench/vary_constants.py
+++ b/bench/vary_constants.py
@@ -47,12 +47,12 @@
 def build_and_play(scratch, objects, tag, source, text, scenarios, seeds):
     root = os.path.join(scratch, tag)
     os.makedirs(root)
-    for folder in ("src", "include"):
+    for folder in ("policy", "include"):
         shutil.copytree(folder, os.path.join(root, folder))
     with open(os.path.join(root, source), "w") as file:
         file.write(text)
     program = os.path.join(root, "play")
-    subprocess.run(["g++", *FLAGS, f"-I{root}/include", f"-I{root}/src", *sorted(glob.glob(f"{root}/src/*.cpp")), *objects,
+    subprocess.run(["g++", *FLAGS, f"-I{root}/include", f"-I{root}/policy", *sorted(glob.glob(f"{root}/policy/*.cpp")), *objects,
                     "-o", program], check=True)
     kept = {}
     for scenario in scenarios:
--- a/include/thymewood/balancer.h
+++ b/include/thymewood/balancer.h
@@ -233,7 +233,7 @@
   double in_flight = 0;  // calls out now
   double room = 0;       // calls in flight over all servers beyond which a call is turned away
   double bound =
-      0;  // the part of it that trials of fewer calls have found, infinite where none; see src/trial.h
+      0;  // the part of it that trials of fewer calls have found, infinite where none; see policy/concurrency_probe.h
 };
 
 class Balancer {
--- a/src/balance.cpp
+++ b/policy/balancer.cpp
@@ -6,12 +6,12 @@
 #include <limits>
 #include <unordered_map>
 
-#include "list_lease.h"
-#include "room.h"
+#include "endpoint_lease.h"
+#include "concurrency_limit.h"
 #include "support.h"
-#include "tenant.h"
+#include "tenant_limiter.h"
 #include "thymewood/balancer.h"
-#include "watch_retry.h"
+#include "watch_backoff.h"
 
 namespace thymewood {
 namespace {
--- a/src/room.cpp
+++ b/policy/concurrency_limit.cpp
@@ -1,4 +1,4 @@
-#include "room.h"
+#include "concurrency_limit.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/room.h
+++ b/policy/concurrency_limit.h
@@ -10,7 +10,7 @@
 
 #include "support.h"
 #include "thymewood/balancer.h"
-#include "trial.h"
+#include "concurrency_probe.h"
 
 namespace thymewood {
 
--- a/src/tenant.cpp
+++ b/policy/tenant_limiter.cpp
@@ -1,4 +1,4 @@
-#include "tenant.h"
+#include "tenant_limiter.h"
 
 #include <algorithm>
 #include <cmath>
--- a/tests/bench_model_test.cpp
+++ b/tests/bench/model_test.cpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "capacity.h"
-#include "harness.h"
+#include "balancer_harness.h"
 #include "histogram.h"
 #include "rules.h"
 #include "scenario.h"
--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -8,7 +8,7 @@
 mkdir -p "$scratch"
 cd "$source"
 
-sources() { git ls-files '*.cpp' '*.h' 2>/dev/null || find adapter bench include json membership operators node src tests -name '*.cpp' -o -name '*.h'; }
+sources() { git ls-files '*.cpp' '*.h' 2>/dev/null || find adapter bench include json membership operators node policy tests -name '*.cpp' -o -name '*.h'; }
 
 case $name in
   policy)  # the decisions: readable, and without I/O, clock or threads
@@ -23,7 +23,7 @@
       echo "policy: only the library's pure parts may be included" >&2
       exit 1
     fi
-    if grep -nE '#include "' "${files[@]}" | grep -vE '"(thymewood/balancer|support|room|trial|tenant|list_lease|watch_retry)\.h"$'; then
+    if grep -nE '#include "' "${files[@]}" | grep -vE '"(thymewood/balancer|support|concurrency_limit|concurrency_probe|tenant_limiter|endpoint_lease|watch_backoff)\.h"$'; then
       echo "policy: only policy headers may be included" >&2
       exit 1
     fi ;;
@@ -36,7 +36,7 @@
       --extra-arg=-DBOOST_ASIO_HAS_STD_COROUTINE=1"
     # Side by side, for each reads much of Boost. The path analyzer, which takes minutes on that, sees the module
     # and the adapter; over the node the sanitizers stand in.
-    { ls node/*.cpp; ls src/*.cpp json/*.cpp adapter/*.cpp membership/*.cpp operators/*.cpp bench/*/*.cpp fleet_rig/*/*.cpp; } |
+    { ls node/*.cpp; ls policy/*.cpp json/*.cpp adapter/*.cpp membership/*.cpp operators/*.cpp bench/*/*.cpp fleet_rig/*/*.cpp; } |
       xargs -P "$(nproc)" -I{} sh -c 'case {} in node/*) less=--checks=-clang-analyzer-* ;; *) less= ;; esac
         case {} in bench/rig/*|fleet_rig/*) less="--checks=-clang-analyzer-* $coroutines" ;; esac
         clang-tidy -p "$0" --quiet --warnings-as-errors="*" $less {}' "$scratch" ;;
@@ -55,7 +55,7 @@
     cmake --build "$scratch/consumer"
     "$scratch/consumer/consumer" ;;
   deploy)  # the build line of the deploy file, as it stands there, in a copy of the sources
-    cp -r CMakeLists.txt bench cmake include src json adapter membership operators node deploy tests "$scratch"
+    cp -r CMakeLists.txt bench cmake include policy json adapter membership operators node deploy tests "$scratch"
     cd "$scratch"
     bash -euo pipefail -c "$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/balancer.toml)"
     reply=$(echo '{"clock":1,"turn":1,"nodes":[]}' | sh -c "$(sed -n 's/^sim = "\(.*\)"$/\1/p' deploy/balancer.toml)")
--- a/tests/room_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -1,6 +1,6 @@
 // What learned room is made of, a piece at a time: idle times, rates of answers, waits, and when room is held
 // back.
-#include "../src/room.h"
+#include "concurrency_limit.h"
 
 #include <gtest/gtest.h>
 
@@ -8,7 +8,7 @@
 #include <limits>
 #include <vector>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace thymewood {
 namespace {
--- a/tests/room_trial_test.cpp
+++ b/tests/policy/concurrency_probe_test.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <functional>
 
-#include "../src/trial.h"
+#include "concurrency_probe.h"
 
 namespace thymewood {
 namespace {
--- a/tests/list_lease_test.cpp
+++ b/tests/policy/endpoint_lease_test.cpp
@@ -1,5 +1,5 @@
 // Which servers may be used while nothing confirms the list, and when discovery is called again.
-#include "list_lease.h"
+#include "endpoint_lease.h"
 
 #include <gtest/gtest.h>
 
@@ -7,8 +7,8 @@
 #include <set>
 
 #include "crowd.h"
-#include "harness.h"
-#include "watch_retry.h"
+#include "balancer_harness.h"
+#include "watch_backoff.h"
 
 namespace thymewood {
 namespace {
--- a/tests/health_test.cpp
+++ b/tests/policy/health_test.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <optional>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace thymewood {
 namespace {
--- a/tests/mechanism_test.cpp
+++ b/tests/policy/mechanism_test.cpp
@@ -9,7 +9,7 @@
 #include <set>
 #include <stdexcept>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace thymewood {
 namespace {
--- a/tests/property_test.cpp
+++ b/tests/policy/property_test.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <random>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace thymewood {
 namespace {
--- a/tests/fleet_changed_test.cpp
+++ b/tests/policy/replica_set_test.cpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <set>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace thymewood {
 namespace {
--- a/tests/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <set>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace thymewood {
 namespace {
--- a/tests/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -9,7 +9,7 @@
 #include <memory>
 #include <random>
 
-#include "harness.h"
+#include "balancer_harness.h"
 
 namespace thymewood {
 namespace {
