--- a/adapter/wirehost.cpp
+++ b/adapter/wirehost.cpp
@@ -27,31 +27,31 @@
 using namespace ms::json;  // the field readers, named all over this file
 
 ms::Outcome read_outcome(std::string_view name) {
-  if (name == "delivered") return ms::Outcome::kDelivered;
+  if (name == "delivered") return ms::Outcome::kSuccess;
   if (name == "app_error") return ms::Outcome::kError;
   if (name == "shed") return ms::Outcome::kRejected;
   if (name == "expired") return ms::Outcome::kTimedOut;
-  if (name == "dial_failed") return ms::Outcome::kDialFailed;
+  if (name == "dial_failed") return ms::Outcome::kConnectFailed;
   if (name == "dropped") return ms::Outcome::kReset;
   if (name == "revoked") return ms::Outcome::kCancelled;
   if (name == "unused") return ms::Outcome::kNotSent;
   return ms::Outcome::kUnknown;
 }
 
-ms::Server read_server(const Json& in) {
-  ms::Server out;
+ms::Endpoint read_server(const Json& in) {
+  ms::Endpoint out;
   out.address = text(in, "server");
   out.zone = whole_or(in, "rackZone", 0);
   out.cell = whole_or(in, "pack", 0);
   out.weight = number_or(in, "units", 1);
-  out.started = number_or(in, "since", 0);
+  out.started_at = number_or(in, "since", 0);
   const std::string_view mode = text(in, "mode");
   if (mode == "Ready") {
-    out.state = ms::ServerState::kReady;
+    out.state = ms::EndpointState::kReady;
   } else if (mode == "Terminating") {
-    out.state = ms::ServerState::kDraining;
+    out.state = ms::EndpointState::kDraining;
   } else if (mode == "Gone") {
-    out.state = ms::ServerState::kGone;
+    out.state = ms::EndpointState::kRemoved;
   } else {
     wrong("mode", "Ready, Terminating or Gone");
   }
@@ -68,7 +68,7 @@
   out.time_left = number(in, "timeLeft");
   const int opts = whole_or(in, "opts", 0);
   if ((opts & kHintValid) != 0 && find(in, "cost") != nullptr) out.work = number(in, "cost");
-  out.is_repeat = (opts & kClientRepeats) != 0;
+  out.is_client_retry = (opts & kClientRepeats) != 0;
   return out;
 }
 
@@ -96,7 +96,7 @@
     field("patience", a.timeout);
     out.EndObject();
   }
-  void operator()(const ms::Refuse& a) const {
+  void operator()(const ms::Reject& a) const {
     start("SAY_NO");
     field("txn", a.id);
     if (a.retry_after > 0) field("notBeforeFor", a.retry_after);
@@ -121,15 +121,15 @@
     out.Uint64(a.token);
     out.EndObject();
   }
-  void operator()(const ms::WatchMembers&) const {
+  void operator()(const ms::WatchEndpoints&) const {
     start("TAIL");
     out.Key("want");
     out.Bool(true);
     out.EndObject();
   }
-  void operator()(const ms::LogLine& a) const {
+  void operator()(const ms::SheddingReport& a) const {
     start("JOURNAL_LINE");
-    field("noteText", a.text);
+    field("noteText", ms::describe(a));
     out.EndObject();
   }
 };
@@ -206,7 +206,7 @@
   }
 
   void read_table(const Json& item) {
-    std::vector<ms::Server> servers;
+    std::vector<ms::Endpoint> servers;
     for (const Json& entry : array(item, "nodesList").GetArray()) servers.push_back(read_server(entry));
     tables_[whole(item, "sheet")] = std::move(servers);
   }
@@ -219,35 +219,35 @@
                                flag(item, "doneFlag")};
     }
     if (kind == "FIRED") return ms::TimerFired{token(item, "keyBack")};
-    if (kind == "GONE") return ms::RequestGone{std::string(text(item, "txn"))};
+    if (kind == "GONE") return ms::RequestAbandoned{std::string(text(item, "txn"))};
     if (kind == "DIRECTORY_UPDATE") return read_update(item);
     if (kind == "ACK_FIRST") {
-      return ms::AnswerStarted{std::string(text(item, "txn")), whole_or(item, "try", 0),
-                               number_or(item, "lag", 0)};
+      return ms::ResponseStarted{std::string(text(item, "txn")), whole_or(item, "try", 0),
+                                 number_or(item, "lag", 0)};
     }
     return std::nullopt;  // STATUS_BACK, MEMO and kinds of later wires: nothing here asks for them
   }
 
-  ms::MembershipUpdate read_update(const Json& item) const {
+  ms::EndpointUpdate read_update(const Json& item) const {
     const std::string_view form = text(item, "form");
-    ms::MembershipUpdate out;
+    ms::EndpointUpdate out;
     if (form == "X") {
-      out.form = ms::MembershipUpdate::Form::kFailed;
+      out.form = ms::EndpointUpdate::Form::kFailed;
       return out;
     }
     if (form == "D") {
-      out.form = ms::MembershipUpdate::Form::kChanges;
+      out.form = ms::EndpointUpdate::Form::kDelta;
     } else if (form != "F" && form != "C") {
       wrong("form", "D, F, C or X");
     }
     const auto table = tables_.find(whole(item, "sheet"));
     if (table == tables_.end()) wrong("sheet", "the number of a list that was sent");
-    out.servers = table->second;
+    out.endpoints = table->second;
     return out;
   }
 
   std::map<int, std::unique_ptr<ms::Balancer>> balancers_;
-  std::map<int, std::vector<ms::Server>> tables_;  // the numbered lists, shared by the whole process
+  std::map<int, std::vector<ms::Endpoint>> tables_;  // the numbered lists, shared by the whole process
   std::vector<ms::Action> actions_;
   rapidjson::StringBuffer buffer_;
   Writer writer_;
--- a/bench/compare_virtual.sh
+++ b/bench/compare_virtual.sh
@@ -12,13 +12,13 @@
 loads="0.1 0.5 0.8 0.9 1.2 2 5"
 
 build() {  # build SOURCE-ROOT FOLDER-OF-THE-MODULE PROGRAM
-  g++ -std=c++20 -O2 -Wno-restrict -I"$1/include" -I"$1/$2" -Ibench/model -Ibench/virtual -Ibench/cli "$1/$2"/*.cpp bench/model/*.cpp \
-    bench/virtual/*.cpp -o "$3"
+  g++ -std=c++20 -O2 -Wno-restrict -I"$1/include" -I"$1/$2" -I"$1/bench/model" -I"$1/bench/virtual" -I"$1/bench/cli" \
+    "$1/$2"/*.cpp "$1"/bench/model/*.cpp "$1"/bench/virtual/*.cpp -o "$3"
 }
 mkdir "$scratch/then"
 folder=policy
 git cat-file -e "$revision:policy" 2>/dev/null || folder=src  # its name before the move
-git archive "$revision" include "$folder" | tar -x -C "$scratch/then"
+git archive "$revision" include "$folder" bench/model bench/virtual bench/cli | tar -x -C "$scratch/then"
 build . policy "$scratch/now_play" &
 build "$scratch/then" "$folder" "$scratch/then_play" &
 wait
--- a/bench/discovery/main.cpp
+++ b/bench/discovery/main.cpp
@@ -61,7 +61,7 @@
           plan.restarted_part = 0.1;
           print_row(plan, "0.5 to 5 s", [] { return tb::PausePolicy(Exponential{}); });
           print_row(plan, "WatchRetry", [] {
-            const auto retry = std::make_shared<thymewood::WatchRetry>(kAskWithin);
+            const auto retry = std::make_shared<thymewood::WatchBackoff>(kAskWithin);
             return tb::PausePolicy(
                 [retry](const auto& failure, auto& random) { return retry->pause_after(failure, random); });
           });
--- a/bench/model/rules.cpp
+++ b/bench/model/rules.cpp
@@ -38,7 +38,8 @@
     broke(now, "one-final-answer", id + " was answered after its client had left");
   const RequestClass& c = classes_[request.request_class];
   const bool harmless =
-      c.effect == Effect::kSafe || (c.effect == Effect::kKeyed && c.dedup_scope == DedupScope::kAll);
+      c.idempotency == Idempotency::kIdempotent ||
+      (c.idempotency == Idempotency::kIdempotentWithKey && c.dedup_scope == DedupScope::kAll);
   const bool may_have_run =
       std::any_of(request.sends.begin(), request.sends.end(), [](const Sent& s) { return s.may_have_run; });
   if (how == Final::kRefused && !harmless && may_have_run)
@@ -66,10 +67,10 @@
 
 void RuleMonitor::check_repeat(double now, const std::string& id, const Taken& request, std::size_t server) {
   const RequestClass& c = classes_[request.request_class];
-  if (c.effect == Effect::kSafe) return;
+  if (c.idempotency == Idempotency::kIdempotent) return;
   for (const Sent& s : request.sends) {
     if (!s.may_have_run) continue;
-    if (c.effect == Effect::kUnsafe) {
+    if (c.idempotency == Idempotency::kNotIdempotent) {
       broke(now, "no-double-effect", id + " was sent again and may have run before");
     } else if (now > s.at + c.dedup_window + limits_.slack + kRounding) {
       broke(now, "no-double-effect", id + " was sent again when its key may be forgotten");
--- a/bench/model/scenario.cpp
+++ b/bench/model/scenario.cpp
@@ -57,21 +57,21 @@
 
 Settings Scenario::settings(int copy) const {
   Settings s;
-  s.copy_index = copy;
-  s.copy_count = copies;
+  s.replica_index = copy;
+  s.replica_count = copies;
   for (const LoadClass& c : classes) s.classes.push_back(c.told);
-  for (const LoadTenant& t : tenants) s.tenants.push_back({t.allowance});
-  s.over_share_worth = over_share_worth;
+  for (const LoadTenant& t : tenants) s.tenants.push_back({t.quota});
+  s.over_quota_weight = over_quota_weight;
   s.max_attempts = max_attempts;
   s.max_retry_after = max_retry_after;
-  s.start_capacity = start_capacity;
-  s.ramp_time = ramp_time;
+  s.slow_start_min_capacity = slow_start_min_capacity;
+  s.slow_start_window = slow_start_window;
   return s;
 }
 
 Settings Scenario::inner_settings(int server) const {
   Settings s = settings(server);
-  s.copy_count = static_cast<int>(servers.size());
+  s.replica_count = static_cast<int>(servers.size());
   s.tier = 1;
   return s;
 }
--- a/bench/model/scenario.h
+++ b/bench/model/scenario.h
@@ -39,7 +39,7 @@
 struct LoadTenant {
   std::string name;
   double share = 1;
-  std::optional<double> allowance;  // requests a second that are told to the node
+  std::optional<double> quota;  // requests a second that are told to the node
 };
 
 // From `at` on the rate is this; with `ramp` it goes straight to it from where it was at the step before.
@@ -101,8 +101,8 @@
   double net = 0.0002;  // s; one way between a copy and a server, and between a caller and its copy
   int max_attempts = 3;
   double max_retry_after = 1;
-  double start_capacity = 0.3, ramp_time = 0;  // told to the copies
-  double over_share_worth = 1;
+  double slow_start_min_capacity = 0.3, slow_start_window = 0;  // told to the copies
+  double over_quota_weight = 1;
   std::vector<LoadClass> classes;
   std::vector<LoadTenant> tenants;  // empty: none are told apart
   std::vector<ScenarioServer> servers;
--- a/bench/model/scenario_file.cpp
+++ b/bench/model/scenario_file.cpp
@@ -139,13 +139,15 @@
   LoadClass c;
   c.name = t.word("name", "call");
   c.share = t.number("share", 1);
-  c.told.aim = t.ms("aim_ms", 1);
-  c.told.give_up = t.ms("give_up_ms", 2 * c.told.aim);
-  if (c.told.aim > c.told.give_up) t.wrong("'aim_ms' is over 'give_up_ms'");
-  c.told.late_worth = t.number("late_worth", 0, 0, 1);
+  c.told.latency_objective = t.ms("aim_ms", 1);
+  c.told.client_timeout = t.ms("give_up_ms", 2 * c.told.latency_objective);
+  if (c.told.latency_objective > c.told.client_timeout) t.wrong("'aim_ms' is over 'give_up_ms'");
+  c.told.late_value = t.number("late_worth", 0, 0, 1);
   c.told.dedup_window = t.ms("window_ms", 4);
-  c.told.effect = t.one_of<Effect>(
-      "effect", "safe", {{"safe", Effect::kSafe}, {"keyed", Effect::kKeyed}, {"unsafe", Effect::kUnsafe}});
+  c.told.idempotency = t.one_of<Idempotency>("effect", "safe",
+                                             {{"safe", Idempotency::kIdempotent},
+                                              {"keyed", Idempotency::kIdempotentWithKey},
+                                              {"unsafe", Idempotency::kNotIdempotent}});
   c.told.dedup_scope = t.one_of<DedupScope>(
       "scope", "cell", {{"all", DedupScope::kAll}, {"zone", DedupScope::kZone}, {"cell", DedupScope::kCell}});
   c.service = read_service(t);
@@ -395,14 +397,14 @@
   s.net = t.ms("net_ms", s.net);
   s.max_attempts = t.whole("max_attempts", s.max_attempts, 1, 100);
   s.max_retry_after = t.ms("max_retry_after_ms", s.max_retry_after);
-  s.start_capacity = t.number("start_capacity", s.start_capacity, 0, 1);
-  s.ramp_time = t.number("ramp_s", 0);
-  s.over_share_worth = t.number("over_share_worth", 1, 0, 1);
+  s.slow_start_min_capacity = t.number("start_capacity", s.slow_start_min_capacity, 0, 1);
+  s.slow_start_window = t.number("ramp_s", 0);
+  s.over_quota_weight = t.number("over_share_worth", 1, 0, 1);
   for (Reader& c : t.tables("class")) s.classes.push_back(read_class(c));
   if (s.classes.empty()) t.wrong("there is no [[class]]");
   for (Reader& tenant : t.tables("tenant")) {
     LoadTenant told{tenant.word("name", ""), tenant.number("share", 1), std::nullopt};
-    if (tenant.has("allowance")) told.allowance = tenant.number("allowance", 0);
+    if (tenant.has("allowance")) told.quota = tenant.number("allowance", 0);
     tenant.end();
     s.tenants.push_back(told);
   }
--- a/bench/rig/load.cpp
+++ b/bench/rig/load.cpp
@@ -24,11 +24,11 @@
 }
 
 std::string text_of(const RequestClass& told, const std::string& name, const std::string& id) {
-  const bool get = told.effect == Effect::kSafe;
+  const bool get = told.idempotency == Idempotency::kIdempotent;
   std::string text = (get ? "GET /" : "POST /") + name + "/" + id +
                      " HTTP/1.1\r\nHost: rig\r\nX-Request-ID: " + id + "\r\nX-Priority-Class: " + name +
-                     "\r\nX-Timeout-Ms: " + std::to_string(std::lround(told.give_up * 1000)) + "\r\n";
-  if (told.effect == Effect::kKeyed) text += "Idempotency-Key: " + id + "\r\n";
+                     "\r\nX-Timeout-Ms: " + std::to_string(std::lround(told.client_timeout * 1000)) + "\r\n";
+  if (told.idempotency == Idempotency::kIdempotentWithKey) text += "Idempotency-Key: " + id + "\r\n";
   return text + (get ? "\r\n" : "Content-Length: 4\r\n\r\nbody");
 }
 
@@ -124,7 +124,7 @@
     }
     out.sent = now();
     // A client that waits for longer than it said has lost its request.
-    asio::steady_timer limit(io_, begin_ + span(out.sent + c.told.give_up + 1));
+    asio::steady_timer limit(io_, begin_ + span(out.sent + c.told.client_timeout + 1));
     // The wait may have come to its end as the exchange did: then the connection may carry another by now.
     const auto over = std::make_shared<bool>(false);
     limit.async_wait([socket, over](error_code cancelled) {
@@ -140,7 +140,7 @@
       co_await http::async_read(*socket, buffer, answer, asio::redirect_error(asio::use_awaitable, problem));
     *over = true;
     limit.cancel();
-    if (problem && !fresh && now() < out.sent + c.told.give_up) continue;
+    if (problem && !fresh && now() < out.sent + c.told.client_timeout) continue;
     out.answered = now();
     out.heard = !problem;
     const unsigned status = problem ? 0 : answer.result_int();
--- a/bench/rig/main.cpp
+++ b/bench/rig/main.cpp
@@ -23,7 +23,7 @@
     if (e.how == Final::kFailed) failed += 1;
     if (e.how != Final::kServed) continue;
     latency.add(e.answered - e.due);
-    if (e.answered - e.due <= scenario.classes[e.request_class].told.aim) in_time += 1;
+    if (e.answered - e.due <= scenario.classes[e.request_class].told.latency_objective) in_time += 1;
   }
   double counted = 0;
   for (int i = 0; i < static_cast<int>(scenario.seconds); ++i) counted += scenario.counts_at(i) ? 1 : 0;
--- a/bench/rig/node_process.cpp
+++ b/bench/rig/node_process.cpp
@@ -39,7 +39,7 @@
   told.count = s.copies;
   told.sockets = kSockets;
   told.memory_mb = kMemoryMb;
-  told.second_copies = told.cancel = false;  // as in virtual time
+  told.can_hedge = told.cancel = false;  // as in virtual time
   std::ostringstream known;
   known << R"({"index":1,"snapshot":true,"endpoints":[)";
   for (std::size_t i = 0; i < servers.size(); ++i) {
--- a/bench/rig/run.cpp
+++ b/bench/rig/run.cpp
@@ -109,7 +109,7 @@
   for (const Step& step : steps) {
     if (step.order == 0) {
       rules.taken(step.at, step.asked->id, step.asked->request_class,
-                  step.asked->sent + classes[step.asked->request_class].give_up);
+                  step.asked->sent + classes[step.asked->request_class].client_timeout);
     } else if (step.order == 1) {
       rules.sent(step.at, step.came->id, 0, step.came->server);
       rules.came(step.at, step.came->server, step.came->work, step.came->cold_rate);
--- a/bench/virtual/records.h
+++ b/bench/virtual/records.h
@@ -49,7 +49,7 @@
   std::uint64_t turn = 0;  // tells this use of the record from earlier ones
   bool ended = false;      // the copy has its outcome
   bool at_end = false;     // nothing more comes from the server
-  Outcome outcome = Outcome::kDelivered;
+  Outcome outcome = Outcome::kSuccess;
 };
 
 struct OneRequest {
--- a/bench/virtual/session.cpp
+++ b/bench/virtual/session.cpp
@@ -213,7 +213,7 @@
 
 // How long a try may take: a part of the class's time, and no more than is left of it.
 double Session::time_of_try(const OneRequest& r) const {
-  const double all = scenario_.classes[r.request_class].told.give_up;
+  const double all = scenario_.classes[r.request_class].told.client_timeout;
   return std::min(scenario_.clients.try_share * all, r.wanted + all - r.due);
 }
 
@@ -222,7 +222,7 @@
 bool Session::tries_again(const OneRequest& r, double back, double advised) {
   if (r.tries > scenario_.clients.retries) return false;
   const double then = back + std::max(scenario_.clients.wait, scenario_.clients.honour ? advised : 0);
-  if (then + kLeastTry > r.wanted + scenario_.classes[r.request_class].told.give_up) return false;
+  if (then + kLeastTry > r.wanted + scenario_.classes[r.request_class].told.client_timeout) return false;
   const std::size_t at = again_.take();
   again_[at] = r;
   ++owed_;
@@ -253,7 +253,7 @@
   if (how != Final::kServed && tries_again(r, back, retry_after)) return;
   if (how == Final::kServed) {
     count(r, &Second::served, &Report::served, &TenantPart::served);
-    if (back <= r.wanted + scenario_.classes[r.request_class].told.aim)
+    if (back <= r.wanted + scenario_.classes[r.request_class].told.latency_objective)
       count(r, &Second::in_time, &Report::in_time, &TenantPart::in_time);
     if (scenario_.counts_at(r.wanted)) report_.latency.add(back - r.wanted);
   } else if (how == Final::kRefused) {
@@ -354,8 +354,8 @@
     }
   }
   // What a first-tier server has begun is not given up in the second.
-  const double aim = scenario_.classes[r.request_class].told.aim;
-  if (best == kNone || (tier_of(r) == 0 && now_ - r.due + soonest + 2 * scenario_.net > aim)) {
+  const double latency_objective = scenario_.classes[r.request_class].told.latency_objective;
+  if (best == kNone || (tier_of(r) == 0 && now_ - r.due + soonest + 2 * scenario_.net > latency_objective)) {
     answer(at, Final::kRefused, scenario_.max_retry_after / 2);
     return free_if_over(at);
   }
@@ -400,8 +400,8 @@
   OneRequest& r = requests_[request];
   if (tier_of(r) == 0) in_flight_ -= 1;
   r.attempts_open -= 1;
-  const bool never = outcome == Outcome::kRejected || outcome == Outcome::kDialFailed;
-  const bool serves = outcome == Outcome::kDelivered && !r.over;
+  const bool never = outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed;
+  const bool serves = outcome == Outcome::kSuccess && !r.over;
   if (serves) answer(request, Final::kServed, 0);
   rules_.ended(r.id, static_cast<std::size_t>(a.number), !never);
   if (front_ != Front::kModule) {
@@ -452,10 +452,10 @@
   copies_[static_cast<std::size_t>(copy)] = std::make_unique<Balancer>(
       inner ? scenario_.inner_settings(copy - scenario_.copies) : scenario_.settings(copy),
       random_.below(1u << 30));
-  MembershipUpdate all;
+  EndpointUpdate all;
   const Range range = servers_of(inner ? 1 : 0);
   for (std::size_t i = range.first; i < range.end; ++i) {
-    if (places_[i].wanted) all.servers.push_back(as_told(i, ServerState::kReady));
+    if (places_[i].wanted) all.endpoints.push_back(as_told(i, EndpointState::kReady));
   }
   tell(copy, all);
   tell(copy, Started{});
@@ -487,9 +487,9 @@
   const bool there = copies_[static_cast<std::size_t>(copy)] != nullptr;
   if (front_ == Front::kModule && !there) return;
   std::vector<Action> actions;
-  if (const auto* update = std::get_if<MembershipUpdate>(&event)) {
-    for (const Server& s : update->servers)
-      rules_.told(now_, copy, std::stoul(s.address.substr(1)), s.state == ServerState::kReady);
+  if (const auto* update = std::get_if<EndpointUpdate>(&event)) {
+    for (const Endpoint& s : update->endpoints)
+      rules_.told(now_, copy, std::stoul(s.address.substr(1)), s.state == EndpointState::kReady);
   }
   if (!there) return;
   copies_[static_cast<std::size_t>(copy)]->handle(now_, event, actions);
@@ -497,16 +497,16 @@
 }
 
 void Session::act(int, const Send& a) { send(by_id_.at(a.id), std::stoul(a.server.substr(1)), a.timeout); }
-void Session::act(int, const Refuse& a) { end_by_word(a.id, Final::kRefused, a.retry_after); }
+void Session::act(int, const Reject& a) { end_by_word(a.id, Final::kRefused, a.retry_after); }
 void Session::act(int, const Fail& a) { end_by_word(a.id, Final::kFailed, 0); }
 void Session::act(int, const Cancel&) {}  // stops nothing at these servers
 void Session::act(int copy, const SetTimer& a) {
   push(a.at, Event::Kind::kTimer, static_cast<std::size_t>(copy), a.token);
 }
-void Session::act(int, const WatchMembers&) {}  // what changes is told by the scenario
-void Session::act(int copy, const LogLine& a) {
+void Session::act(int, const WatchEndpoints&) {}  // what changes is told by the scenario
+void Session::act(int copy, const SheddingReport& a) {
   if (report_.log.size() < kMostLog)
-    report_.log.push_back(std::to_string(now_) + " s, copy " + std::to_string(copy) + ": " + a.text);
+    report_.log.push_back(std::to_string(now_) + " s, copy " + std::to_string(copy) + ": " + describe(a));
 }
 
 void Session::end_by_word(const std::string& id, Final how, double retry_after) {
@@ -515,23 +515,12 @@
   free_if_over(at);
 }
 
-namespace {
-
-// Modules from before the view existed can be measured too; they show nothing here.
-template <class Module>
-void look(const Module& module, double now, Second& s) {
-  if constexpr (requires { module.room(now); }) {
-    const auto view = module.room(now);
-    s.usual = view.usual;
-    s.room = view.room;
-    s.bound = view.bound;
-  }
-}
-
-}  // namespace
-
 void Session::look_at_room(Second& s) const {
-  if (copies_[0]) look(*copies_[0], now_, s);
+  if (!copies_[0]) return;
+  const ConcurrencyLimitView view = copies_[0]->concurrency_limit(now_);
+  s.usual = view.idle_latency;
+  s.room = view.limit;
+  s.bound = view.probed_bound;
 }
 
 }  // namespace thymewood::bench
--- a/bench/virtual/session.h
+++ b/bench/virtual/session.h
@@ -61,12 +61,12 @@
   void end_copy(int copy);
   void tell(int copy, const thymewood::Event& event);
   void act(int copy, const Send& a);
-  void act(int copy, const Refuse& a);
+  void act(int copy, const Reject& a);
   void act(int copy, const Fail& a);
   void act(int copy, const Cancel& a);
   void act(int copy, const SetTimer& a);
-  void act(int copy, const WatchMembers& a);
-  void act(int copy, const LogLine& a);
+  void act(int copy, const WatchEndpoints& a);
+  void act(int copy, const SheddingReport& a);
   void end_by_word(const std::string& id, Final how, double retry_after);
   void look_at_room(Second& s) const;
 
@@ -81,7 +81,7 @@
   const ScenarioServer& spec(std::size_t server) const;
   double mean_work(int tier) const;  // s, of what the copies of that tier send; calls on included
   double capacity() const;           // requests a second that the servers that are up could end now
-  Server as_told(std::size_t at, ServerState state) const;
+  Endpoint as_told(std::size_t at, EndpointState state) const;
   void at_server(std::size_t at);
   void stay_silent(std::size_t at);
   void begin_work(std::size_t at);
--- a/bench/virtual/session_servers.cpp
+++ b/bench/virtual/session_servers.cpp
@@ -53,7 +53,7 @@
   return std::min(first, second);
 }
 
-Server Session::as_told(std::size_t at, ServerState state) const {
+Endpoint Session::as_told(std::size_t at, EndpointState state) const {
   const ScenarioServer& s = spec(at);
   return {"s" + std::to_string(at), s.zone, s.cell, s.weight, places_[at].started, state};
 }
@@ -63,7 +63,7 @@
 void Session::at_server(std::size_t at) {
   OneAttempt& a = attempts_[at];
   Place& place = places_[a.server];
-  if (!place.up) return come_back(at, Outcome::kDialFailed);
+  if (!place.up) return come_back(at, Outcome::kConnectFailed);
   if (place.mute > 0 && random_.unit() < place.mute) return stay_silent(at);
   if (place.fails > 0 && random_.unit() < place.fails) return come_back(at, Outcome::kError);
   const OneRequest& r = requests_[a.request];
@@ -119,7 +119,7 @@
     OneAttempt& a = attempts_[at];
     report_work(a);
     if (!chained(server)) {
-      come_back(at, Outcome::kDelivered);
+      come_back(at, Outcome::kSuccess);
       continue;
     }
     a.calls = scenario_.chain.calls;
@@ -148,7 +148,7 @@
 // One call after another, each a new request to the copy beside the server.
 void Session::call_on(std::size_t at) {
   const OneAttempt& a = attempts_[at];
-  if (a.calls == 0) return end_calls(at, Outcome::kDelivered);
+  if (a.calls == 0) return end_calls(at, Outcome::kSuccess);
   const double left = a.until - kCallMargin - now_;
   if (left <= 0) return end_calls(at, Outcome::kError);
   const int copy = copy_beside(a.server);
@@ -188,7 +188,7 @@
   const OneRequest& r = requests_[a.request];
   if (r.over) return false;
   if (r.parent == kNone)
-    return now_ + 2 * scenario_.net <= r.wanted + scenario_.classes[r.request_class].told.aim;
+    return now_ + 2 * scenario_.net <= r.wanted + scenario_.classes[r.request_class].told.latency_objective;
   const OneAttempt& parent = attempts_[r.parent];
   return parent.turn == r.parent_turn && of_use(parent);
 }
@@ -264,13 +264,13 @@
 void Session::tell_change(const Change& c) {
   if (c.what != Change::What::kDrain && c.what != Change::What::kStop && c.what != Change::What::kStart)
     return;
-  MembershipUpdate update;
-  update.form = MembershipUpdate::Form::kChanges;
-  const ServerState state = c.what == Change::What::kDrain  ? ServerState::kDraining
-                            : c.what == Change::What::kStop ? ServerState::kGone
-                                                            : ServerState::kReady;
+  EndpointUpdate update;
+  update.form = EndpointUpdate::Form::kDelta;
+  const EndpointState state = c.what == Change::What::kDrain  ? EndpointState::kDraining
+                              : c.what == Change::What::kStop ? EndpointState::kRemoved
+                                                              : EndpointState::kReady;
   const std::size_t from = c.backends ? first_tier_ : 0;
-  for (std::size_t i = from + c.first; i <= from + c.last; ++i) update.servers.push_back(as_told(i, state));
+  for (std::size_t i = from + c.first; i <= from + c.last; ++i) update.endpoints.push_back(as_told(i, state));
   const int first = c.backends ? scenario_.copies : 0;
   const int end = c.backends ? static_cast<int>(copies_.size()) : scenario_.copies;
   for (int copy = first; copy < end; ++copy) tell(copy, update);
--- a/fleet_rig/cast/callers.cpp
+++ b/fleet_rig/cast/callers.cpp
@@ -156,7 +156,7 @@
   // Pinned to one node, a flood waits until that one is up again.
   const int pinned = flood != nullptr ? flood->copy : -1;
   const RequestClass& told = scenario_.classes[c].told;
-  const double due = history_.now(), until = due + told.give_up;
+  const double due = history_.now(), until = due + told.client_timeout;
   Record want;
   want.t = due;
   want.what = Record::What::kWant;
@@ -181,9 +181,9 @@
     call.request_class = static_cast<int>(c);
     call.tenant_number = static_cast<int>(tenant);
     if (!scenario_.tenants.empty()) call.tenant = scenario_.tenants[tenant].name;
-    if (told.effect == Effect::kKeyed) call.key = call.id;
-    call.body = told.effect != Effect::kSafe;
-    call.time = std::min(left, scenario_.clients.try_share * told.give_up);
+    if (told.idempotency == Idempotency::kIdempotentWithKey) call.key = call.id;
+    call.body = told.idempotency != Idempotency::kIdempotent;
+    call.time = std::min(left, scenario_.clients.try_share * told.client_timeout);
     const bool leaves = scenario_.clients.impatient > 0 && random_.unit() < scenario_.clients.impatient;
     if (leaves) call.leaves = call.time / 2;
     ++tries;
--- a/fleet_rig/history/figures.cpp
+++ b/fleet_rig/history/figures.cpp
@@ -103,7 +103,7 @@
         tenant.wanted += 1;
         const RequestClass& c = scenario.classes.at(static_cast<std::size_t>(want.request_class)).told;
         if (r.status == 200) {
-          const bool in_time = r.t - want.at <= c.aim;
+          const bool in_time = r.t - want.at <= c.latency_objective;
           out.served += 1;
           out.in_time += in_time ? 1 : 0;
           node.served += 1;
--- a/fleet_rig/history/judges.cpp
+++ b/fleet_rig/history/judges.cpp
@@ -201,7 +201,8 @@
       seen.answered = std::min(seen.answered, r.t);
       const bool refused = r.status == 429 || r.status == 503;
       const bool harmless =
-          c.effect == Effect::kSafe || (c.effect == Effect::kKeyed && c.dedup_scope == DedupScope::kAll);
+          c.idempotency == Idempotency::kIdempotent ||
+          (c.idempotency == Idempotency::kIdempotentWithKey && c.dedup_scope == DedupScope::kAll);
       if (refused && !harmless && !seen.ran.empty()) broke("was refused though it may have run");
       continue;
     }
@@ -213,11 +214,12 @@
                                          ? (backend ? rules.backend_cells : rules.server_cells)
                                          : (backend ? rules.backend_zones : rules.server_zones);
     for (const Ran& before : seen.ran) {
-      if (c.effect == Effect::kUnsafe) {
+      if (c.idempotency == Idempotency::kNotIdempotent) {
         broke("ran twice");
-      } else if (c.effect == Effect::kKeyed && r.left > before.at + c.dedup_window + slack) {
+      } else if (c.idempotency == Idempotency::kIdempotentWithKey &&
+                 r.left > before.at + c.dedup_window + slack) {
         broke("was sent again when its key may be forgotten");
-      } else if (c.effect == Effect::kKeyed && c.dedup_scope != DedupScope::kAll &&
+      } else if (c.idempotency == Idempotency::kIdempotentWithKey && c.dedup_scope != DedupScope::kAll &&
                  place_of(places, before.server) != place_of(places, r.by)) {
         broke("was sent again to where its key is not known");
       }
--- a/fleet_rig/run/fleet.cpp
+++ b/fleet_rig/run/fleet.cpp
@@ -269,7 +269,7 @@
   if (!node.wanted) co_return;
   double longest = 0;
   for (const bench::LoadClass& c : scenario_.classes)
-    longest = std::max(longest, std::min(c.told.give_up, kLongestDeadline));
+    longest = std::max(longest, std::min(c.told.client_timeout, kLongestDeadline));
   note(Record::What::kTerm, party);
   const int life = node.lives;
   node.wanted = false;  // it may end by itself now
--- a/fleet_rig/run/node_config.cpp
+++ b/fleet_rig/run/node_config.cpp
@@ -30,7 +30,9 @@
 }
 
 const char* effect_of(const RequestClass& c) {
-  return c.effect == Effect::kSafe ? "safe" : c.effect == Effect::kKeyed ? "keyed" : "unsafe";
+  return c.idempotency == Idempotency::kIdempotent          ? "safe"
+         : c.idempotency == Idempotency::kIdempotentWithKey ? "keyed"
+                                                            : "unsafe";
 }
 const char* scope_of(const RequestClass& c) {
   return c.dedup_scope == DedupScope::kAll ? "all" : c.dedup_scope == DedupScope::kZone ? "zone" : "cell";
@@ -57,11 +59,11 @@
   out.EndArray();
   number(out, "granularity", 0.001);
   text(out, "registryMode", "automatic");
-  number(out, "overShareWorth", s.over_share_worth);
+  number(out, "overShareWorth", s.over_quota_weight);
   out.Key("bounds");
   out.StartObject();
   flag(out, "cancel", told.cancel);
-  flag(out, "secondCopies", told.second_copies);
+  flag(out, "secondCopies", told.can_hedge);
   flag(out, "retryAfter", true);
   flag(out, "probes", false);
   flag(out, "peers", !told.peers.empty());
@@ -73,9 +75,9 @@
   for (const bench::LoadClass& c : s.classes) {
     out.StartObject();
     text(out, "name", c.name);
-    number(out, "aim", c.told.aim);
-    number(out, "giveUp", c.told.give_up);
-    number(out, "lateWorth", c.told.late_worth);
+    number(out, "aim", c.told.latency_objective);
+    number(out, "giveUp", c.told.client_timeout);
+    number(out, "lateWorth", c.told.late_value);
     text(out, "effect", effect_of(c.told));
     text(out, "group", scope_of(c.told));
     number(out, "dedupWindow", c.told.dedup_window);
@@ -91,15 +93,15 @@
       out.StartObject();
       text(out, "name", tenant.name);
       number(out, "share", tenant.share / shares);
-      if (tenant.allowance) number(out, "allowancePerS", *tenant.allowance);
+      if (tenant.quota) number(out, "allowancePerS", *tenant.quota);
       out.EndObject();
     }
     out.EndArray();
   }
   out.Key("rules");
   out.StartObject();
-  number(out, "startCapacity", s.start_capacity);
-  number(out, "rampTime", s.ramp_time);
+  number(out, "startCapacity", s.slow_start_min_capacity);
+  number(out, "rampTime", s.slow_start_window);
   out.EndObject();
   out.EndObject();
 }
--- a/fleet_rig/run/node_config.h
+++ b/fleet_rig/run/node_config.h
@@ -14,7 +14,7 @@
   std::uint64_t seed = 1;
   int position = 0, count = 1, tier = 0, zone = 0;
   int sockets = 1024, memory_mb = 192;
-  bool second_copies = true,
+  bool can_hedge = true,
        cancel = true;  // whether two attempts may be out together, and one be called off
   std::string known;   // the list that it starts with, in discovery's form; empty: none
   // Between nodes: none where it is empty.
--- a/fleet_rig/soak/soak_day.cpp
+++ b/fleet_rig/soak/soak_day.cpp
@@ -55,12 +55,12 @@
     const int classes = between(1, 3);
     double mean_sum = 0;
     for (int i = 0; i < classes; ++i) {
-      const int give_up = one_of({200, 500, 1200, 2500, 8000});
-      const int mean = std::clamp(give_up / 20, 5, 40);
+      const int client_timeout = one_of({200, 500, 1200, 2500, 8000});
+      const int mean = std::clamp(client_timeout / 20, 5, 40);
       mean_sum += mean;
-      out_ << "[[class]]\nname = \"c" << i << "\"\nshare = " << between(1, 3) << "\naim_ms = " << give_up / 2
-           << "\ngive_up_ms = " << give_up << "\neffect = \"" << one_of({"safe", "keyed", "unsafe"})
-           << "\"\nscope = \"" << one_of({"all", "zone", "cell"})
+      out_ << "[[class]]\nname = \"c" << i << "\"\nshare = " << between(1, 3)
+           << "\naim_ms = " << client_timeout / 2 << "\ngive_up_ms = " << client_timeout << "\neffect = \""
+           << one_of({"safe", "keyed", "unsafe"}) << "\"\nscope = \"" << one_of({"all", "zone", "cell"})
            << "\"\nwindow_ms = " << one_of({500, 1500, 4000}) << "\nmean_ms = " << mean
            << "\nlate_worth = 0.5\n";
     }
--- a/json/settings_reader.cpp
+++ b/json/settings_reader.cpp
@@ -75,15 +75,15 @@
 
 RequestClass read_class(const Value& in) {
   RequestClass out;
-  out.aim = number(in, "aim");
-  out.aim_stretch = number_or(in, "aimStretch", 0);
-  out.give_up = number(in, "giveUp");
-  out.late_worth = number_or(in, "lateWorth", 0);
-  const std::string_view effect = text(in, "effect");
-  if (effect == "safe") {
-    out.effect = Effect::kSafe;
-  } else if (effect == "keyed") {
-    out.effect = Effect::kKeyed;
+  out.latency_objective = number(in, "aim");
+  out.latency_objective_per_work = number_or(in, "aimStretch", 0);
+  out.client_timeout = number(in, "giveUp");
+  out.late_value = number_or(in, "lateWorth", 0);
+  const std::string_view idempotency = text(in, "effect");
+  if (idempotency == "safe") {
+    out.idempotency = Idempotency::kIdempotent;
+  } else if (idempotency == "keyed") {
+    out.idempotency = Idempotency::kIdempotentWithKey;
     const std::string_view group = text(in, "group");
     if (group == "all") {
       out.dedup_scope = DedupScope::kAll;
@@ -95,10 +95,10 @@
       throw std::invalid_argument("categories[].group: '" + std::string(group) + "' is unknown");
     }
     out.dedup_window = number_or(in, "dedupWindow", 0);
-  } else if (effect == "unsafe") {
-    out.effect = Effect::kUnsafe;
+  } else if (idempotency == "unsafe") {
+    out.idempotency = Idempotency::kNotIdempotent;
   } else {
-    throw std::invalid_argument("categories[].effect: '" + std::string(effect) + "' is unknown");
+    throw std::invalid_argument("categories[].effect: '" + std::string(idempotency) + "' is unknown");
   }
   return out;
 }
@@ -107,32 +107,32 @@
 
 Settings read_settings(const Value& in) {
   Settings out;
-  out.copy_index = whole(in, "position");
-  out.copy_count = whole(in, "peersTotal");
+  out.replica_index = whole(in, "position");
+  out.replica_count = whole(in, "peersTotal");
   out.tier = whole_or(in, "stage", 0);
   out.zone = whole_or(in, "zone", 0);
-  out.tick = number_or(in, "granularity", 0);
+  out.clock_granularity = number_or(in, "granularity", 0);
   for (const Value& item : array(in, "categories").GetArray()) out.classes.push_back(read_class(item));
   if (find(in, "realms") != nullptr) {
     for (const Value& item : array(in, "realms").GetArray()) {
       Tenant tenant;
-      if (find(item, "allowancePerS") != nullptr) tenant.allowance = number(item, "allowancePerS");
+      if (find(item, "allowancePerS") != nullptr) tenant.quota = number(item, "allowancePerS");
       out.tenants.push_back(tenant);
     }
   }
-  out.over_share_worth = number_or(in, "overShareWorth", 1);
+  out.over_quota_weight = number_or(in, "overShareWorth", 1);
   const Value& bounds = need(in, "bounds");
   out.max_attempts = whole_or(bounds, "maxAttempts", 1);
-  out.second_copies = flag(bounds, "secondCopies");
+  out.can_hedge = flag(bounds, "secondCopies");
   out.can_cancel = flag(bounds, "cancel");
   out.max_retry_after = flag(bounds, "retryAfter") ? number_or(bounds, "maxRetryAfter", 0) : 0;
-  out.must_watch = find(in, "registryMode") != nullptr && text(in, "registryMode") == "subscribe";
+  out.uses_watch = find(in, "registryMode") != nullptr && text(in, "registryMode") == "subscribe";
   if (const Value* rules = find(in, "rules")) {
-    out.ask_within = number_or(*rules, "askWithin", 0);
-    out.start_capacity = number_or(*rules, "startCapacity", 1);
-    out.ramp_time = number_or(*rules, "rampTime", 0);
+    out.poll_interval = number_or(*rules, "askWithin", 0);
+    out.slow_start_min_capacity = number_or(*rules, "startCapacity", 1);
+    out.slow_start_window = number_or(*rules, "rampTime", 0);
   }
-  if (const Value* fees = find(in, "fees")) out.cross_zone_price = number_or(*fees, "crossZone", 0);
+  if (const Value* fees = find(in, "fees")) out.cross_zone_cost = number_or(*fees, "crossZone", 0);
   return out;
 }
 
--- a/node/config.cpp
+++ b/node/config.cpp
@@ -53,7 +53,7 @@
     if (!peer.IsString()) json::wrong("peers", "an array of addresses with ports");
     out.peers.push_back(read_peer({peer.GetString(), peer.GetStringLength()}, "peers"));
   }
-  if (static_cast<std::size_t>(settings.copy_index) >= out.peers.size())
+  if (static_cast<std::size_t>(settings.replica_index) >= out.peers.size())
     json::wrong("peers", "an address for this node's own position");
   constexpr std::size_t kMostPeers = 60000;
   if (out.peers.size() > kMostPeers) json::wrong("peers", "60000 addresses at most");
@@ -66,8 +66,9 @@
 // lie between the decision for a server and the first byte to it: a dial, and a process that is held up.
 double list_lease_of(const Settings& settings, double dial_timeout) {
   constexpr double kNotified = 6, kHeldUp = 0.2, kLeast = 0.25;
-  const double notified =
-      settings.must_watch && settings.ask_within > 0 ? std::min(kNotified, settings.ask_within) : kNotified;
+  const double notified = settings.uses_watch && settings.poll_interval > 0
+                              ? std::min(kNotified, settings.poll_interval)
+                              : kNotified;
   return std::max(kLeast, notified - dial_timeout - kHeldUp);
 }
 
@@ -120,7 +121,7 @@
   constexpr double kUsualDial = 0.25, kUsualIdle = 5;
   out.dial_timeout = positive(bounds, "dialTimeout", kUsualDial);
   out.idle_close = positive(bounds, "idleClose", kUsualIdle);
-  out.settings.list_lease = list_lease_of(out.settings, out.dial_timeout);
+  out.settings.endpoint_lease = list_lease_of(out.settings, out.dial_timeout);
   constexpr int kUsualOpen = 20000;
   const int max_open = json::whole_or(bounds, "maxOpen", kUsualOpen);
   if (max_open < 1) json::wrong("maxOpen", "at least 1");
--- a/node/dispatcher.cpp
+++ b/node/dispatcher.cpp
@@ -41,7 +41,7 @@
 
 const char* name_of(Outcome outcome) {
   switch (outcome) {
-    case Outcome::kDelivered:
+    case Outcome::kSuccess:
       return "delivered";
     case Outcome::kError:
       return "error";
@@ -49,7 +49,7 @@
       return "rejected";
     case Outcome::kTimedOut:
       return "timed_out";
-    case Outcome::kDialFailed:
+    case Outcome::kConnectFailed:
       return "connect_failed";
     case Outcome::kReset:
       return "reset";
@@ -63,13 +63,13 @@
   return "unknown";
 }
 
-const char* name_of(ServerState state) {
+const char* name_of(EndpointState state) {
   switch (state) {
-    case ServerState::kReady:
+    case EndpointState::kReady:
       return "up";
-    case ServerState::kDraining:
+    case EndpointState::kDraining:
       return "draining";
-    case ServerState::kGone:
+    case EndpointState::kRemoved:
       break;
   }
   return "removed";
@@ -84,13 +84,13 @@
     : io_(io),
       clock_(clock),
       balancer_(settings, seed),
-      must_watch_(settings.must_watch),
+      must_watch_(settings.uses_watch),
       jitter_(static_cast<std::minstd_rand::result_type>(seed)),
       max_open_(max_open),
       busy_retry_after_(settings.max_retry_after / 2),
       upstream_(upstream),
       list_(std::move(list)) {
-  for (const RequestClass& c : settings.classes) effects_.push_back(c.effect);
+  for (const RequestClass& c : settings.classes) effects_.push_back(c.idempotency);
 }
 
 void Dispatcher::start(const Membership& known) {
@@ -146,7 +146,8 @@
   held.answer_to = std::move(asker.answer_to);
   held.still_waits = std::make_shared<const std::function<bool()>>(std::move(asker.still_waits));
   held.taken = now;
-  held.repeatable = event.request_class < effects_.size() && effects_[event.request_class] != Effect::kUnsafe;
+  held.repeatable =
+      event.request_class < effects_.size() && effects_[event.request_class] != Idempotency::kNotIdempotent;
   keep_to(id, held, now + event.time_left);
 }
 
@@ -178,13 +179,13 @@
   at->second.answer_to = nullptr;
   at->second.guard.reset();
   withdraw(at->second);
-  happen(RequestGone{id});
+  happen(RequestAbandoned{id});
   settle(id);
 }
 
 void Dispatcher::members(const Membership& update) {
-  MembershipUpdate event;
-  event.form = update.full ? MembershipUpdate::Form::kFull : MembershipUpdate::Form::kChanges;
+  EndpointUpdate event;
+  event.form = update.full ? EndpointUpdate::Form::kFull : EndpointUpdate::Form::kDelta;
   const auto set_ready = [this](bool& held, bool ready) {
     ready_ += ready ? 1 : 0;
     ready_ -= held ? 1 : 0;
@@ -192,18 +193,18 @@
   };
   std::unordered_map<std::string, bool> listed;
   for (const Member& member : update.members) {
-    const Server& server = member.server;
-    const bool ready = server.state == ServerState::kReady;
+    const Endpoint& server = member.server;
+    const bool ready = server.state == EndpointState::kReady;
     log_debug("server_listed").with("server", server.address).with("status", name_of(server.state));
     set_ready(ready_by_name_[server.address], ready);
-    if (server.state == ServerState::kGone) {
+    if (server.state == EndpointState::kRemoved) {
       upstream_.retire(server.address);
       ready_by_name_.erase(server.address);
     } else {
-      upstream_.place(server.address, member.endpoint, server.started, ready);
+      upstream_.place(server.address, member.endpoint, server.started_at, ready);
     }
     listed[server.address] = true;
-    event.servers.push_back(server);
+    event.endpoints.push_back(server);
   }
   // What a full list lacks is gone.
   for (auto at = ready_by_name_.begin(); at != ready_by_name_.end();) {
@@ -221,19 +222,19 @@
 
 void Dispatcher::fleet(const membership::FleetView& view) {
   if (isolation_) isolation_->sees(view.confidence);
-  happen(FleetChanged{view.rank, view.live, view.bound, view.moving});
+  happen(ReplicaSetChanged{view.rank, view.live, view.bound, view.moving});
 }
 
-void Dispatcher::list_current() { happen(MembershipFreshness{MembershipFreshness::State::kCurrent}); }
+void Dispatcher::list_current() { happen(EndpointListFreshness{EndpointListFreshness::State::kCurrent}); }
 
 void Dispatcher::list_stale(double as_of) {
-  happen(MembershipFreshness{MembershipFreshness::State::kStale, as_of});
+  happen(EndpointListFreshness{EndpointListFreshness::State::kStale, as_of});
 }
 
-void Dispatcher::discovery_moved() { happen(MembershipFreshness{MembershipFreshness::State::kMoved}); }
+void Dispatcher::discovery_moved() { happen(EndpointListFreshness{EndpointListFreshness::State::kMoved}); }
 
 void Dispatcher::watch_failed(const WatchFailure& failure) {
-  happen(MembershipUpdate{MembershipUpdate::Form::kFailed, {}, failure});
+  happen(EndpointUpdate{EndpointUpdate::Form::kFailed, {}, failure});
   if (must_watch_) return;
   // Where lists are pushed the module asks for none: it is for the node to stay connected.
   const double wait = kReconnect * std::uniform_real_distribution<>(0.5, 1.5)(jitter_);
@@ -296,8 +297,8 @@
   const bool says = end.outcome != Outcome::kCancelled && end.outcome != Outcome::kNotSent;
   if (isolation_ && says)
     isolation_->attempt_ended(clock_.now(),
-                              end.outcome != Outcome::kDialFailed && end.outcome != Outcome::kTimedOut);
-  if (end.outcome == Outcome::kDelivered && !held.over()) {
+                              end.outcome != Outcome::kConnectFailed && end.outcome != Outcome::kTimedOut);
+  if (end.outcome == Outcome::kSuccess && !held.over()) {
     answer(held, {Answer::Kind::kServed, 0, std::move(end.response)});
   }
   AttemptResult event;
@@ -306,7 +307,7 @@
   event.outcome = end.outcome;
   // What lay unread while this node was away is not the server's time.
   event.elapsed = std::max(0.0, clock_.now() - sent - end.unread);
-  event.request_done = held.over();
+  event.request_complete = held.over();
   happen(std::move(event));
   settle(id);
 }
@@ -342,7 +343,7 @@
   answer(at->second,
          {was_sent ? Answer::Kind::kFailed : Answer::Kind::kRefused, was_sent ? 0 : busy_retry_after_, {}});
   withdraw(at->second);
-  happen(RequestGone{id});
+  happen(RequestAbandoned{id});
   const auto left = held_.find(id);
   if (left == held_.end()) return;
   // The module cancels what it may; the rest ends by its own time-out, which lies before this guard.
@@ -390,7 +391,7 @@
   return (*still_waits)();
 }
 
-void Dispatcher::perform(const Refuse& action) {
+void Dispatcher::perform(const Reject& action) {
   const auto at = held_.find(action.id);
   if (at == held_.end() || at->second.over()) return;
   log_debug("request_refused")
@@ -425,8 +426,13 @@
   });
 }
 
-void Dispatcher::perform(const WatchMembers&) { list_.watch(); }
+void Dispatcher::perform(const WatchEndpoints&) { list_.watch(); }
 
-void Dispatcher::perform(const LogLine& action) { log_info("policy").with("message", action.text); }
+void Dispatcher::perform(const SheddingReport& action) {
+  log_info("requests_shed")
+      .with("over_tenant_limit", action.over_tenant_limit)
+      .with("no_capacity", action.no_capacity)
+      .with("too_little_time", action.too_little_time);
+}
 
 }  // namespace thymewood::node
--- a/node/dispatcher.h
+++ b/node/dispatcher.h
@@ -107,12 +107,12 @@
   void overdue(const std::string& id);
 
   void perform(const Send& action);
-  void perform(const Refuse& action);
+  void perform(const Reject& action);
   void perform(const Fail& action);
   void perform(const Cancel& action);
   void perform(const SetTimer& action);
-  void perform(const WatchMembers& action);
-  void perform(const LogLine& action);
+  void perform(const WatchEndpoints& action);
+  void perform(const SheddingReport& action);
 
   boost::asio::io_context& io_;
   const Clock& clock_;
@@ -121,7 +121,7 @@
   std::minstd_rand jitter_;
   std::size_t max_open_;
   double busy_retry_after_;
-  std::vector<Effect> effects_;  // by class
+  std::vector<Idempotency> effects_;  // by class
   std::optional<membership::Isolation> isolation_;
   Upstream& upstream_;
   List list_;
--- a/node/frontend.cpp
+++ b/node/frontend.cpp
@@ -671,7 +671,8 @@
   if (std::exchange(draining_, true)) return;
   drained_ = std::move(done);
   double longest = 0;
-  for (const RequestClass& c : catalog_.classes) longest = std::max(longest, std::min(c.give_up, kMostDrain));
+  for (const RequestClass& c : catalog_.classes)
+    longest = std::max(longest, std::min(c.client_timeout, kMostDrain));
   const Clock::Steady::time_point now = Clock::Steady::now();
   last_answer_ = now + Clock::span(longest + kLastAnswer);
   last_accept_ = now + Clock::span(std::max(kAcceptOn, longest - kLastRequest));
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -99,7 +99,7 @@
   if (!fleet.enabled || !config.peers) return nullptr;
   namespace ms = thymewood::membership;
   ms::Self self;
-  self.number = static_cast<ms::Number>(config.settings.copy_index);
+  self.number = static_cast<ms::Number>(config.settings.replica_index);
   self.peers = static_cast<std::uint16_t>(config.peers->peers.size());
   self.zone = static_cast<std::uint8_t>(config.settings.zone);
   self.start_ms = static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -148,7 +148,7 @@
        [&to](double as_of) { to->list_stale(as_of); }, [&to] { to->discovery_moved(); },
        [&to](const thymewood::WatchFailure& failure) { to->watch_failed(failure); }});
   // Where lists are pushed the whole one costs nothing, and is there whether or not anything has changed.
-  if (settings.must_watch && !config.known.members.empty()) discovery.set_index(config.known.index);
+  if (settings.uses_watch && !config.known.members.empty()) discovery.set_index(config.known.index);
   try {
     node::Dispatcher dispatcher(io, clock, settings, config.seed, config.max_open, upstream,
                                 {[&discovery] { discovery.watch(); }, [&discovery] { discovery.refresh(); }});
--- a/node/member_list.cpp
+++ b/node/member_list.cpp
@@ -32,16 +32,16 @@
                  StartTimes& starts, Member& member) {
   const std::string_view status = json::text(item, "status");
   if (status == "up") {
-    member.server.state = ServerState::kReady;
+    member.server.state = EndpointState::kReady;
   } else if (status == "draining") {
-    member.server.state = ServerState::kDraining;
+    member.server.state = EndpointState::kDraining;
   } else if (status == "removed") {
-    member.server.state = ServerState::kGone;
+    member.server.state = EndpointState::kRemoved;
   } else {
     json::wrong("status", "up, draining or removed");
   }
   // One that has gone needs no more than its name.
-  if (json::find(item, "address") != nullptr || member.server.state != ServerState::kGone) {
+  if (json::find(item, "address") != nullptr || member.server.state != EndpointState::kRemoved) {
     const auto endpoint = parse_endpoint(json::text(item, "address"));
     if (!endpoint) json::wrong("address", "an address with a port");
     member.endpoint = *endpoint;
@@ -55,7 +55,7 @@
   if (json::find(item, "since_ms") != nullptr) {
     constexpr std::uint64_t kFarthest = 1ULL << 53;
     const auto since = static_cast<std::int64_t>(std::min(json::token(item, "since_ms"), kFarthest));
-    member.server.started = starts.started(member.server.address, since, now);
+    member.server.started_at = starts.started(member.server.address, since, now);
   }
 }
 
@@ -76,9 +76,9 @@
     } catch (const std::exception& problem) {
       if (out.complaint.empty())
         out.complaint = "endpoints[" + std::to_string(place) + "]: " + problem.what();
-      if (member.server.state != ServerState::kGone) member.server.state = ServerState::kDraining;
+      if (member.server.state != EndpointState::kRemoved) member.server.state = EndpointState::kDraining;
     }
-    if (member.server.state == ServerState::kGone) starts.left(member.server.address, now.clock);
+    if (member.server.state == EndpointState::kRemoved) starts.left(member.server.address, now.clock);
     ++place;
     if (!member.server.address.empty()) out.members.push_back(std::move(member));
   }
--- a/node/member_list.h
+++ b/node/member_list.h
@@ -20,7 +20,7 @@
 };
 
 struct Member {
-  Server server;  // its address is the server's name: the same at every node, which real addresses are not
+  Endpoint server;  // its address is the server's name: the same at every node, which real addresses are not
   boost::asio::ip::tcp::endpoint endpoint;
 };
 
--- a/node/upstream.cpp
+++ b/node/upstream.cpp
@@ -56,7 +56,7 @@
 Outcome outcome_of(const HttpResponse& answer) {
   switch (answer.result_int()) {
     case 200:
-      return Outcome::kDelivered;
+      return Outcome::kSuccess;
     case 503:
     case 504:
       // Danger: without the mark it may be the word of a tier behind, and the request may have run.
@@ -166,7 +166,7 @@
   // Danger: another server may stand at its address by now, and take in what was meant for this one. The
   // module hears of the end after it has heard that the server is gone.
   const std::deque<std::shared_ptr<Attempt>> waiting = std::exchange(pool->waiting, {});
-  for (const std::shared_ptr<Attempt>& attempt : waiting) end_later(attempt, Outcome::kDialFailed);
+  for (const std::shared_ptr<Attempt>& attempt : waiting) end_later(attempt, Outcome::kConnectFailed);
 }
 
 // Danger: the server takes the rest whenever it likes, long after the grace, and then the request begins
@@ -219,7 +219,7 @@
     finish(attempt,
            attempt->sent ? Outcome::kTimedOut
            : over        ? Outcome::kNotSent
-                         : Outcome::kDialFailed,
+                         : Outcome::kConnectFailed,
            false);
   });
 }
@@ -284,7 +284,7 @@
   pool->spare.failed();
   // Each that waits has a dial; one whose place was taken over by a freed connection leaves a spare.
   if (pool->rests == 0 && pool->waiting.size() > pool->dialling)
-    finish(pool->waiting.front(), Outcome::kDialFailed, false);
+    finish(pool->waiting.front(), Outcome::kConnectFailed, false);
 }
 
 void Upstream::forget(Pool& pool, const Connection& connection) {
@@ -352,7 +352,7 @@
     // Each that waits has a dial. This one may have been the last one's, to where the server no longer
     // listens or to one that speaks unasked.
     if (pool->rests == 0 && pool->waiting.size() > pool->dialling)
-      finish(pool->waiting.front(), Outcome::kDialFailed, false);
+      finish(pool->waiting.front(), Outcome::kConnectFailed, false);
     return;
   }
   // Danger: by way of the idle ones a new connection could count as too old for who dialled it, and nothing
@@ -392,7 +392,7 @@
       if (pool->usable && make_room()) {
         dial(pool);
       } else {
-        finish(pool->waiting.front(), Outcome::kDialFailed, false);
+        finish(pool->waiting.front(), Outcome::kConnectFailed, false);
         --n;
       }
     }
@@ -475,7 +475,7 @@
 // nothing.
 void Upstream::Attempt::write(Upstream& owner, const std::shared_ptr<Attempt>& self) {
   while (written < wire.size()) {
-    if (is_readable(connection->socket)) return owner.end_later(self, Outcome::kDialFailed);
+    if (is_readable(connection->socket)) return owner.end_later(self, Outcome::kConnectFailed);
     const ssize_t n = ::send(connection->socket.native_handle(), wire.data() + written, wire.size() - written,
                              MSG_DONTWAIT | MSG_NOSIGNAL);
     if (n > 0) {
@@ -487,7 +487,7 @@
         if (!*alive) return;
         std::erase(self->pool->half_written, self);
         if (self->ended || self->ending) return;
-        if (problem) return owner.finish(self, Outcome::kDialFailed, false);
+        if (problem) return owner.finish(self, Outcome::kConnectFailed, false);
         // Danger: this may have its turn before the caller's close, or discovery's word, is read.
         const bool may = self->may_go_on();
         if (self->ended || self->ending) return;
@@ -495,7 +495,8 @@
         self->write(owner, self);
       });
     } else if (n == 0 || errno != EINTR) {
-      return owner.end_later(self, Outcome::kDialFailed);  // the last byte was not written: it can't have run
+      return owner.end_later(self,
+                             Outcome::kConnectFailed);  // the last byte was not written: it can't have run
     }
   }
   sent = true;
@@ -586,7 +587,7 @@
       drop(connection, "not_kept");
     }
   }
-  if (outcome == Outcome::kDelivered) end.response = attempt->parser->release();
+  if (outcome == Outcome::kSuccess) end.response = attempt->parser->release();
   const Sender sender = std::move(attempt->sender);
   sender.report(std::move(end));
 }
--- a/node/upstream.h
+++ b/node/upstream.h
@@ -28,7 +28,7 @@
   // How an attempt ended.
   struct End {
     Outcome outcome = Outcome::kUnknown;
-    HttpResponse response;  // with kDelivered alone
+    HttpResponse response;  // with kSuccess alone
     double unread = 0;  // s that the answer had lain there before this node came to it; 0: it was not away
   };
   struct Sender {
--- a/node/validation.cpp
+++ b/node/validation.cpp
@@ -74,7 +74,7 @@
   event.id = *id;
 
   const RequestClass& c = catalog.classes[event.request_class];
-  event.time_left = std::min(c.give_up, kLongestWait);
+  event.time_left = std::min(c.client_timeout, kLongestWait);
   if (request.count("X-Timeout-Ms") > 0) {
     const auto text = only(request, "X-Timeout-Ms");
     const auto ms = text ? whole(*text) : std::nullopt;
@@ -86,19 +86,19 @@
 
   const auto key = only(request, "Idempotency-Key");
   const bool has_key = request.count("Idempotency-Key") > 0;
-  if (c.effect == Effect::kSafe) {
+  if (c.idempotency == Idempotency::kIdempotent) {
     if (request.method() != http::verb::get || !request.body().empty()) return bad("GET without a body only");
   } else if (request.method() != http::verb::post) {
     return bad("POST only");
   }
-  if (c.effect == Effect::kKeyed ? !key || key->empty() : has_key) {
+  if (c.idempotency == Idempotency::kIdempotentWithKey ? !key || key->empty() : has_key) {
     return bad("Idempotency-Key does not fit the class");
   }
 
   const std::vector<std::string>& tenants = catalog.tenant_names;
   const auto tenant = std::find(tenants.begin(), tenants.end(), view(request["X-Tenant-Id"]));
   event.tenant = static_cast<std::size_t>(tenant - tenants.begin());  // past the end: untold traffic
-  event.is_repeat = request["X-Retried"] == "1";
+  event.is_client_retry = request["X-Retried"] == "1";
   constexpr double kMicroseconds = 1e-6;
   if (const auto cost = whole(view(request["X-Cost"]))) {
     event.work = static_cast<double>(*cost) * kMicroseconds;
--- a/policy/balancer.cpp
+++ b/policy/balancer.cpp
@@ -1,16 +1,17 @@
 // All decisions of thymewood. The interface, that is the types, events and actions, is
 // include/thymewood/balancer.h; read it first. Reading order here: the constants, then one section for each
 // question: admit? who is there? is it healthy? which server? how long? again? and last the events.
+#include "thymewood/balancer.h"
+
 #include <algorithm>
 #include <cmath>
 #include <limits>
 #include <unordered_map>
 
-#include "endpoint_lease.h"
 #include "concurrency_limit.h"
+#include "endpoint_lease.h"
 #include "support.h"
 #include "tenant_limiter.h"
-#include "thymewood/balancer.h"
 #include "watch_backoff.h"
 
 namespace thymewood {
@@ -66,7 +67,7 @@
 
 // Which outcomes prove that an attempt never ran. Danger: taking an unknown end for harmless repeats effects.
 bool never_ran(Outcome outcome) {
-  return outcome == Outcome::kRejected || outcome == Outcome::kDialFailed || outcome == Outcome::kNotSent;
+  return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
 }
 
 // What attempts of a class take.
@@ -77,7 +78,7 @@
 };
 
 struct ServerNode {
-  Server told;
+  Endpoint told;
   std::uint64_t order = 0, listed = 0;  // listed: in which membership update it was told last
   int in_flight = 0, named = 0;         // named: by attempts of open requests, ended ones too
   bool forgotten = false;               // its place is free for another
@@ -98,11 +99,11 @@
 
 // Evenly spaced starts on a ring: any two servers differ by at most one in how many copies use them, and a
 // server that leaves moves each start by one place at most.
-std::vector<std::size_t> subset_of(std::size_t copy_index, std::size_t copy_count, std::size_t servers,
+std::vector<std::size_t> subset_of(std::size_t replica_index, std::size_t replica_count, std::size_t servers,
                                    std::size_t size) {
   std::vector<std::size_t> out;
-  if (servers == 0 || copy_count == 0) return out;
-  const std::size_t start = copy_index * servers / copy_count;
+  if (servers == 0 || replica_count == 0) return out;
+  const std::size_t start = replica_index * servers / replica_count;
   for (std::size_t i = 0; i < std::min(size, servers); ++i) out.push_back((start + i) % servers);
   return out;
 }
@@ -113,14 +114,14 @@
       : settings_(with_unknown(settings)),
         random_(seed),
         room_(settings_.classes),
-        lease_(settings_.list_lease),
-        watch_retry_(settings_.ask_within) {
+        lease_(settings_.endpoint_lease),
+        watch_retry_(settings_.poll_interval) {
     for (const RequestClass& c : settings_.classes) {
-      const double aim = std::min(c.aim, kMostAim);
-      classes_.push_back({{aim / 4, aim / 8, 0}});
+      const double latency_objective = std::min(c.latency_objective, kMostAim);
+      classes_.push_back({{latency_objective / 4, latency_objective / 8, 0}});
     }
     settings_.tenants.emplace_back();
-    reckoned_ = settings_.copy_count;
+    reckoned_ = settings_.replica_count;
     for (const Tenant& told : settings_.tenants) tenants_.emplace_back(told, settings_);
   }
 
@@ -130,13 +131,13 @@
     std::visit([this](const auto& e) { on(e); }, event);
   }
 
-  std::size_t servers() const { return servers_.size() - unused_.size(); }
+  std::size_t known_endpoints() const { return servers_.size() - unused_.size(); }
 
-  TenantView view(double now, std::size_t tenant) const {
+  TenantLimitView view(double now, std::size_t tenant) const {
     return tenants_[std::min(tenant, tenants_.size() - 1)].view(now);
   }
 
-  RoomView room(double now) const {
+  ConcurrencyLimitView concurrency_limit(double now) const {
     return {room_.natural(), room_.answers(now), static_cast<double>(in_flight_), tier_room(now),
             room_.crowd_bound(now)};
   }
@@ -147,7 +148,7 @@
   static Settings with_unknown(Settings s) {
     validate(s);
     s.classes.emplace_back();
-    s.classes.back().give_up = s.classes.back().aim = kForever;
+    s.classes.back().client_timeout = s.classes.back().latency_objective = kForever;
     return s;
   }
 
@@ -164,7 +165,7 @@
 
   // ---------------------------------------------------------------- who is there?
 
-  void learn(const Server& told) {
+  void learn(const Endpoint& told) {
     const auto [it, unknown] = by_address_.try_emplace(told.address, servers_.size());
     if (unknown && !unused_.empty()) {
       it->second = unused_.back();
@@ -175,7 +176,7 @@
     }
     if (unknown) servers_[it->second].order = hash_of(told.address);
     ServerNode& s = servers_[it->second];
-    if (unknown || told.started != s.told.started || s.told.state == ServerState::kGone) {
+    if (unknown || told.started_at != s.told.started_at || s.told.state == EndpointState::kRemoved) {
       ServerNode fresh;  // another process: what the last one did says nothing
       fresh.order = s.order;
       fresh.in_flight = s.in_flight;
@@ -195,15 +196,15 @@
   // may go.
   void forget_if_gone(std::size_t at) {
     ServerNode& s = servers_[at];
-    if (s.told.state != ServerState::kGone || s.named > 0 || s.forgotten) return;
+    if (s.told.state != EndpointState::kRemoved || s.named > 0 || s.forgotten) return;
     by_address_.erase(s.told.address);
     s.forgotten = true;
     unused_.push_back(at);
   }
 
   std::vector<std::size_t> own_part(const std::vector<std::size_t>& from) const {
-    const std::size_t index = static_cast<std::size_t>(settings_.copy_index);
-    const std::size_t count = static_cast<std::size_t>(settings_.copy_count);
+    const std::size_t index = static_cast<std::size_t>(settings_.replica_index);
+    const std::size_t count = static_cast<std::size_t>(settings_.replica_count);
     // Danger: a subset of fixed size leaves servers without any caller where copies are few.
     const std::size_t size = std::max(kSubset, (cover_ * from.size() + count - 1) / count);
     std::vector<std::size_t> out;
@@ -212,7 +213,7 @@
   }
 
   bool is_away(const ServerNode& s) const {
-    return settings_.cross_zone_price > 0 && s.told.zone != settings_.zone;
+    return settings_.cross_zone_cost > 0 && s.told.zone != settings_.zone;
   }
 
   void rebuild_subset() {
@@ -220,7 +221,7 @@
     ring_.clear();
     ready_weight_ = 0;
     for (std::size_t i = 0; i < servers_.size(); ++i) {
-      if (servers_[i].told.state != ServerState::kReady) continue;
+      if (servers_[i].told.state != EndpointState::kReady) continue;
       ring_.push_back(i);
       ready_weight_ += servers_[i].told.weight;
     }
@@ -275,10 +276,10 @@
 
   // The part of its full capacity that a server is sure to have by now.
   double warmth(const ServerNode& s) const {
-    if (s.told.started == 0 || settings_.ramp_time <= 0) return 1;
-    const double age = std::max(0.0, now_ - s.told.started);
-    return std::min(1.0,
-                    settings_.start_capacity + (1 - settings_.start_capacity) * age / settings_.ramp_time);
+    if (s.told.started_at == 0 || settings_.slow_start_window <= 0) return 1;
+    const double age = std::max(0.0, now_ - s.told.started_at);
+    return std::min(1.0, settings_.slow_start_min_capacity +
+                             (1 - settings_.slow_start_min_capacity) * age / settings_.slow_start_window);
   }
 
   // Whether a cold server's budget at this copy has room. Danger: all copies together can push a cold server
@@ -305,15 +306,15 @@
 
   double busyness(const ServerNode& s) const {
     const double trust = std::pow(1 - std::min(failing(s), 0.99), kFailPower);
-    return (s.in_flight + 1) * pace(s) * (is_away(s) ? 1 + kPriceWeight * settings_.cross_zone_price : 1) /
+    return (s.in_flight + 1) * pace(s) * (is_away(s) ? 1 + kPriceWeight * settings_.cross_zone_cost : 1) /
            (s.told.weight * warmth(s) * trust);
   }
 
   bool in_scope(const Pending& p, const ServerNode& s) const {
     const RequestClass& c = settings_.classes[p.request_class];
     for (const Attempt& a : p.attempts) {
-      if (!a.may_have_run || c.effect == Effect::kSafe) continue;
-      if (c.effect == Effect::kUnsafe || now_ > a.sent + c.dedup_window) return false;
+      if (!a.may_have_run || c.idempotency == Idempotency::kIdempotent) continue;
+      if (c.idempotency == Idempotency::kNotIdempotent || now_ > a.sent + c.dedup_window) return false;
       if (c.dedup_scope == DedupScope::kZone && a.zone != s.told.zone) return false;
       if (c.dedup_scope == DedupScope::kCell && a.cell != s.told.cell) return false;
     }
@@ -325,7 +326,8 @@
     const RequestClass& c = settings_.classes[p.request_class];
     double out = kForever;
     for (const Attempt& a : p.attempts) {
-      if (a.may_have_run && c.effect == Effect::kKeyed) out = std::min(out, a.sent + c.dedup_window);
+      if (a.may_have_run && c.idempotency == Idempotency::kIdempotentWithKey)
+        out = std::min(out, a.sent + c.dedup_window);
     }
     return out;
   }
@@ -420,7 +422,7 @@
     const ClassTime& c = classes_[p.request_class];
     const Estimate& usual = c.latency;
     const double longest = std::max(usual.mean + kDeviations * usual.deviation, kTailFactor * c.tail);
-    const bool can_repeat = settings_.classes[p.request_class].effect != Effect::kUnsafe &&
+    const bool can_repeat = settings_.classes[p.request_class].idempotency != Idempotency::kNotIdempotent &&
                             p.attempts.size() + 1 < static_cast<std::size_t>(settings_.max_attempts);
     return can_repeat && left - longest > usual.mean ? longest : left;
   }
@@ -431,7 +433,7 @@
   // a connection that is refused, or was dropped while idle and is reset at the next request, has brought
   // none, and neither has a queue that was full.
   static bool is_budgeted(const AttemptResult& r) {
-    return r.elapsed >= kAtOnce || (r.outcome != Outcome::kDialFailed && r.outcome != Outcome::kReset &&
+    return r.elapsed >= kAtOnce || (r.outcome != Outcome::kConnectFailed && r.outcome != Outcome::kReset &&
                                     r.outcome != Outcome::kRejected);
   }
 
@@ -444,8 +446,8 @@
   // A refusal promises that a repeat is harmless: only when nothing can have run, or repeats are dropped.
   bool may_refuse(const Pending& p) const {
     const RequestClass& c = settings_.classes[p.request_class];
-    if (c.effect == Effect::kSafe) return true;
-    if (c.effect == Effect::kKeyed && c.dedup_scope == DedupScope::kAll) return true;
+    if (c.idempotency == Idempotency::kIdempotent) return true;
+    if (c.idempotency == Idempotency::kIdempotentWithKey && c.dedup_scope == DedupScope::kAll) return true;
     return !p.may_have_run();
   }
 
@@ -478,16 +480,14 @@
   void answer_unserved(const std::string& id, Pending& p) {
     p.finished = true;
     if (!may_refuse(p)) return out_->push_back(Fail{id});
-    out_->push_back(Refuse{id, advice()});
+    out_->push_back(Reject{id, advice()});
   }
 
   void note_shed(int& count) {
     if (denied_ + unplaced_ + hopeless_ == 0) next_log_ = now_ + kLogPeriod;
     ++count;
     if (now_ < next_log_) return;
-    out_->push_back(LogLine{"shedding: " + std::to_string(denied_) + " over their tenant's limit, " +
-                            std::to_string(unplaced_) + " without a server with room, " +
-                            std::to_string(hopeless_) + " given too little time"});
+    out_->push_back(SheddingReport{denied_, unplaced_, hopeless_});
     denied_ = unplaced_ = hopeless_ = 0;
   }
 
@@ -510,7 +510,7 @@
   // ---------------------------------------------------------------- events
 
   void on(const Started&) {
-    if (settings_.must_watch) out_->push_back(WatchMembers{});
+    if (settings_.uses_watch) out_->push_back(WatchEndpoints{});
   }
 
   void on(const Request& r) {
@@ -518,13 +518,13 @@
     const std::size_t tenant = std::min(r.tenant, tenants_.size() - 1);
     const bool within_share = tenants_[tenant].is_within_share(now_);
     if (!tenants_[tenant].admits(now_, random_)) {
-      out_->push_back(Refuse{r.id, advice()});
+      out_->push_back(Reject{r.id, advice()});
       note_shed(denied_);
       return;
     }
     const std::size_t request_class = std::min(r.request_class, settings_.classes.size() - 1);
     if (is_hopeless(request_class, r.time_left)) {
-      out_->push_back(Refuse{r.id, advice()});
+      out_->push_back(Reject{r.id, advice()});
       return note_shed(hopeless_);
     }
     admitted_.add(now_);
@@ -533,8 +533,11 @@
     p.tenant = tenant;
     p.request_class = request_class;
     const RequestClass& c = settings_.classes[p.request_class];
-    const double aim = std::min(c.aim + c.aim_stretch * r.work.value_or(0), c.give_up);
-    p.useful_until = now_ + std::min(r.time_left, c.late_worth > 0 ? r.time_left : aim - 2 * settings_.tick);
+    const double latency_objective =
+        std::min(c.latency_objective + c.latency_objective_per_work * r.work.value_or(0), c.client_timeout);
+    p.useful_until =
+        now_ + std::min(r.time_left,
+                        c.late_value > 0 ? r.time_left : latency_objective - 2 * settings_.clock_granularity);
     p.within_share = within_share;
     if (send(r.id, p, false)) return;
     room_.refused(now_, in_flight_, settings_.tier == 0, sharers_);
@@ -558,7 +561,7 @@
     s.sent_sum -= a.sent;
     in_flight_ -= 1;
     learn_from(p, s, r, a.sent);
-    if (r.request_done && !p.finished) {
+    if (r.request_complete && !p.finished) {
       p.finished = true;
       cancel_open(r.id, p);
     }
@@ -571,7 +574,7 @@
   void learn_from(const Pending& p, ServerNode& s, const AttemptResult& r, double sent) {
     const bool was_well = failing(s) < kIll;
     if (r.outcome == Outcome::kCancelled || r.outcome == Outcome::kNotSent) return;
-    const bool answered = r.outcome == Outcome::kDelivered;
+    const bool answered = r.outcome == Outcome::kSuccess;
     ClassTime& c = classes_[p.request_class];
     // Danger: a caller that gives up before answers usually come says nothing of the server. A further
     // attempt that comes too late is another matter: that is the module's own doing.
@@ -593,18 +596,18 @@
     // As the design has it, failures cut and answers in time raise a limit; one sick server cuts no tenant.
     // Danger: an error or a spoilt answer tells of a server, not of a crowd, and comes at any load.
     const bool crowd = r.outcome == Outcome::kRejected || r.outcome == Outcome::kTimedOut ||
-                       r.outcome == Outcome::kDialFailed;
-    const double aim = settings_.classes[p.request_class].aim;
-    if (answered ? r.elapsed < kInTime * aim : was_well && crowd)
+                       r.outcome == Outcome::kConnectFailed;
+    const double latency_objective = settings_.classes[p.request_class].latency_objective;
+    if (answered ? r.elapsed < kInTime * latency_objective : was_well && crowd)
       tenants_[p.tenant].ended(now_, !answered, room_.unqueued());
   }
 
-  void on(const AnswerStarted& r) {
+  void on(const ResponseStarted& r) {
     const auto it = pending_.find(r.id);
     if (it != pending_.end()) it->second.streaming = true;
   }
 
-  void on(const RequestGone& r) {
+  void on(const RequestAbandoned& r) {
     const auto it = pending_.find(r.id);
     if (it == pending_.end()) return;
     if (!it->second.finished) cancel_open(r.id, it->second);
@@ -612,67 +615,68 @@
     if (!it->second.any_open()) close(it);
   }
 
-  void on(const MembershipUpdate& update) {
-    if (update.form == MembershipUpdate::Form::kFailed) {
-      if (!settings_.must_watch) return;
+  void on(const EndpointUpdate& update) {
+    if (update.form == EndpointUpdate::Form::kFailed) {
+      if (!settings_.uses_watch) return;
       out_->push_back(SetTimer{now_ + watch_retry_.pause_after(update.failure, random_), kWatchTimer});
       return;
     }
     watch_retry_.reset();
     met_at_ = std::min(met_at_, now_);
     ++listing_;
-    for (const Server& told : update.servers) learn(told);
-    if (update.form == MembershipUpdate::Form::kFull) {
+    for (const Endpoint& told : update.endpoints) learn(told);
+    if (update.form == EndpointUpdate::Form::kFull) {
       for (ServerNode& s : servers_) {
-        if (s.listed != listing_) s.told.state = ServerState::kGone;
+        if (s.listed != listing_) s.told.state = EndpointState::kRemoved;
       }
     }
     for (std::size_t i = 0; i < servers_.size(); ++i) forget_if_gone(i);
     rebuild_subset();
   }
 
-  void on(const MembershipFreshness& freshness) {
+  void on(const EndpointListFreshness& freshness) {
     switch (freshness.state) {
-      case MembershipFreshness::State::kCurrent:
+      case EndpointListFreshness::State::kCurrent:
         watch_retry_.reset();
         return lease_.list_is_current();
-      case MembershipFreshness::State::kStale:
+      case EndpointListFreshness::State::kStale:
         return lease_.list_is_stale(freshness.as_of);
-      case MembershipFreshness::State::kMoved:
+      case EndpointListFreshness::State::kMoved:
         watch_retry_.reset();
         return lease_.discovery_moved(now_, kMovedEarlier);
     }
   }
 
   // Danger: taken from those that answer, `bound` would give away what copies that are cut off go on using.
-  void on(const FleetChanged& fleet) {
-    if (fleet.rank < 0 || fleet.rank >= fleet.live) return;
-    for (TenantLimit& t : tenants_) t.share_anew(static_cast<double>(settings_.copy_count) / fleet.live);
-    settings_.copy_index = fleet.rank;
-    settings_.copy_count = fleet.live;
-    reckoned_ = std::max(fleet.live, fleet.bound);
-    cover_ = fleet.moving ? kMovingCover : kCover;
+  void on(const ReplicaSetChanged& fleet) {
+    if (fleet.rank < 0 || fleet.rank >= fleet.live_count) return;
+    for (TenantLimiter& t : tenants_)
+      t.share_anew(static_cast<double>(settings_.replica_count) / fleet.live_count);
+    settings_.replica_index = fleet.rank;
+    settings_.replica_count = fleet.live_count;
+    reckoned_ = std::max(fleet.live_count, fleet.max_count);
+    cover_ = fleet.is_settling ? kMovingCover : kCover;
     rebuild_subset();
   }
 
   void on(const TimerFired& timer) {
-    if (timer.token == kWatchTimer && settings_.must_watch) out_->push_back(WatchMembers{});
+    if (timer.token == kWatchTimer && settings_.uses_watch) out_->push_back(WatchEndpoints{});
   }
 
   Settings settings_;
   Random random_;
   double now_ = 0;
   std::vector<Action>* out_ = nullptr;
-  std::vector<TenantLimit> tenants_;
+  std::vector<TenantLimiter> tenants_;
   Estimate usual_{1, 0, 0};  // s; answer time over all servers and classes
   std::vector<ClassTime> classes_;
-  LearnedRoom room_;
+  ConcurrencyLimit room_;
   std::vector<ServerNode> servers_;
   std::unordered_map<std::string, std::size_t> by_address_;
   std::vector<std::size_t> unused_;  // places of servers that were forgotten
   std::vector<std::size_t> ring_, subset_, choice_;
   std::size_t cover_ = kCover;
-  int reckoned_ = 1;                       // copies, see FleetChanged::bound
+  int reckoned_ = 1;                       // copies, see ReplicaSetChanged::bound
   std::size_t subset_home_ = 0;            // its first members: those that are not away
   std::size_t remembered_ = 0;             // the least busy of the last draw
   double ready_weight_ = 0, sharers_ = 1;  // sharers: copies that use the same server
@@ -681,8 +685,8 @@
   double met_at_ = kForever;
   std::uint64_t listing_ = 0;
   double retry_tokens_ = kRetryBurst;
-  ListLease lease_;
-  WatchRetry watch_retry_;
+  EndpointLease lease_;
+  WatchBackoff watch_retry_;
   double next_unconfirmed_ = 0;
   int denied_ = 0, unplaced_ = 0, hopeless_ = 0;  // since the last log line
   double next_log_ = 0;
@@ -698,10 +702,10 @@
   impl_->handle(now, event, actions);
 }
 
-std::size_t Balancer::servers() const { return impl_->servers(); }
+std::size_t Balancer::known_endpoints() const { return impl_->known_endpoints(); }
 
-TenantView Balancer::tenant(double now, std::size_t tenant) const { return impl_->view(now, tenant); }
+TenantLimitView Balancer::tenant(double now, std::size_t tenant) const { return impl_->view(now, tenant); }
 
-RoomView Balancer::room(double now) const { return impl_->room(now); }
+ConcurrencyLimitView Balancer::concurrency_limit(double now) const { return impl_->concurrency_limit(now); }
 
 }  // namespace thymewood
--- a/policy/concurrency_limit.cpp
+++ b/policy/concurrency_limit.cpp
@@ -52,9 +52,10 @@
 // s; by when an answer is worth its wait: the aim, and a part of what lies between it and the end where a
 // late answer still has worth. Danger: all of that part lets queues grow in which servers turn slow.
 double patience(const RequestClass& c) {
-  return c.late_worth > 0 && std::isfinite(c.give_up)
-             ? c.aim + kLatePart * c.late_worth * std::max(0.0, c.give_up - c.aim)
-             : c.aim;
+  return c.late_value > 0 && std::isfinite(c.client_timeout)
+             ? c.latency_objective +
+                   kLatePart * c.late_value * std::max(0.0, c.client_timeout - c.latency_objective)
+             : c.latency_objective;
 }
 
 // Calls that may be in flight, over all copies, where nothing is measured yet.
@@ -102,16 +103,16 @@
   return worked_ * std::exp((worked_at_ - now) / kWorkedHold);
 }
 
-LearnedRoom::LearnedRoom(const std::vector<RequestClass>& classes) {
+ConcurrencyLimit::ConcurrencyLimit(const std::vector<RequestClass>& classes) {
   for (const RequestClass& c : classes) {
     classes_.emplace_back();
-    classes_.back().aim = std::max(std::min(patience(c), kMostAim), kLeastAim);
+    classes_.back().latency_objective = std::max(std::min(patience(c), kMostAim), kLeastAim);
   }
   learn_waits(0);
 }
 
-void LearnedRoom::answered(double now, std::size_t request_class, double elapsed, double in_flight,
-                           double usual_answer_time, Throughput& server) {
+void ConcurrencyLimit::answered(double now, std::size_t request_class, double elapsed, double in_flight,
+                                double usual_answer_time, Throughput& server) {
   ClassRoom& c = classes_[request_class];
   const double known = sure_ ? natural_ : 0;
   server.add(now, known, natural_ + wait_);
@@ -122,22 +123,22 @@
     waits_until_ = now;
   }
   c.answered.add(now);
-  c.idle.add(now, elapsed / c.aim,
+  c.idle.add(now, elapsed / c.latency_objective,
              now < refused_at_ + kRefusing && in_flight > kSureRoom * all_.worked_on(now) + 1);
   if (now >= waits_until_) learn_waits(now);
 }
 
-void LearnedRoom::took(double now, std::size_t request_class, double elapsed) {
+void ConcurrencyLimit::took(double now, std::size_t request_class, double elapsed) {
   const ClassRoom& c = classes_[request_class];
   const double gain = std::min(kRecentGain, (now - recent_at_) / kRecentTime);
-  recent_.add(elapsed / c.aim, gain);
+  recent_.add(elapsed / c.latency_objective, gain);
   stretch_.add(elapsed / c.idle_time(), gain);
   recent_at_ = now;
 }
 
 // Danger: servers that were crowded from the start never show what they do otherwise. Half of a long queue
 // still keeps them busy; a short one is left alone, for there fewer calls leave servers idle.
-void LearnedRoom::refused(double now, double in_flight, bool may_try, double sharers) {
+void ConcurrencyLimit::refused(double now, double in_flight, bool may_try, double sharers) {
   refused_at_ = now;
   may_prove_ = sharers <= kProofSharers;
   if (!may_try || (sure_ && wait_ < kTrialWait * natural_)) return;
@@ -146,7 +147,7 @@
 
 // What the class allows that can bear the least. Danger: where one class may wait long, its queue is that of
 // the others too.
-void LearnedRoom::learn_waits(double now) {
+void ConcurrencyLimit::learn_waits(double now) {
   double sum = 0, weighted = 0, least = kForever;
   sure_ = true;
   for (const ClassRoom& c : classes_) sum += c.answered.at(now);
@@ -155,7 +156,8 @@
     weighted += part * c.idle_time();
     if (part < kSomeCalls) continue;
     sure_ = sure_ && c.idle.sure();
-    least = std::min(least, std::max(kQueueFactor * c.idle_time(), kQueueShare * (c.aim - c.idle_time())));
+    least = std::min(
+        least, std::max(kQueueFactor * c.idle_time(), kQueueShare * (c.latency_objective - c.idle_time())));
   }
   natural_ = weighted;
   wait_ = std::isfinite(least) ? least : natural_;
@@ -164,24 +166,25 @@
 
 // ---------------------------------------------------------------- how much room that makes
 
-double LearnedRoom::unqueued() const {
+double ConcurrencyLimit::unqueued() const {
   return std::clamp((kQueuedStretch - stretch_.mean) / (kQueuedStretch - kIdleStretch), 0.0, 1.0);
 }
 
 // Calls in flight at which the wait is what it may be, by the answers that come. Answers that show no queue
 // are proof of more room than they use: then a few of them are enough to go by. Danger: under a queue the
 // quick measure would take chance for room.
-double LearnedRoom::by_answers(const Throughput& t, double now) const {
+double ConcurrencyLimit::by_answers(const Throughput& t, double now) const {
   const double steady = t.steady(now, natural_ + wait_);
   const double rise = std::max(0.0, t.quick(now, natural_ + wait_) - steady);
   return std::max((natural_ + wait_) * (steady + unqueued() * rise), t.worked_on(now));
 }
 
-double LearnedRoom::at_server(double now, const Throughput& server, double met_at, double sharers) const {
+double ConcurrencyLimit::at_server(double now, const Throughput& server, double met_at,
+                                   double sharers) const {
   return unmeasured_room(now, met_at) / sharers + kServerPart * by_answers(server, now);
 }
 
-double LearnedRoom::at_all(double now, double servers, double met_at, double sharers) const {
+double ConcurrencyLimit::at_all(double now, double servers, double met_at, double sharers) const {
   // Danger: what chance needs at each of many copies is a crowd over all: it is given in calm only.
   const double calm = std::clamp((kCrowded - recent_.mean) / (kCrowded - kCalm), 0.0, 1.0);
   const double room = unmeasured_room(now, met_at) * servers / sharers + by_answers(all_, now);
--- a/policy/concurrency_limit.h
+++ b/policy/concurrency_limit.h
@@ -8,9 +8,9 @@
 
 #include <vector>
 
+#include "concurrency_probe.h"
 #include "support.h"
 #include "thymewood/balancer.h"
-#include "concurrency_probe.h"
 
 namespace thymewood {
 
@@ -53,10 +53,10 @@
   static constexpr double kWorkedMemory = 10, kWorkedHold = 60;  // s; of the calls that were worked on
 };
 
-class LearnedRoom {
+class ConcurrencyLimit {
  public:
   // By the classes' aims, each taken for 1 ms to 60 s.
-  explicit LearnedRoom(const std::vector<RequestClass>& classes);
+  explicit ConcurrencyLimit(const std::vector<RequestClass>& classes);
 
   // A call of a class was answered, `in_flight` others being out still. `server`: of that server alone.
   void answered(double now, std::size_t request_class, double elapsed, double in_flight,
@@ -85,21 +85,21 @@
 
  private:
   struct ClassRoom {
-    double aim = 0;
+    double latency_objective = 0;
     IdleTime idle;
     FadingRate answered{2};
-    double idle_time() const { return idle.part_of_aim() * aim; }
+    double idle_time() const { return idle.part_of_aim() * latency_objective; }
   };
   void learn_waits(double now);
   double by_answers(const Throughput& t, double now) const;
 
   std::vector<ClassRoom> classes_;
   Throughput all_;
-  RoomTrial trial_;
+  ConcurrencyProbe trial_;
   double natural_ = 0, wait_ = 0, waits_until_ = 0;
   bool sure_ = false;       // whether natural_ is known by answers without queues
   bool may_prove_ = false;  // whether trials of this copy move the queues at its servers
-  double refused_at_ = -RoomTrial::kNoBound;
+  double refused_at_ = -ConcurrencyProbe::kNoBound;
   Estimate recent_, stretch_;  // answer time now, in parts of the aim and of the idle one
   double recent_at_ = 0;
 };
--- a/policy/concurrency_probe.h
+++ b/policy/concurrency_probe.h
@@ -17,7 +17,7 @@
 
 namespace thymewood {
 
-class RoomTrial {
+class ConcurrencyProbe {
  public:
   static constexpr double kNoBound = std::numeric_limits<double>::infinity();
 
--- a/policy/endpoint_lease.h
+++ b/policy/endpoint_lease.h
@@ -16,10 +16,10 @@
 
 namespace thymewood {
 
-class ListLease {
+class EndpointLease {
  public:
   // `duration`, s: infinite where lists need no confirmation.
-  explicit ListLease(double duration) : duration_(duration) {}
+  explicit EndpointLease(double duration) : duration_(duration) {}
 
   // A watch is open and has said all that it had to say.
   void list_is_current() {
--- a/policy/support.h
+++ b/policy/support.h
@@ -12,9 +12,6 @@
 
 namespace thymewood {
 
-// Throws std::invalid_argument, naming the field, when the settings cannot be used.
-void validate(const Settings& settings);
-
 // splitmix64 with its own mapping to ranges: the same on every platform.
 class Random {
  public:
--- a/policy/tenant_limiter.cpp
+++ b/policy/tenant_limiter.cpp
@@ -29,26 +29,26 @@
 }
 
 // 10 buckets are 1000 ms, the short rate of the source.
-TenantLimit::TenantLimit(const Tenant& told, const Settings& settings)
+TenantLimiter::TenantLimiter(const Tenant& told, const Settings& settings)
     : window_(kBucket, kWindowBuckets, 10),
       first_tier_(settings.tier == 0),
       limit_(kForever),
       start_(kForever),
       factor_until_(-kForever) {
-  if (!told.allowance) return;
-  const double part = *told.allowance / settings.copy_count;
+  if (!told.quota) return;
+  const double part = *told.quota / settings.replica_count;
   floor_ = part * (first_tier_ ? kFloor : kDeepFloor);
-  worth_ = settings.over_share_worth;
+  worth_ = settings.over_quota_weight;
   limit_ = start_ = std::max(floor_, part * kStartShare + kNoise * std::sqrt(part / kWindow));
 }
 
-void TenantLimit::share_anew(double factor) {
+void TenantLimiter::share_anew(double factor) {
   floor_ *= factor;
   start_ *= factor;
   limit_ = std::max(floor_, limit_ * factor);
 }
 
-double TenantLimit::factor_of(const SlidingWindow::Sums& sums) const {
+double TenantLimiter::factor_of(const SlidingWindow::Sums& sums) const {
   const double soft = limit_ * kWindow;
   if (sums.accepted() < soft) return 0;
   if (sums.total >= soft * kHardLimitFactor) return 1;
@@ -56,7 +56,7 @@
 }
 
 // The factor is cached as in the source, but for its ends: those are two comparisons.
-bool TenantLimit::admits(double now, Random& random) {
+bool TenantLimiter::admits(double now, Random& random) {
   double factor = factor_of(window_.sums(now));
   if (factor > 0 && factor < 1) {
     if (now >= factor_until_) {
@@ -70,12 +70,12 @@
   return admit;
 }
 
-bool TenantLimit::is_within_share(double now) const {
+bool TenantLimiter::is_within_share(double now) const {
   return first_tier_ && std::isfinite(limit_) && worth_ < 1 &&
          window_.sums(now).accepted() <= floor_ * kWindow;
 }
 
-void TenantLimit::ended(double now, bool badly, double unqueued) {
+void TenantLimiter::ended(double now, bool badly, double unqueued) {
   if (!std::isfinite(limit_)) return;
   const double step = std::min(kMostStep, kStep / limit_);
   if (badly) {
@@ -87,7 +87,7 @@
   }
 }
 
-TenantView TenantLimit::view(double now) const {
+TenantLimitView TenantLimiter::view(double now) const {
   const SlidingWindow::Sums sums = window_.sums(now);
   return {limit_, factor_of(sums), sums.total, sums.declined};
 }
--- a/policy/tenant_limiter.h
+++ b/policy/tenant_limiter.h
@@ -9,10 +9,10 @@
 
 namespace thymewood {
 
-class TenantLimit {
+class TenantLimiter {
  public:
   // Without an allowance there is no limit.
-  TenantLimit(const Tenant& told, const Settings& settings);
+  TenantLimiter(const Tenant& told, const Settings& settings);
 
   // Whether one more call may go; it is counted either way.
   bool admits(double now, Random& random);
@@ -30,7 +30,7 @@
   // This copy's part of the allowance is so many times what it was.
   void share_anew(double factor);
 
-  TenantView view(double now) const;
+  TenantLimitView view(double now) const;
 
  private:
   double factor_of(const SlidingWindow::Sums& sums) const;
--- a/policy/watch_backoff.h
+++ b/policy/watch_backoff.h
@@ -18,10 +18,10 @@
 
 namespace thymewood {
 
-class WatchRetry {
+class WatchBackoff {
  public:
-  // `ask_within`, s: how long a list may be used without asking; 0 where the settings don't say.
-  explicit WatchRetry(double ask_within) : ask_within_(ask_within) {}
+  // `poll_interval`, s: how long a list may be used without asking; 0 where the settings don't say.
+  explicit WatchBackoff(double poll_interval) : ask_within_(poll_interval) {}
 
   // A watch is open, or discovery has moved: earlier failures say nothing any more.
   void reset() {
--- a/tests/adapter/simulator_adapter_test.cpp
+++ b/tests/adapter/simulator_adapter_test.cpp
@@ -171,9 +171,9 @@
     EXPECT_TRUE(has(r.lines[0], R"("kind":"PANIC")")) << r.lines[0];
     EXPECT_TRUE(has(r.lines[0], part)) << r.lines[0];
   };
-  panics(R"("peersTotal":1)", R"("peersTotal":0)", "copy_count");
-  panics(R"("position":0)", R"("position":1)", "copy_index");
-  panics(R"("aim":1.0)", R"("aim":-1.0)", "aim");
+  panics(R"("peersTotal":1)", R"("peersTotal":0)", "replica_count");
+  panics(R"("position":0)", R"("position":1)", "replica_index");
+  panics(R"("aim":1.0)", R"("aim":-1.0)", "latency_objective");
   panics(R"("effect":"unsafe")", R"("effect":"odd")", "effect");
 }
 
--- a/tests/bench/concurrency_scenarios_test.cpp
+++ b/tests/bench/concurrency_scenarios_test.cpp
@@ -98,7 +98,7 @@
                     Case{"wide", 1.2, 6, 0.85}),
     name_of);
 
-TEST(LearnedRoom, ServiceDoesNotFallAsLoadRises) {
+TEST(ConcurrencyLimit, ServiceDoesNotFallAsLoadRises) {
   const auto kept = [](double times) {
     return play(scenario_of("steady", times, 15), Front::kModule, kSeed).kept();
   };
@@ -109,7 +109,7 @@
   EXPECT_LT(play(scenario_of("steady", 1.2, 15), Front::kDirect, kSeed).kept(), 0.3);
 }
 
-TEST(LearnedRoom, WhatIsServedHardlyWavers) {
+TEST(ConcurrencyLimit, WhatIsServedHardlyWavers) {
   const Report r = play(scenario_of("steady", 2, 30), Front::kModule, kSeed);
   for (std::size_t i = 5; i < r.seconds.size(); ++i)
     EXPECT_GE(r.seconds[i].in_time, 0.8 * r.seconds[i].capacity) << "in second " << i;
@@ -135,7 +135,7 @@
                          name_of);
 
 // Danger: a copy that starts under full load takes the first answers, all of which waited, for an idle tier.
-TEST(LearnedRoom, ACopyThatStartsFromNothingUnderLoadServesAsBeforeWithinASecond) {
+TEST(ConcurrencyLimit, ACopyThatStartsFromNothingUnderLoadServesAsBeforeWithinASecond) {
   const Report r = play(scenario_of("day_restart", 0.7), Front::kModule, kSeed);
   for (const std::size_t up : {12U, 29U, 44U}) {
     for (std::size_t i = up + 2; i < up + 6; ++i)
@@ -144,7 +144,7 @@
 }
 
 // Against a front that knows what each server can do and holds.
-TEST(LearnedRoom, AServerTenTimesFasterGetsItsShare) {
+TEST(ConcurrencyLimit, AServerTenTimesFasterGetsItsShare) {
   const Scenario s = scenario_of("one_fast", 0.8, 15);
   const Report r = play(s, Front::kModule, kSeed), oracle = play(s, Front::kOracle, kSeed);
   EXPECT_EQ(oracle.refused + oracle.failed, 0);
@@ -152,7 +152,7 @@
 }
 
 // A twentieth of these calls take longer than the aim by themselves, which no front can help.
-TEST(LearnedRoom, AnAimOfThreeTimesTheMeanIsNoReasonToRefuse) {
+TEST(ConcurrencyLimit, AnAimOfThreeTimesTheMeanIsNoReasonToRefuse) {
   for (const double times : {0.5, 0.8, 0.9}) {
     const Scenario s = scenario_of("tight", times);
     const Report r = play(s, Front::kModule, kSeed), oracle = play(s, Front::kOracle, kSeed);
@@ -164,7 +164,7 @@
 }
 
 // What was seen on sockets: a node that had been idle refused 95% of eight callers, for good.
-TEST(LearnedRoom, AnIdleWhileDoesNotLeadToALastingStateOfRefusals) {
+TEST(ConcurrencyLimit, AnIdleWhileDoesNotLeadToALastingStateOfRefusals) {
   for (const char* name : {"closed_8", "closed_32", "closed_128"}) {
     const Report r = play(scenario_of(name, 1), Front::kModule, kSeed);
     const Scenario s = scenario_of(name, 1);
@@ -175,13 +175,13 @@
   }
 }
 
-TEST(LearnedRoom, ASharedDependencyThatRecoversLeavesNothingBehind) {
+TEST(ConcurrencyLimit, ASharedDependencyThatRecoversLeavesNothingBehind) {
   const Report r = play(scenario_of("shared_slow", 0.8), Front::kModule, kSeed);
   for (std::size_t i = 30; i < r.seconds.size(); ++i)
     EXPECT_LE(r.seconds[i].unsent, 0.01 * r.seconds[i].offered) << "in second " << i;
 }
 
-TEST(LearnedRoom, TheSameSeedPlaysTheSame) {
+TEST(ConcurrencyLimit, TheSameSeedPlaysTheSame) {
   const auto once = [](std::uint64_t seed) {
     return play(scenario_of("crowding", 2, 8), Front::kModule, seed);
   };
--- a/tests/bench/model_test.cpp
+++ b/tests/bench/model_test.cpp
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "capacity.h"
 #include "balancer_harness.h"
+#include "capacity.h"
 #include "histogram.h"
 #include "rules.h"
 #include "scenario.h"
@@ -217,10 +217,11 @@
 
 // Classes: 0 safe, 1 keyed within a cell, 2 unsafe, 3 keyed everywhere. Servers 0 and 1 share a cell.
 RuleMonitor monitor() {
-  return RuleMonitor({},
-                     {class_of(Effect::kSafe), class_of(Effect::kKeyed), class_of(Effect::kUnsafe),
-                      class_of(Effect::kKeyed, DedupScope::kAll)},
-                     {{0, 0}, {0, 0}, {0, 1}});
+  return RuleMonitor(
+      {},
+      {class_of(Idempotency::kIdempotent), class_of(Idempotency::kIdempotentWithKey),
+       class_of(Idempotency::kNotIdempotent), class_of(Idempotency::kIdempotentWithKey, DedupScope::kAll)},
+      {{0, 0}, {0, 0}, {0, 1}});
 }
 
 void expect_broken(const RuleMonitor& rules, const std::string& rule) {
--- a/tests/bench/rig_test.cpp
+++ b/tests/bench/rig_test.cpp
@@ -37,16 +37,16 @@
   std::ofstream(path) << node_config(s, 2, {1001, 1002});
   const node::Clock clock;
   const node::Config config = node::read_config(path, clock);
-  EXPECT_EQ(config.settings.copy_index, 2);
-  EXPECT_EQ(config.settings.copy_count, 3);
+  EXPECT_EQ(config.settings.replica_index, 2);
+  EXPECT_EQ(config.settings.replica_count, 3);
   EXPECT_EQ(config.settings.max_attempts, 4);
   EXPECT_DOUBLE_EQ(config.settings.max_retry_after, 0.7);
   ASSERT_EQ(config.settings.classes.size(), 3u);
-  EXPECT_DOUBLE_EQ(config.settings.classes[0].aim, 0.25);
-  EXPECT_EQ(config.settings.classes[1].effect, Effect::kKeyed);
+  EXPECT_DOUBLE_EQ(config.settings.classes[0].latency_objective, 0.25);
+  EXPECT_EQ(config.settings.classes[1].idempotency, Idempotency::kIdempotentWithKey);
   EXPECT_EQ(config.settings.classes[1].dedup_scope, DedupScope::kZone);
   EXPECT_DOUBLE_EQ(config.settings.classes[1].dedup_window, 1.5);
-  EXPECT_EQ(config.settings.classes[2].effect, Effect::kUnsafe);
+  EXPECT_EQ(config.settings.classes[2].idempotency, Idempotency::kNotIdempotent);
   ASSERT_EQ(config.known.members.size(), 2u);
   EXPECT_EQ(config.known.members[1].endpoint.port(), 1002);
 }
--- a/tests/bench/second_tier_test.cpp
+++ b/tests/bench/second_tier_test.cpp
@@ -13,10 +13,10 @@
 }
 
 // Half of 100 ms at the server, the other half in two calls, one after another.
-std::string two_tiers(const std::string& effect, int workers, int backends) {
+std::string two_tiers(const std::string& idempotency, int workers, int backends) {
   return "seconds = 20\nsettle = 2\nmax_attempts = 4\n[[class]]\nservice = \"constant\"\nmean_ms = 100\n"
          "aim_ms = 1000\ngive_up_ms = 3000\neffect = \"" +
-         effect + "\"\n[[servers]]\ncount = 2\nworkers = " + std::to_string(workers) +
+         idempotency + "\"\n[[servers]]\ncount = 2\nworkers = " + std::to_string(workers) +
          "\n[chain]\ncalls = 2\nshare = 0.5\n[[backend]]\ncount = 2\nworkers = " + std::to_string(backends) +
          "\n";
 }
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -8,16 +8,16 @@
 int main() {
   thymewood::Settings settings;
   thymewood::RequestClass lookup;
-  lookup.aim = 0.5;
-  lookup.give_up = 2;
-  lookup.effect = thymewood::Effect::kSafe;
+  lookup.latency_objective = 0.5;
+  lookup.client_timeout = 2;
+  lookup.idempotency = thymewood::Idempotency::kIdempotent;
   settings.classes = {lookup};
   settings.max_attempts = 3;
 
   thymewood::Balancer balancer(settings, 42);
   std::vector<thymewood::Action> actions;
-  thymewood::MembershipUpdate members;
-  members.servers.push_back({.address = "10.0.0.1:80"});
+  thymewood::EndpointUpdate members;
+  members.endpoints.push_back({.address = "10.0.0.1:80"});
   balancer.handle(0.0, members, actions);
   balancer.handle(0.1, thymewood::Request{.id = "r1", .time_left = 2}, actions);
   for (const thymewood::Action& action : actions) {
--- a/tests/fleet_rig/judges_test.cpp
+++ b/tests/fleet_rig/judges_test.cpp
@@ -1,4 +1,6 @@
 // Each judge on histories that are planted: what it has to see, and what it must not blame.
+#include "judges.h"
+
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -6,7 +8,6 @@
 
 #include "figures.h"
 #include "historian.h"
-#include "judges.h"
 
 namespace thymewood::fleet {
 namespace {
@@ -16,16 +17,16 @@
 Party node(int n) { return {PartyKind::kNode, n}; }
 Party server(int n) { return {PartyKind::kServer, n}; }
 
-constexpr int kSafe = 0, kKeyed = 1, kUnsafe = 2;
+constexpr int kIdempotent = 0, kIdempotentWithKey = 1, kNotIdempotent = 2;
 
 Rules rules() {
   Rules out;
   out.classes.resize(3);
-  out.classes[kSafe].effect = Effect::kSafe;
-  out.classes[kKeyed].effect = Effect::kKeyed;
-  out.classes[kKeyed].dedup_scope = DedupScope::kCell;
-  out.classes[kKeyed].dedup_window = 4;
-  out.classes[kUnsafe].effect = Effect::kUnsafe;
+  out.classes[kIdempotent].idempotency = Idempotency::kIdempotent;
+  out.classes[kIdempotentWithKey].idempotency = Idempotency::kIdempotentWithKey;
+  out.classes[kIdempotentWithKey].dedup_scope = DedupScope::kCell;
+  out.classes[kIdempotentWithKey].dedup_window = 4;
+  out.classes[kNotIdempotent].idempotency = Idempotency::kNotIdempotent;
   out.server_cells = {0, 0, 1, 1};
   out.server_zones = {0, 0, 0, 0};
   return out;
@@ -42,7 +43,8 @@
     history_.records.push_back(record);
     return *this;
   }
-  Story& ask(double t, const std::string& id, int request_class = kUnsafe, int to = 0, double time = 1) {
+  Story& ask(double t, const std::string& id, int request_class = kNotIdempotent, int to = 0,
+             double time = 1) {
     return add({.t = t,
                 .what = What::kAsk,
                 .by = kFront,
@@ -166,26 +168,40 @@
 }
 
 TEST(DoubleEffect, OfAKeyedCallOutOfItsCellOrItsTime) {
-  expect_well(
-      Story().ask(1, "a", kKeyed, 0, 9).came(1.1, "a", 0).came(1.3, "a", 1).answer(1.5, "a", 200).verdict());
-  expect_only(Story().ask(1, "a", kKeyed).came(1.1, "a", 0).came(1.3, "a", 2).answer(1.5, "a", 200).verdict(),
+  expect_well(Story()
+                  .ask(1, "a", kIdempotentWithKey, 0, 9)
+                  .came(1.1, "a", 0)
+                  .came(1.3, "a", 1)
+                  .answer(1.5, "a", 200)
+                  .verdict());
+  expect_only(Story()
+                  .ask(1, "a", kIdempotentWithKey)
+                  .came(1.1, "a", 0)
+                  .came(1.3, "a", 2)
+                  .answer(1.5, "a", 200)
+                  .verdict(),
+              "no-double-effect");
+  expect_only(Story()
+                  .ask(1, "a", kIdempotentWithKey, 0, 9)
+                  .came(1.1, "a", 0)
+                  .came(5.3, "a", 1)
+                  .answer(5.5, "a", 200)
+                  .verdict(),
               "no-double-effect");
-  expect_only(
-      Story().ask(1, "a", kKeyed, 0, 9).came(1.1, "a", 0).came(5.3, "a", 1).answer(5.5, "a", 200).verdict(),
-      "no-double-effect");
 }
 
 TEST(DoubleEffect, OfARefusalOfWhatMayHaveRun) {
   expect_only(Story().ask(1, "a").came(1.1, "a", 0).answer(1.5, "a", 503).verdict(), "no-double-effect");
   expect_well(Story().ask(1, "a").came(1.1, "a", 0).answer(1.5, "a", 502).verdict());
   expect_well(Story().ask(1, "a").came(1.1, "a", 0, 0, false).answer(1.5, "a", 503).verdict());
-  expect_well(Story().ask(1, "a", kSafe).came(1.1, "a", 0).answer(1.5, "a", 503).verdict());
+  expect_well(Story().ask(1, "a", kIdempotent).came(1.1, "a", 0).answer(1.5, "a", 503).verdict());
 }
 
 TEST(DoubleEffect, OfASendAfterTheAnswerAndNotOfOneThatWasOnItsWay) {
-  expect_only(Story().ask(1, "a", kSafe).answer(1.2, "a", 502).came(1.6, "a", 0).verdict(),
+  expect_only(Story().ask(1, "a", kIdempotent).answer(1.2, "a", 502).came(1.6, "a", 0).verdict(),
               "no-double-effect");
-  expect_well(Story().ask(1, "a", kSafe).answer(1.2, "a", 502).came(1.6, "a", 0, 0, true, 1.1).verdict());
+  expect_well(
+      Story().ask(1, "a", kIdempotent).answer(1.2, "a", 502).came(1.6, "a", 0, 0, true, 1.1).verdict());
 }
 
 // ---------------------------------------------------------------- drains, cold servers, callers who left
@@ -194,7 +210,7 @@
   const auto story = [](double came, int from, double left = 0) {
     return Story()
         .of(1, What::kTold, node(0), server(0), false)
-        .ask(came - 0.1, "a", kSafe, from)
+        .ask(came - 0.1, "a", kIdempotent, from)
         .came(came, "a", 0, from, true, left)
         .answer(came + 0.1, "a", 200)
         .verdict();
@@ -228,7 +244,7 @@
     Story s;
     for (int i = 0; i < 20; ++i) {
       const std::string id = "a" + std::to_string(i);
-      s.ask(1 + i * 0.01, id, kSafe, i % nodes);
+      s.ask(1 + i * 0.01, id, kIdempotent, i % nodes);
       s.add({.t = 1.001 + i * 0.01,
              .what = What::kCame,
              .by = server(0),
@@ -250,7 +266,7 @@
 TEST(Abandoned, IsASendLongAfterItsCallerHasClosed) {
   const auto story = [](double came, double left) {
     return Story()
-        .ask(1, "a", kSafe)
+        .ask(1, "a", kIdempotent)
         .just(1.3, What::kGaveUp, "a")
         .came(came, "a", 0, 0, true, left)
         .verdict();
@@ -261,7 +277,7 @@
   // That the node was stopped is no excuse: the close was there to be seen when it woke.
   expect_only(Story()
                   .of(0.9, What::kAway, node(0))
-                  .ask(1, "a", kSafe)
+                  .ask(1, "a", kIdempotent)
                   .just(1.3, What::kGaveUp, "a")
                   .of(3.4, What::kBack, node(0))
                   .came(3.5, "a", 0)
@@ -269,7 +285,7 @@
               "abandoned");
   expect_well(Story()
                   .of(0.9, What::kBadLink, kFront, node(0))
-                  .ask(1, "a", kSafe)
+                  .ask(1, "a", kIdempotent)
                   .just(1.3, What::kGaveUp, "a")
                   .came(3.5, "a", 0)
                   .of(4, What::kGoodLink, kFront, node(0))
--- a/tests/fleet_rig/machine_test.cpp
+++ b/tests/fleet_rig/machine_test.cpp
@@ -1,4 +1,6 @@
 // Each fault of a machine on a real process, alone. The process is a shell script or the node itself.
+#include "machine.h"
+
 #include <gtest/gtest.h>
 #include <sys/prctl.h>
 #include <sys/wait.h>
@@ -6,7 +8,6 @@
 #include <filesystem>
 #include <fstream>
 
-#include "machine.h"
 #include "node_harness.h"
 
 namespace thymewood::fleet {
--- a/tests/fleet_rig/views_test.cpp
+++ b/tests/fleet_rig/views_test.cpp
@@ -1,8 +1,9 @@
 // The judge of how nodes see their fleet, on histories that are planted.
+#include "views.h"
+
 #include <gtest/gtest.h>
 
 #include "judges.h"
-#include "views.h"
 
 namespace thymewood::fleet {
 namespace {
--- a/tests/membership/codec_test.cpp
+++ b/tests/membership/codec_test.cpp
@@ -1,12 +1,13 @@
 // What nodes say to each other on the wire: it comes back as it was, is never too long, and anything else is
 // told from it and dropped.
+#include "codec.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <map>
 #include <random>
 
-#include "codec.h"
 #include "rumors.h"
 
 namespace thymewood::membership {
--- a/tests/node/deployments_test.cpp
+++ b/tests/node/deployments_test.cpp
@@ -23,7 +23,7 @@
 };
 
 struct Class {
-  std::string name, effect;
+  std::string name, idempotency;
 };
 
 std::vector<Class> classes_of(const Customer& customer) {
@@ -40,8 +40,8 @@
 
 Ask ask_of(const Class& c, const std::string& id) {
   Ask out{.kind = c.name, .id = id, .timeout = ""};
-  if (c.effect == "safe") out.method = "GET", out.body = "";
-  if (c.effect == "keyed") out.key = "k-" + id;
+  if (c.idempotency == "safe") out.method = "GET", out.body = "";
+  if (c.idempotency == "keyed") out.key = "k-" + id;
   return out;
 }
 
@@ -93,11 +93,11 @@
     const std::string id = "r-" + c.name;
     client.write(ask_of(c, id).text());
     const int status = status_of(client.read_message());
-    const bool elsewhere = c.effect == "safe" || c.name == "note" || c.name == "seal";
+    const bool elsewhere = c.idempotency == "safe" || c.name == "note" || c.name == "seal";
     EXPECT_GE(sent(id), 1U) << c.name;
     EXPECT_LE(sent(id), elsewhere ? 3U : 1U)
         << c.name << ": the other server is of another cell, or it is unsafe";
-    EXPECT_EQ(status, c.effect == "safe" || c.name == "note" ? 503 : 502) << c.name;
+    EXPECT_EQ(status, c.idempotency == "safe" || c.name == "note" ? 503 : 502) << c.name;
   }
 }
 
@@ -145,7 +145,8 @@
 const Bad kSettings[] = {
     {"NoDeadline", R"({"name":"a","aim":1,"effect":"safe"})", kGoodBounds, "giveUp"},
     {"NoAim", R"({"name":"a","giveUp":1,"effect":"safe"})", kGoodBounds, "aim"},
-    {"NegativeDeadline", R"({"name":"a","aim":1,"giveUp":-2,"effect":"safe"})", kGoodBounds, "give_up"},
+    {"NegativeDeadline", R"({"name":"a","aim":1,"giveUp":-2,"effect":"safe"})", kGoodBounds,
+     "client_timeout"},
     {"DeadlineNoNumber", R"({"name":"a","aim":1,"giveUp":"2","effect":"safe"})", kGoodBounds, "giveUp"},
     {"DeadlineZero", R"({"name":"a","aim":1,"giveUp":0,"effect":"safe"})", kGoodBounds, nullptr},
     {"DeadlineHuge", R"({"name":"a","aim":1,"giveUp":1e300,"effect":"safe"})", kGoodBounds, nullptr},
--- a/tests/node/pause_test.cpp
+++ b/tests/node/pause_test.cpp
@@ -183,7 +183,7 @@
     io.poll();
     return end.has_value();
   }));
-  EXPECT_EQ(end->outcome, Outcome::kDelivered);
+  EXPECT_EQ(end->outcome, Outcome::kSuccess);
   EXPECT_GT(end->unread, 0.3);
   EXPECT_LT(end->unread, 10);
 }
@@ -225,7 +225,7 @@
   });
   ASSERT_EQ(ends.size(), 4U);
   for (const std::size_t i : {0, 2, 3}) EXPECT_EQ(ends[i], Outcome::kNotSent) << i;
-  EXPECT_TRUE(ends[1] == Outcome::kNotSent || ends[1] == Outcome::kDialFailed)
+  EXPECT_TRUE(ends[1] == Outcome::kNotSent || ends[1] == Outcome::kConnectFailed)
       << "as the timer or the dial is first";
   EXPECT_TRUE(server.requests().empty());
 }
--- a/tests/policy/balancer_harness.h
+++ b/tests/policy/balancer_harness.h
@@ -10,17 +10,17 @@
 
 namespace thymewood {
 
-inline RequestClass class_of(Effect effect, DedupScope scope = DedupScope::kCell) {
+inline RequestClass class_of(Idempotency idempotency, DedupScope scope = DedupScope::kCell) {
   RequestClass c;
-  c.aim = 2;
-  c.give_up = 6;
-  c.effect = effect;
+  c.latency_objective = 2;
+  c.client_timeout = 6;
+  c.idempotency = idempotency;
   c.dedup_scope = scope;
   c.dedup_window = 4;
   return c;
 }
 
-inline Settings basic_settings(RequestClass c = class_of(Effect::kSafe)) {
+inline Settings basic_settings(RequestClass c = class_of(Idempotency::kIdempotent)) {
   Settings s;
   s.classes = {c};
   s.max_attempts = 4;
@@ -29,23 +29,23 @@
   return s;
 }
 
-inline Server server(int n, int zone = 0, int cell = 0) {
-  Server s;
+inline Endpoint server(int n, int zone = 0, int cell = 0) {
+  Endpoint s;
   s.address = "s" + std::to_string(n);
   s.zone = zone;
   s.cell = cell;
   return s;
 }
 
-inline MembershipUpdate members(int count) {
-  MembershipUpdate m;
-  for (int i = 0; i < count; ++i) m.servers.push_back(server(i));
+inline EndpointUpdate members(int count) {
+  EndpointUpdate m;
+  for (int i = 0; i < count; ++i) m.endpoints.push_back(server(i));
   return m;
 }
 
 // By the rules' own table of outcomes, for the checkers.
 inline bool proves_unrun(Outcome o) {
-  return o == Outcome::kRejected || o == Outcome::kDialFailed || o == Outcome::kNotSent;
+  return o == Outcome::kRejected || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
 }
 
 struct Copy {
@@ -66,7 +66,7 @@
     return at(now, r);
   }
   std::vector<Action> end(const std::string& id, Outcome outcome, int attempt = 0, double elapsed = 0.1) {
-    return at(now, AttemptResult{id, attempt, outcome, elapsed, outcome == Outcome::kDelivered});
+    return at(now, AttemptResult{id, attempt, outcome, elapsed, outcome == Outcome::kSuccess});
   }
 
   Balancer balancer;
--- a/tests/policy/concurrency_limit_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -13,17 +13,17 @@
 namespace thymewood {
 namespace {
 
-RequestClass class_with(double aim) {
-  RequestClass c = class_of(Effect::kSafe);
-  c.aim = aim;
-  c.give_up = 2 * aim;
+RequestClass class_with(double latency_objective) {
+  RequestClass c = class_of(Idempotency::kIdempotent);
+  c.latency_objective = latency_objective;
+  c.client_timeout = 2 * latency_objective;
   return c;
 }
 
 // Answers a class gives at a steady rate, with the calls in flight that go with them.
 struct Feed {
   explicit Feed(const std::vector<RequestClass>& classes) : room(classes) {}
-  LearnedRoom room;
+  ConcurrencyLimit room;
   Throughput server;
   double now = 0;
   void run(double seconds, double rate, double elapsed, std::size_t c = 0) {
@@ -66,9 +66,9 @@
 
 // Danger: the queue at a server that many copies use is as long when one of them has half as many calls
 // there.
-TEST(LearnedRoom, OneCopyOfManyProvesNothing) {
+TEST(ConcurrencyLimit, OneCopyOfManyProvesNothing) {
   const auto idle_after_trials = [](double sharers) {
-    LearnedRoom room({class_with(1)});
+    ConcurrencyLimit room({class_with(1)});
     Throughput server;
     double now = 0, owed = 0;
     while (now < 12) {
@@ -132,7 +132,7 @@
   EXPECT_EQ(unsure.worked_on(1), 0);
 }
 
-TEST(LearnedRoom, IsWhatTheAimsAllowForTheAnswersThatCome) {
+TEST(ConcurrencyLimit, IsWhatTheAimsAllowForTheAnswersThatCome) {
   Feed feed({class_with(1)});
   feed.run(30, 1000, 0.02);
   EXPECT_NEAR(feed.room.natural(), 0.02, 0.001);
@@ -143,22 +143,22 @@
 }
 
 // Where a late answer is worth something, calls may wait somewhat longer than where it is worth nothing.
-TEST(LearnedRoom, WhatALateAnswerIsWorthAddsToTheAim) {
+TEST(ConcurrencyLimit, WhatALateAnswerIsWorthAddsToTheAim) {
   RequestClass c = class_with(1);  // which is given up after 2 s
-  c.late_worth = 0.4;
+  c.late_value = 0.4;
   Feed late({c}), never({class_with(1)});
   late.run(30, 1000, 0.02);
   never.run(30, 1000, 0.02);
   EXPECT_NEAR(late.room.wait(), 0.25 * (1.2 - 0.02), 0.002);
   EXPECT_NEAR(never.room.wait(), 0.25 * (1 - 0.02), 0.002);
   // What calls take under refusals is guessed by the same measure.
-  c.late_worth = 1;
-  EXPECT_NEAR(LearnedRoom({c}).natural(), 0.15 * 1.5, 1e-9);
-  c.give_up = std::numeric_limits<double>::infinity();
-  EXPECT_NEAR(LearnedRoom({c}).natural(), 0.15, 1e-9) << "no end, no part of it";
+  c.late_value = 1;
+  EXPECT_NEAR(ConcurrencyLimit({c}).natural(), 0.15 * 1.5, 1e-9);
+  c.client_timeout = std::numeric_limits<double>::infinity();
+  EXPECT_NEAR(ConcurrencyLimit({c}).natural(), 0.15, 1e-9) << "no end, no part of it";
 }
 
-TEST(LearnedRoom, TheLeastPatientClassSaysHowLongAllMayWait) {
+TEST(ConcurrencyLimit, TheLeastPatientClassSaysHowLongAllMayWait) {
   Feed feed({class_with(0.1), class_with(10)});
   feed.run(20, 500, 0.05, 1);
   EXPECT_GT(feed.room.wait(), 2) << "nobody else is there";
@@ -170,7 +170,7 @@
   EXPECT_NEAR(feed.room.natural(), 0.03, 0.005) << "by the mix";
 }
 
-TEST(LearnedRoom, AClassThatHardlyComesDoesNotSay) {
+TEST(ConcurrencyLimit, AClassThatHardlyComesDoesNotSay) {
   Feed feed({class_with(0.1), class_with(10)});
   for (int i = 0; i < 20; ++i) {
     feed.run(1, 500, 0.05, 1);
@@ -179,7 +179,7 @@
   EXPECT_GT(feed.room.wait(), 2);
 }
 
-TEST(LearnedRoom, GrowsWithinAFewAnswersWhereTheyMeetNoQueueAndNotBehindOne) {
+TEST(ConcurrencyLimit, GrowsWithinAFewAnswersWhereTheyMeetNoQueueAndNotBehindOne) {
   Feed quick({class_with(1)}), queued({class_with(1)});
   quick.run(30, 100, 0.02);
   queued.run(30, 100, 0.02);
@@ -192,15 +192,15 @@
 }
 
 // Danger: where a dependency makes all calls slow, answers get fewer, room with them, and so on down.
-TEST(LearnedRoom, DoesNotFallUnderWhatWasWorkedOnAtOnce) {
+TEST(ConcurrencyLimit, DoesNotFallUnderWhatWasWorkedOnAtOnce) {
   Feed feed({class_with(0.1)});
   feed.run(30, 1000, 0.02);
   feed.run(5, 10, 0.09);  // 20 calls were at work; now answers of a hundredth as many come
   EXPECT_GT(feed.all(), 15);
 }
 
-TEST(LearnedRoom, StartsWithSomeCallsAServerOverAllCopies) {
-  const LearnedRoom room({class_with(1)});
+TEST(ConcurrencyLimit, StartsWithSomeCallsAServerOverAllCopies) {
+  const ConcurrencyLimit room({class_with(1)});
   const Throughput none;
   EXPECT_DOUBLE_EQ(room.at_server(0, none, 0, 1), 8);
   EXPECT_DOUBLE_EQ(room.at_server(0, none, 0, 8), 1);
@@ -208,7 +208,7 @@
   EXPECT_GT(room.at_all(0, 10, 0, 1), 80);
 }
 
-TEST(LearnedRoom, AimsOfNothingAndWithoutEndAreTakenForWithinBounds) {
+TEST(ConcurrencyLimit, AimsOfNothingAndWithoutEndAreTakenForWithinBounds) {
   Feed feed({class_with(0), class_with(std::numeric_limits<double>::infinity())});
   feed.run(5, 100, 0.01, 0);
   feed.run(5, 100, 0.01, 1);
@@ -219,20 +219,20 @@
 // Guards against a list that is told again, as some are every second, and makes all that trials found
 // forgotten. Where crossing zones has a price, the order of servers is another one than that by which they
 // are compared.
-TEST(LearnedRoom, OnlyOtherServersMakeItForgetWhatCrowds) {
+TEST(ConcurrencyLimit, OnlyOtherServersMakeItForgetWhatCrowds) {
   Settings s = basic_settings();
-  s.cross_zone_price = 0.1;
+  s.cross_zone_cost = 0.1;
   s.max_retry_after = 0;
   Copy copy(s);
-  MembershipUpdate list;
-  for (int i = 0; i < 6; ++i) list.servers.push_back(server(i, i % 2));
+  EndpointUpdate list;
+  for (int i = 0; i < 6; ++i) list.endpoints.push_back(server(i, i % 2));
   copy.at(0, list);
   // Servers that do twice as much with fewer calls: 100 in flight give 500 answers a second, 40 give 1,000.
   std::vector<std::string> out;
   std::size_t next = 0;
   double owed = 0;
   int asked = 0;
-  while (copy.now < 20 && std::isinf(copy.balancer.room(copy.now).bound)) {
+  while (copy.now < 20 && std::isinf(copy.balancer.concurrency_limit(copy.now).probed_bound)) {
     copy.now += 0.001;
     for (int i = 0; i < 3; ++i) {
       const std::string id = "r" + std::to_string(++asked);
@@ -241,17 +241,17 @@
     const double in_flight = static_cast<double>(out.size() - next);
     const double rate = in_flight > 60 ? 500 : std::min(1000.0, 25 * in_flight + 1);
     for (owed += rate * 0.001; owed >= 1 && next < out.size(); owed -= 1) {
-      copy.end(out[next], Outcome::kDelivered, 0, in_flight / rate);
+      copy.end(out[next], Outcome::kSuccess, 0, in_flight / rate);
       ++next;
     }
   }
-  const double bound = copy.balancer.room(copy.now).bound;
+  const double bound = copy.balancer.concurrency_limit(copy.now).probed_bound;
   ASSERT_TRUE(std::isfinite(bound)) << "the trial that the test is about never came";
   copy.at(copy.now, list);
-  EXPECT_TRUE(std::isfinite(copy.balancer.room(copy.now).bound));
-  list.servers.pop_back();
+  EXPECT_TRUE(std::isfinite(copy.balancer.concurrency_limit(copy.now).probed_bound));
+  list.endpoints.pop_back();
   copy.at(copy.now, list);
-  EXPECT_TRUE(std::isinf(copy.balancer.room(copy.now).bound));
+  EXPECT_TRUE(std::isinf(copy.balancer.concurrency_limit(copy.now).probed_bound));
 }
 
 }  // namespace
--- a/tests/policy/concurrency_probe_test.cpp
+++ b/tests/policy/concurrency_probe_test.cpp
@@ -1,12 +1,12 @@
 // Trials of fewer calls in flight, against a plant that is written here: how much is answered a second at so
 // many calls in flight, without chance.
+#include "concurrency_probe.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <functional>
 
-#include "concurrency_probe.h"
-
 namespace thymewood {
 namespace {
 
@@ -19,7 +19,7 @@
   Plant(std::function<double(double)> rate, double wanted) : rate_(std::move(rate)), wanted_(wanted) {}
 
   // Returns the calls answered a second, in the mean.
-  double run(RoomTrial& trial, double seconds, bool refusing = true) {
+  double run(ConcurrencyProbe& trial, double seconds, bool refusing = true) {
     const double end = now_ + seconds;
     double answered = 0;
     while (now_ < end) {
@@ -46,15 +46,15 @@
  private:
   static constexpr double kStep = 0.001, kMostIn = 2000;  // s; calls a second that come at the most
   std::function<double(double)> rate_;
-  double wanted_, now_ = 0, in_flight_ = 0, owed_ = 0, lowest_ = RoomTrial::kNoBound;
+  double wanted_, now_ = 0, in_flight_ = 0, owed_ = 0, lowest_ = ConcurrencyProbe::kNoBound;
 };
 
 double queue(double in_flight) { return 50 * std::min(in_flight, 32.0) + 1; }
 double crowd(double in_flight) { return in_flight < 160 ? queue(in_flight) : queue(in_flight) / 3; }
 
 // Danger: where the aim is a few times what calls take, a start's guess refuses calls that met no queue.
-TEST(RoomTrial, CallsThatTakeAsLongWithFewerInFlightMetNoQueue) {
-  RoomTrial idle, queued;
+TEST(ConcurrencyProbe, CallsThatTakeAsLongWithFewerInFlightMetNoQueue) {
+  ConcurrencyProbe idle, queued;
   Plant workers_left([](double in_flight) { return 20 * in_flight + 1; }, 50);
   workers_left.run(idle, 10);
   EXPECT_TRUE(idle.take_proof());
@@ -64,47 +64,47 @@
   EXPECT_FALSE(queued.take_proof());
 }
 
-TEST(RoomTrial, FindsThatFewerCallsGetMoreDoneAndStaysThere) {
-  RoomTrial trial;
+TEST(ConcurrencyProbe, FindsThatFewerCallsGetMoreDoneAndStaysThere) {
+  ConcurrencyProbe trial;
   Plant plant(crowd, 400);
   plant.run(trial, 10);
   EXPECT_LT(trial.bound(plant.now()), 160);
   EXPECT_GT(plant.run(trial, 60), 0.97 * 1600);
 }
 
-TEST(RoomTrial, AnyQueueIsWorthAsMuchSoNoneIsCut) {
-  RoomTrial trial;
+TEST(ConcurrencyProbe, AnyQueueIsWorthAsMuchSoNoneIsCut) {
+  ConcurrencyProbe trial;
   Plant plant(queue, 400);
   EXPECT_GT(plant.run(trial, 120), 0.97 * 1600);
-  EXPECT_EQ(trial.bound(plant.now()), RoomTrial::kNoBound);
+  EXPECT_EQ(trial.bound(plant.now()), ConcurrencyProbe::kNoBound);
   EXPECT_LT(plant.lowest(), 400);  // it was tried
 }
 
-TEST(RoomTrial, WithoutRefusalsNothingIsTried) {
-  RoomTrial trial;
+TEST(ConcurrencyProbe, WithoutRefusalsNothingIsTried) {
+  ConcurrencyProbe trial;
   Plant plant(crowd, 100);
   plant.run(trial, 60, false);
-  EXPECT_EQ(plant.lowest(), RoomTrial::kNoBound);
+  EXPECT_EQ(plant.lowest(), ConcurrencyProbe::kNoBound);
 }
 
-TEST(RoomTrial, FewerThanTheLeastAreNeverTried) {
-  RoomTrial trial;
+TEST(ConcurrencyProbe, FewerThanTheLeastAreNeverTried) {
+  ConcurrencyProbe trial;
   Plant plant([](double n) { return n < 4 ? 1000.0 : 100.0; }, 20);
   plant.run(trial, 120);
   EXPECT_GE(plant.lowest(), kLeast);
 }
 
-TEST(RoomTrial, WhereAnswersAreTooFewToMeasureNothingIsHeldBack) {
-  RoomTrial trial;
+TEST(ConcurrencyProbe, WhereAnswersAreTooFewToMeasureNothingIsHeldBack) {
+  ConcurrencyProbe trial;
   Plant plant([](double n) { return n < 160 ? 16.0 : 5.0; }, 400);
   plant.run(trial, 300);
-  EXPECT_EQ(plant.lowest(), RoomTrial::kNoBound);
+  EXPECT_EQ(plant.lowest(), ConcurrencyProbe::kNoBound);
 }
 
 // Guards against a first refusal with a call or two in flight that keeps a crowd from being found for a
 // minute.
-TEST(RoomTrial, ATrialThatCouldNotBeginIsThoughtOfAgainSoon) {
-  RoomTrial trial;
+TEST(ConcurrencyProbe, ATrialThatCouldNotBeginIsThoughtOfAgainSoon) {
+  ConcurrencyProbe trial;
   Plant few(crowd, 10);
   few.run(trial, 3);
   Plant many(crowd, 400);
@@ -113,8 +113,8 @@
   EXPECT_LT(trial.bound(many.now()), 160);
 }
 
-TEST(RoomTrial, ABoundIsLiftedOnceNothingIsRefused) {
-  RoomTrial trial;
+TEST(ConcurrencyProbe, ABoundIsLiftedOnceNothingIsRefused) {
+  ConcurrencyProbe trial;
   Plant plant(crowd, 400);
   plant.run(trial, 10);
   ASSERT_LT(trial.bound(plant.now()), 160);
@@ -122,8 +122,8 @@
   EXPECT_GT(trial.bound(plant.now()), 400);
 }
 
-TEST(RoomTrial, ABoundRisesWhereMoreGetsMoreDone) {
-  RoomTrial trial;
+TEST(ConcurrencyProbe, ABoundRisesWhereMoreGetsMoreDone) {
+  ConcurrencyProbe trial;
   Plant plant(crowd, 400);
   plant.run(trial, 10);
   plant.change([](double n) { return 50 * std::min(n, 300.0) + 1; });  // ten times the workers
@@ -131,13 +131,13 @@
   EXPECT_GT(plant.run(trial, 30), 0.9 * 15000);
 }
 
-TEST(RoomTrial, ForgetsWithTheServers) {
-  RoomTrial trial;
+TEST(ConcurrencyProbe, ForgetsWithTheServers) {
+  ConcurrencyProbe trial;
   Plant plant(crowd, 400);
   plant.run(trial, 10);
   ASSERT_LT(trial.bound(plant.now()), 160);
   trial.forget();
-  EXPECT_EQ(trial.bound(plant.now()), RoomTrial::kNoBound);
+  EXPECT_EQ(trial.bound(plant.now()), ConcurrencyProbe::kNoBound);
 }
 
 }  // namespace
--- a/tests/policy/endpoint_lease_test.cpp
+++ b/tests/policy/endpoint_lease_test.cpp
@@ -6,8 +6,8 @@
 #include <memory>
 #include <set>
 
-#include "crowd.h"
 #include "balancer_harness.h"
+#include "crowd.h"
 #include "watch_backoff.h"
 
 namespace thymewood {
@@ -18,12 +18,12 @@
 Settings leased_settings() {
   Settings s = basic_settings();
   s.tenants = {{1000.0}};
-  s.list_lease = kLease;
+  s.endpoint_lease = kLease;
   return s;
 }
 
-MembershipFreshness stale(double as_of) { return {MembershipFreshness::State::kStale, as_of}; }
-MembershipFreshness current() { return {MembershipFreshness::State::kCurrent}; }
+EndpointListFreshness stale(double as_of) { return {EndpointListFreshness::State::kStale, as_of}; }
+EndpointListFreshness current() { return {EndpointListFreshness::State::kCurrent}; }
 
 // One request at `at`: the servers that it is sent to until it is answered or given up. Those of `rejecting`
 // turn it away.
@@ -37,19 +37,19 @@
     const std::string server = sends[0].server;
     out.insert(server);
     sends = all<Send>(
-        copy.end(id, rejecting.contains(server) ? Outcome::kRejected : Outcome::kDelivered, attempt, 0.001));
+        copy.end(id, rejecting.contains(server) ? Outcome::kRejected : Outcome::kSuccess, attempt, 0.001));
   }
   return out;
 }
 
-TEST(ListLease, IsWithoutEffectWhereListsNeedNoConfirmation) {
-  const ListLease lease(std::numeric_limits<double>::infinity());
+TEST(EndpointLease, IsWithoutEffectWhereListsNeedNoConfirmation) {
+  const EndpointLease lease(std::numeric_limits<double>::infinity());
   EXPECT_TRUE(lease.is_current());
   EXPECT_TRUE(lease.covers(1e9, -1e9));
 }
 
-TEST(ListLease, RunsFromTheListOrFromTheLastAcceptedRequest) {
-  ListLease lease(kLease);
+TEST(EndpointLease, RunsFromTheListOrFromTheLastAcceptedRequest) {
+  EndpointLease lease(kLease);
   lease.list_is_current();
   EXPECT_TRUE(lease.covers(100, 0));
   lease.list_is_stale(100);
@@ -61,8 +61,8 @@
   EXPECT_TRUE(lease.covers(200, 101));
 }
 
-TEST(ListLease, EndsSoonerForWhatDiscoveryHadWhenItMoved) {
-  ListLease lease(kLease);
+TEST(EndpointLease, EndsSoonerForWhatDiscoveryHadWhenItMoved) {
+  EndpointLease lease(kLease);
   lease.list_is_current();
   lease.list_is_stale(100);
   lease.discovery_moved(100.5, 2);
@@ -121,8 +121,8 @@
   EXPECT_EQ(play(copy, 102.01, {}).size(), 1U) << "the one that has answered is confirmed";
 }
 
-TEST(WatchRetry, ACallThatHasWaitedIsRepeatedAtTheFleetsPace) {
-  WatchRetry retry(10);
+TEST(WatchBackoff, ACallThatHasWaitedIsRepeatedAtTheFleetsPace) {
+  WatchBackoff retry(10);
   Random random(1);
   double sum = 0, least = 100, most = 0;
   for (int i = 0; i < 1000; ++i) {
@@ -136,9 +136,9 @@
   EXPECT_LT(most, 10);
 }
 
-TEST(WatchRetry, CallsThatFailAtOnceAreRepeatedWithinTheTimeThatChangesTake) {
+TEST(WatchBackoff, CallsThatFailAtOnceAreRepeatedWithinTheTimeThatChangesTake) {
   for (std::uint64_t seed = 1; seed < 100; ++seed) {
-    WatchRetry retry(10);
+    WatchBackoff retry(10);
     Random random(seed);
     double after_move = 0;
     for (int i = 0; i < 5; ++i) after_move += retry.pause_after(WatchFailure{false, 0.01}, random);
@@ -150,9 +150,9 @@
   }
 }
 
-TEST(WatchRetry, WatchesThatEndTogetherAreSpread) {
+TEST(WatchBackoff, WatchesThatEndTogetherAreSpread) {
   Random random(1);
-  WatchRetry usual(10), hasty(1);
+  WatchBackoff usual(10), hasty(1);
   double most = 0, most_hasty = 0;
   for (int i = 0; i < 200; ++i) {
     most = std::max(most, usual.pause_after(WatchFailure{true, 0}, random));
@@ -164,7 +164,7 @@
 
 // All nodes hold a list again, though discovery needs 8 s for one call of each and wastes the work of those
 // that it turns away.
-TEST(WatchRetry, AFleetThatAsksTogetherIsServed) {
+TEST(WatchBackoff, AFleetThatAsksTogetherIsServed) {
   for (const int nodes : {50, 300, 900}) {
     for (const double all_calls : {0.5, 4.0, 8.0}) {
       for (std::uint64_t seed = 1; seed <= 10; ++seed) {
@@ -175,7 +175,7 @@
         const auto result = bench::play_crowd(
             plan,
             [] {
-              const auto retry = std::make_shared<WatchRetry>(10);
+              const auto retry = std::make_shared<WatchBackoff>(10);
               return bench::PausePolicy(
                   [retry](const auto& failure, auto& dice) { return retry->pause_after(failure, dice); });
             },
--- a/tests/policy/health_test.cpp
+++ b/tests/policy/health_test.cpp
@@ -31,7 +31,7 @@
     for (int attempt = 0; !sends.empty(); ++attempt) {
       const bool is_sick = sends[0].server == sick;
       sends =
-          all<Send>(copy.end(id, is_sick ? outcome : Outcome::kDelivered, attempt, is_sick ? elapsed : 0.1));
+          all<Send>(copy.end(id, is_sick ? outcome : Outcome::kSuccess, attempt, is_sick ? elapsed : 0.1));
     }
   }
   return firsts;
@@ -43,7 +43,7 @@
   copy.at(0, members(6));
   const auto ill = play(copy, "s2", Outcome::kError, 0, 10, 50, "a");
   EXPECT_LT(ill.at("s2"), 25);
-  const auto back = play(copy, "", Outcome::kDelivered, 10, 30, 50, "b");
+  const auto back = play(copy, "", Outcome::kSuccess, 10, 30, 50, "b");
   EXPECT_GT(back.at("s2"), 100);
 }
 
@@ -52,7 +52,7 @@
   for (const bool early : {true, false}) {
     Copy copy(roomy_settings());
     copy.at(0, members(4));
-    play(copy, "", Outcome::kDelivered, 0, 10, 50, "a");
+    play(copy, "", Outcome::kSuccess, 0, 10, 50, "a");
     auto firsts = play(copy, "s0", Outcome::kTimedOut, 10, 4, 50, "b", early ? 0.09 : 0.5);
     EXPECT_EQ(firsts["s0"] + firsts["s1"] + firsts["s2"] + firsts["s3"], 200);
     if (early) {
@@ -106,8 +106,8 @@
     double elapsed;
     bool free;
   };
-  for (const Case& c : {Case{Outcome::kDialFailed, 0.001, true}, Case{Outcome::kReset, 0.001, true},
-                        Case{Outcome::kReset, 0.1, false}, Case{Outcome::kDialFailed, 0.25, false},
+  for (const Case& c : {Case{Outcome::kConnectFailed, 0.001, true}, Case{Outcome::kReset, 0.001, true},
+                        Case{Outcome::kReset, 0.1, false}, Case{Outcome::kConnectFailed, 0.25, false},
                         Case{Outcome::kError, 0.001, false}}) {
     Copy copy(roomy_settings());
     copy.at(0, members(4));
@@ -118,7 +118,7 @@
       ASSERT_EQ(all<Send>(copy.request(id)).size(), 1U);
       const auto more = all<Send>(copy.end(id, c.outcome, 0, c.elapsed));
       others += static_cast<int>(more.size());
-      if (!more.empty()) copy.end(id, Outcome::kDelivered, 1);
+      if (!more.empty()) copy.end(id, Outcome::kSuccess, 1);
     }
     if (c.free) {
       EXPECT_EQ(others, 100);
@@ -137,7 +137,7 @@
     asked.push_back(sends[0].server);
     const Outcome outcome = outcome_of(asked.back());
     sends = all<Send>(copy.end(id, outcome, static_cast<int>(asked.size()) - 1,
-                               outcome == Outcome::kDelivered ? 0.05 : 0.001));
+                               outcome == Outcome::kSuccess ? 0.05 : 0.001));
   }
   return asked;
 }
@@ -149,14 +149,14 @@
   copy.at(0, members(4));
   int sent = static_cast<int>(all<Send>(copy.request("r")).size());
   for (int attempt = 0; attempt < 20; ++attempt)
-    sent += static_cast<int>(all<Send>(copy.end("r", Outcome::kDialFailed, attempt, 0.001)).size());
+    sent += static_cast<int>(all<Send>(copy.end("r", Outcome::kConnectFailed, attempt, 0.001)).size());
   EXPECT_EQ(sent, 4) << "max_attempts";
   Copy full(roomy_settings());
   full.at(0, members(8));
   EXPECT_EQ(ask_until_over(full, "r", [](const std::string&) { return Outcome::kRejected; }).size(), 4U)
       << "max_attempts";
   Settings s = roomy_settings();
-  s.classes = {class_of(Effect::kUnsafe)};
+  s.classes = {class_of(Idempotency::kNotIdempotent)};
   Copy unsafe(s);
   unsafe.at(0, members(4));
   ASSERT_EQ(all<Send>(unsafe.request("u")).size(), 1U);
@@ -167,14 +167,14 @@
 // is.
 TEST(Health, AFullServerIsLeftAloneUntilACallCanHaveEndedThere) {
   Settings s = roomy_settings();
-  s.classes = {class_of(Effect::kUnsafe)};
+  s.classes = {class_of(Idempotency::kNotIdempotent)};
   Copy copy(s);
   copy.at(0, members(4));
   long turned_away = 0;
   for (int i = 0; i < 200; ++i) {
     copy.now = i * 0.005;
     const auto asked = ask_until_over(copy, std::to_string(i), [](const std::string& server) {
-      return server == "s0" ? Outcome::kRejected : Outcome::kDelivered;
+      return server == "s0" ? Outcome::kRejected : Outcome::kSuccess;
     });
     ASSERT_FALSE(asked.empty());
     EXPECT_NE(asked.back(), "s0") << "three servers are idle";
@@ -209,9 +209,9 @@
 // A call that is given up sooner than it can be answered is refused at once, so that its caller may come
 // back.
 struct HastyCallers {
-  explicit HastyCallers(int tier = 0, Effect effect = Effect::kUnsafe) {
+  explicit HastyCallers(int tier = 0, Idempotency idempotency = Idempotency::kNotIdempotent) {
     Settings s = roomy_settings();
-    s.classes = {class_of(effect)};
+    s.classes = {class_of(idempotency)};
     s.tier = tier;
     copy.emplace(s);
     copy->at(0, members(4));
@@ -225,8 +225,8 @@
       r.time_left = time_left;
       const auto actions = copy->at(copy->now + 0.02, r);
       out += static_cast<int>(all<Send>(actions).size());
-      EXPECT_EQ(all<Send>(actions).size() + all<Refuse>(actions).size(), 1U);
-      if (!all<Send>(actions).empty()) copy->end(r.id, Outcome::kDelivered);
+      EXPECT_EQ(all<Send>(actions).size() + all<Reject>(actions).size(), 1U);
+      if (!all<Send>(actions).empty()) copy->end(r.id, Outcome::kSuccess);
     }
     return out;
   }
@@ -267,7 +267,7 @@
     copy.now = i * 0.01;
     const auto actions = copy.request(std::to_string(i));
     sent += static_cast<int>(all<Send>(actions).size());
-    refused += static_cast<int>(all<Refuse>(actions).size());
+    refused += static_cast<int>(all<Reject>(actions).size());
   }
   EXPECT_EQ(sent + refused, 300);
   EXPECT_GT(sent, 3);
@@ -279,8 +279,8 @@
   std::map<std::string, int> held;
   for (int index = 0; index < 8; ++index) {
     Settings s = roomy_settings();
-    s.copy_index = index;
-    s.copy_count = 8;
+    s.replica_index = index;
+    s.replica_count = 8;
     Copy copy(s, static_cast<std::uint64_t>(index) + 1);
     copy.at(0, members(10));
     for (int i = 0; i < 100; ++i) {
@@ -294,7 +294,7 @@
 // Danger: at many copies a server's room is a part of a call each; counted strictly, chance refuses.
 TEST(Room, AFewCallsASecondAreNotRefusedByChance) {
   Settings s = roomy_settings();
-  s.copy_count = 500;
+  s.replica_count = 500;
   s.tenants = {{100000.0}};
   Copy copy(s);
   copy.at(0, members(100));
@@ -302,11 +302,11 @@
   int refused = 0;
   for (int i = 0; i < 3000; ++i) {
     copy.now = 10 + i * 0.02;
-    if (open.count(i) != 0) copy.end(open[i], Outcome::kDelivered, 0, 0.4);
+    if (open.count(i) != 0) copy.end(open[i], Outcome::kSuccess, 0, 0.4);
     if (i % 25 > 1) continue;  // two calls close together, twice a second
     const std::string id = std::to_string(i);
     const auto actions = copy.request(id);
-    refused += static_cast<int>(all<Refuse>(actions).size());
+    refused += static_cast<int>(all<Reject>(actions).size());
     if (!all<Send>(actions).empty()) open[i + 20] = id;
   }
   EXPECT_EQ(refused, 0);
@@ -355,7 +355,7 @@
     for (int i = 0; i < 200; ++i) {
       copy.now = i * 0.2;
       const std::string id = "a" + std::to_string(i);
-      if (!all<Send>(copy.request(id)).empty()) copy.end(id, Outcome::kDelivered, 0, i < 100 ? 0.4 : answer);
+      if (!all<Send>(copy.request(id)).empty()) copy.end(id, Outcome::kSuccess, 0, i < 100 ? 0.4 : answer);
     }
     return fill(copy, "b");
   };
@@ -365,7 +365,7 @@
 // Danger: a bound rounded up to a whole call at each of many copies is far above the bound over all of them.
 TEST(Room, ACrowdIsThinnedToLessThanACallACopy) {
   Settings s = roomy_settings();
-  s.copy_count = 500;
+  s.replica_count = 500;
   s.tenants = {{1000000.0}};
   Copy copy(s);
   copy.at(0, members(20));
@@ -376,7 +376,7 @@
       const std::string id = std::to_string(copy.now);
       if (all<Send>(copy.request(id)).empty()) continue;
       ++sent;
-      copy.end(id, Outcome::kDelivered, 0, answer);
+      copy.end(id, Outcome::kSuccess, 0, answer);
     }
     return sent;
   };
@@ -396,14 +396,14 @@
       copy.now = i * 0.025;
       const std::string id = "calm" + std::to_string(i);
       copy.request(id);
-      copy.end(id, Outcome::kDelivered, 0, 0.2);
+      copy.end(id, Outcome::kSuccess, 0, 0.2);
     }
     for (int i = 0; i < 4; ++i) copy.request("held" + std::to_string(i));
     for (int i = 0; i < 60; ++i) {
       copy.now += 0.025;
       const std::string id = "slow" + std::to_string(i);
       const auto sends = all<Send>(copy.request(id));
-      if (!sends.empty()) copy.end(id, Outcome::kDelivered, 0, sends[0].server == "s0" ? slow_answer : 0.2);
+      if (!sends.empty()) copy.end(id, Outcome::kSuccess, 0, sends[0].server == "s0" ? slow_answer : 0.2);
     }
     return 4 + fill(copy, "more");
   };
@@ -420,7 +420,7 @@
   for (int i = 0; i < 100; ++i) {
     copy.now = i * 0.1;
     copy.request(std::to_string(i));
-    copy.end(std::to_string(i), Outcome::kDelivered, 0, 0.05);
+    copy.end(std::to_string(i), Outcome::kSuccess, 0, 0.05);
   }
   const double after = all<Send>(copy.request("last"))[0].timeout;
   EXPECT_LT(after, before / 2);
--- a/tests/policy/mechanism_test.cpp
+++ b/tests/policy/mechanism_test.cpp
@@ -28,15 +28,15 @@
   EXPECT_DOUBLE_EQ(suppression_factor(std::numeric_limits<double>::infinity(), 5, 5), 0);
 }
 
-Settings one_tenant(double allowance) {
+Settings one_tenant(double quota) {
   Settings s = basic_settings();
-  s.tenants = {{allowance}};
+  s.tenants = {{quota}};
   return s;
 }
 
 // Calls at a steady rate, each answered at once; returns how many were admitted.
 int offer(Copy& copy, double from, double seconds, double rate, const std::string& prefix,
-          Outcome outcome = Outcome::kDelivered) {
+          Outcome outcome = Outcome::kSuccess) {
   int admitted = 0;
   const int calls = static_cast<int>(seconds * rate);
   for (int i = 0; i < calls; ++i) {
@@ -45,7 +45,7 @@
     if (all<Send>(copy.request(id)).empty()) continue;
     ++admitted;
     const auto after = copy.end(id, outcome);
-    for (const Send& again : all<Send>(after)) copy.end(again.id, Outcome::kDelivered, 1);
+    for (const Send& again : all<Send>(after)) copy.end(again.id, Outcome::kSuccess, 1);
   }
   return admitted;
 }
@@ -59,12 +59,12 @@
 
 TEST(Admission, AboveTheLimitTheRestIsDeniedSmoothly) {
   Settings s = one_tenant(10);
-  s.over_share_worth = 0;  // the limit stays where it starts
+  s.over_quota_weight = 0;  // the limit stays where it starts
   Copy copy(s);
   copy.at(0, members(4));
   const double limit = copy.balancer.tenant(0, 0).rate_limit;
   const int admitted = offer(copy, 0, 8, 4 * limit, "a");
-  const TenantView view = copy.balancer.tenant(copy.now, 0);
+  const TenantLimitView view = copy.balancer.tenant(copy.now, 0);
   EXPECT_GT(admitted, 0.8 * limit * 8);
   EXPECT_LT(admitted, 1.6 * limit * 8);
   EXPECT_NEAR(view.suppression_factor, 1 - view.rate_limit / (4 * limit), 0.05);
@@ -94,7 +94,7 @@
 TEST(Admission, WithinItsShareATenantFindsRoomWhereAnotherHoldsIt) {
   Settings s = basic_settings();
   s.tenants = {{2.0}, {2.0}};
-  s.over_share_worth = 0.05;
+  s.over_quota_weight = 0.05;
   Copy copy(s);
   copy.at(0, members(6));
   copy.now = 300;  // nothing of the start's room is left
@@ -136,7 +136,7 @@
 // The factor is kept for 100 ms: a flood within that time is met with the factor from before it.
 TEST(Admission, TheFactorIsCached) {
   Settings s = one_tenant(100);
-  s.over_share_worth = 0;
+  s.over_quota_weight = 0;
   Copy copy(s);
   copy.at(0, members(4));
   const double limit = copy.balancer.tenant(0, 0).rate_limit;
@@ -148,7 +148,7 @@
       const std::string id = prefix + std::to_string(i);
       if (all<Send>(copy.request(id)).empty()) continue;
       ++admitted;
-      copy.end(id, Outcome::kDelivered);
+      copy.end(id, Outcome::kSuccess);
     }
     return admitted;
   };
@@ -166,9 +166,9 @@
   for (int i = 0; i < 900; ++i) {
     copy.now = 0.001 * i;
     const auto actions = copy.request("r" + std::to_string(i));
-    EXPECT_EQ(all<Refuse>(actions).size() + all<Send>(actions).size(), 1U);
-    refused += static_cast<int>(all<Refuse>(actions).size());
-    if (!all<Send>(actions).empty()) copy.end("r" + std::to_string(i), Outcome::kDelivered);
+    EXPECT_EQ(all<Reject>(actions).size() + all<Send>(actions).size(), 1U);
+    refused += static_cast<int>(all<Reject>(actions).size());
+    if (!all<Send>(actions).empty()) copy.end("r" + std::to_string(i), Outcome::kSuccess);
   }
   EXPECT_GT(refused, 300);
   EXPECT_EQ(copy.balancer.tenant(copy.now, 0).declined, refused);
@@ -179,7 +179,7 @@
   Copy copy(one_tenant(10));  // without servers all are refused
   double least = 9, most = 0, sum = 0;
   for (int i = 0; i < 1000; ++i) {
-    const auto refusals = all<Refuse>(copy.request("r" + std::to_string(i)));
+    const auto refusals = all<Reject>(copy.request("r" + std::to_string(i)));
     ASSERT_EQ(refusals.size(), 1U);
     least = std::min(least, refusals[0].retry_after);
     most = std::max(most, refusals[0].retry_after);
@@ -192,7 +192,7 @@
   Settings s = basic_settings();
   s.max_retry_after = 0;
   Copy untold(s);
-  EXPECT_EQ(all<Refuse>(untold.request("r"))[0].retry_after, 0) << "where clients follow none";
+  EXPECT_EQ(all<Reject>(untold.request("r"))[0].retry_after, 0) << "where clients follow none";
 }
 
 TEST(Limit, RisesWhileCallsFinishInTime) {
@@ -236,7 +236,7 @@
   for (int i = 0; i < 500; ++i) {
     copy.now = i * 0.01;
     const std::string id = std::to_string(i);
-    if (!all<Send>(copy.request(id)).empty()) copy.end(id, Outcome::kDelivered, 0, 1.8);
+    if (!all<Send>(copy.request(id)).empty()) copy.end(id, Outcome::kSuccess, 0, 1.8);
   }
   EXPECT_DOUBLE_EQ(copy.balancer.tenant(copy.now, 0).rate_limit, before);
 }
@@ -263,18 +263,18 @@
   for (const int copies : {3, 7, 12}) {
     for (int index = 0; index < copies; ++index) {
       Settings s = basic_settings();
-      s.copy_index = index;
-      s.copy_count = copies;
+      s.replica_index = index;
+      s.replica_count = copies;
       const auto used = [&](bool without_one) {
         Copy copy(s);
-        MembershipUpdate m = members(24);
-        if (without_one) m.servers.erase(m.servers.begin() + 5);
+        EndpointUpdate m = members(24);
+        if (without_one) m.endpoints.erase(m.endpoints.begin() + 5);
         copy.at(0, m);
         std::set<std::string> out;
         for (int i = 0; i < 400; ++i) {
           const std::string id = std::to_string(i);
           for (const Send& send : all<Send>(copy.request(id))) out.insert(send.server);
-          copy.end(id, Outcome::kDelivered);
+          copy.end(id, Outcome::kSuccess);
         }
         return out;
       };
@@ -293,8 +293,8 @@
   std::set<std::string> used;
   for (int index = 0; index < 2; ++index) {
     Settings s = basic_settings();
-    s.copy_index = index;
-    s.copy_count = 2;
+    s.replica_index = index;
+    s.replica_count = 2;
     Copy copy(s);
     copy.at(0, members(40));
     for (int i = 0; i < 200; ++i) {
@@ -326,7 +326,7 @@
     const std::string id = std::to_string(i);
     for (const Send& send : all<Send>(copy.request(id))) {
       if (i >= 100) ++used[send.server];
-      copy.end(id, Outcome::kDelivered, 0, send.server == "s1" ? 0.9 : 0.3);
+      copy.end(id, Outcome::kSuccess, 0, send.server == "s1" ? 0.9 : 0.3);
     }
   }
   EXPECT_LT(used["s1"], used["s0"] / 2);
@@ -341,7 +341,7 @@
     for (int i = 0; i < 40; ++i) {
       copy.now = i * 0.1;
       copy.request(std::to_string(i));
-      copy.end(std::to_string(i), Outcome::kDelivered, 0, 0.2);
+      copy.end(std::to_string(i), Outcome::kSuccess, 0, 0.2);
     }
     const std::string silent = all<Send>(copy.request("old"))[0].server;
     copy.now += 1;  // five usual answer times
@@ -356,17 +356,17 @@
 TEST(Pick, ACrowdedZoneSpillsOverAndAnIdleOneStaysAtHome) {
   const auto away = [](double answer_at_home, double price = 0.01) {
     Settings s = basic_settings();
-    s.cross_zone_price = price;
+    s.cross_zone_cost = price;
     Copy copy(s);
-    MembershipUpdate m;
-    for (int i = 0; i < 8; ++i) m.servers.push_back(server(i, i % 2));
+    EndpointUpdate m;
+    for (int i = 0; i < 8; ++i) m.endpoints.push_back(server(i, i % 2));
     copy.at(0, m);
     int out = 0;
     std::multimap<int, std::pair<std::string, double>> open;  // by the step in which each ends
     for (int i = 0; i < 600; ++i) {
       copy.now = i * 0.05;
       for (auto it = open.begin(); it != open.end() && it->first <= i; it = open.erase(it)) {
-        copy.end(it->second.first, Outcome::kDelivered, 0, it->second.second);
+        copy.end(it->second.first, Outcome::kSuccess, 0, it->second.second);
       }
       const std::string id = std::to_string(i);
       for (const Send& send : all<Send>(copy.request(id))) {
@@ -394,7 +394,7 @@
     for (int i = 0; i < kCalls; ++i) {
       copy.now += 0.01;
       copy.request("r");
-      copy.end("r", Outcome::kDelivered, 0, 0.005);
+      copy.end("r", Outcome::kSuccess, 0, 0.005);
     }
     const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begin;
     best = std::min(best, took.count() / kCalls);
@@ -410,10 +410,10 @@
 // Among many, the only one that may be used is found all the same: here the other server of a cell of two,
 // where a keyed request that may have run may go again.
 TEST(Pick, TheOnlyUsableServerAmongManyIsFound) {
-  MembershipUpdate many;
-  for (int i = 0; i < 400; ++i) many.servers.push_back(server(i, 0, i / 2));
+  EndpointUpdate many;
+  for (int i = 0; i < 400; ++i) many.endpoints.push_back(server(i, 0, i / 2));
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Copy copy(basic_settings(class_of(Effect::kKeyed, DedupScope::kCell)), seed);
+    Copy copy(basic_settings(class_of(Idempotency::kIdempotentWithKey, DedupScope::kCell)), seed);
     copy.at(0, many);
     const auto first = all<Send>(copy.request("r"));
     ASSERT_EQ(first.size(), 1U);
@@ -451,44 +451,46 @@
   const auto names = [&](auto change, const char* field) {
     EXPECT_NE(message(change).find(field), std::string::npos) << field << ": " << message(change);
   };
-  names([](Settings& s) { s.copy_count = 0; }, "copy_count");
-  names([](Settings& s) { s.copy_index = 1; }, "copy_index");
-  names([](Settings& s) { s.copy_index = -1; }, "copy_index");
-  names([](Settings& s) { s.tick = -1; }, "tick");
+  names([](Settings& s) { s.replica_count = 0; }, "replica_count");
+  names([](Settings& s) { s.replica_index = 1; }, "replica_index");
+  names([](Settings& s) { s.replica_index = -1; }, "replica_index");
+  names([](Settings& s) { s.clock_granularity = -1; }, "clock_granularity");
   names([](Settings& s) { s.tier = -1; }, "tier");
   names([](Settings& s) { s.max_attempts = 0; }, "max_attempts");
   names([](Settings& s) { s.max_retry_after = -1; }, "max_retry_after");
-  names([](Settings& s) { s.ask_within = -1; }, "ask_within");
-  names([](Settings& s) { s.ramp_time = -1; }, "ramp_time");
-  names([](Settings& s) { s.over_share_worth = -1; }, "over_share_worth");
-  names([](Settings& s) { s.start_capacity = 1.5; }, "start_capacity");
-  names([](Settings& s) { s.classes[0].effect = static_cast<Effect>(9); }, "effect");
+  names([](Settings& s) { s.poll_interval = -1; }, "poll_interval");
+  names([](Settings& s) { s.slow_start_window = -1; }, "slow_start_window");
+  names([](Settings& s) { s.over_quota_weight = -1; }, "over_quota_weight");
+  names([](Settings& s) { s.slow_start_min_capacity = 1.5; }, "slow_start_min_capacity");
+  names([](Settings& s) { s.classes[0].idempotency = static_cast<Idempotency>(9); }, "idempotency");
   names([](Settings& s) { s.classes[0].dedup_scope = static_cast<DedupScope>(9); }, "dedup_scope");
-  names([](Settings& s) { s.classes[0].aim = -1; }, "aim");
-  names([](Settings& s) { s.classes[0].give_up = -1; }, "give_up");
+  names([](Settings& s) { s.classes[0].latency_objective = -1; }, "latency_objective");
+  names([](Settings& s) { s.classes[0].client_timeout = -1; }, "client_timeout");
   names([](Settings& s) { s.classes[0].dedup_window = -1; }, "dedup_window");
-  names([](Settings& s) { s.tenants[0].allowance = -1; }, "allowance");
-  names([](Settings& s) { s.classes[0].aim = std::numeric_limits<double>::quiet_NaN(); }, "aim");
-  names([](Settings& s) { s.classes[0].aim_stretch = -1; }, "aim_stretch");
+  names([](Settings& s) { s.tenants[0].quota = -1; }, "quota");
+  names([](Settings& s) { s.classes[0].latency_objective = std::numeric_limits<double>::quiet_NaN(); },
+        "latency_objective");
+  names([](Settings& s) { s.classes[0].latency_objective_per_work = -1; }, "latency_objective_per_work");
   EXPECT_EQ(message([](Settings&) {}), "accepted");
 }
 
 TEST(Settings, NoAmountMayBeNanOrInfinite) {
   using Change = double& (*)(Settings&);
   const std::pair<Change, const char*> amounts[] = {
-      {[](Settings& s) -> double& { return s.tick; }, "tick"},
+      {[](Settings& s) -> double& { return s.clock_granularity; }, "clock_granularity"},
       {[](Settings& s) -> double& { return s.max_retry_after; }, "max_retry_after"},
-      {[](Settings& s) -> double& { return s.ask_within; }, "ask_within"},
-      {[](Settings& s) -> double& { return s.ramp_time; }, "ramp_time"},
-      {[](Settings& s) -> double& { return s.start_capacity; }, "start_capacity"},
-      {[](Settings& s) -> double& { return s.over_share_worth; }, "over_share_worth"},
-      {[](Settings& s) -> double& { return s.cross_zone_price; }, "cross_zone_price"},
-      {[](Settings& s) -> double& { return s.classes[0].aim; }, "aim"},
-      {[](Settings& s) -> double& { return s.classes[0].aim_stretch; }, "aim_stretch"},
-      {[](Settings& s) -> double& { return s.classes[0].give_up; }, "give_up"},
-      {[](Settings& s) -> double& { return s.classes[0].late_worth; }, "late_worth"},
+      {[](Settings& s) -> double& { return s.poll_interval; }, "poll_interval"},
+      {[](Settings& s) -> double& { return s.slow_start_window; }, "slow_start_window"},
+      {[](Settings& s) -> double& { return s.slow_start_min_capacity; }, "slow_start_min_capacity"},
+      {[](Settings& s) -> double& { return s.over_quota_weight; }, "over_quota_weight"},
+      {[](Settings& s) -> double& { return s.cross_zone_cost; }, "cross_zone_cost"},
+      {[](Settings& s) -> double& { return s.classes[0].latency_objective; }, "latency_objective"},
+      {[](Settings& s) -> double& { return s.classes[0].latency_objective_per_work; },
+       "latency_objective_per_work"},
+      {[](Settings& s) -> double& { return s.classes[0].client_timeout; }, "client_timeout"},
+      {[](Settings& s) -> double& { return s.classes[0].late_value; }, "late_value"},
       {[](Settings& s) -> double& { return s.classes[0].dedup_window; }, "dedup_window"},
-      {[](Settings& s) -> double& { return *s.tenants[0].allowance; }, "allowance"}};
+      {[](Settings& s) -> double& { return *s.tenants[0].quota; }, "quota"}};
   for (const auto& [field, name] : amounts) {
     for (const double value : {std::nan(""), HUGE_VAL, -HUGE_VAL, -1.0}) {
       Settings s = basic_settings();
@@ -509,18 +511,18 @@
   copy.at(0, members(2));
   ASSERT_EQ(all<Send>(copy.request("r")).size(), 1U);
   EXPECT_TRUE(copy.request("r").empty());
-  EXPECT_TRUE(copy.end("r", Outcome::kDelivered).empty());
+  EXPECT_TRUE(copy.end("r", Outcome::kSuccess).empty());
 }
 
 TEST(Settings, NumbersOutOfRangeAreHarmless) {
   Copy copy(basic_settings());
   copy.at(0, members(2));
   EXPECT_EQ(all<Send>(copy.request("a", 77, 88)).size(), 1U);
-  EXPECT_TRUE(copy.end("a", Outcome::kDelivered, 9).empty());
-  EXPECT_TRUE(copy.end("a", Outcome::kDelivered, -1).empty());
-  EXPECT_TRUE(copy.end("never", Outcome::kDelivered).empty());
+  EXPECT_TRUE(copy.end("a", Outcome::kSuccess, 9).empty());
+  EXPECT_TRUE(copy.end("a", Outcome::kSuccess, -1).empty());
+  EXPECT_TRUE(copy.end("never", Outcome::kSuccess).empty());
   EXPECT_TRUE(copy.at(0, TimerFired{12345}).empty());
-  EXPECT_TRUE(copy.at(0, RequestGone{"never"}).empty());
+  EXPECT_TRUE(copy.at(0, RequestAbandoned{"never"}).empty());
   EXPECT_GE(copy.balancer.tenant(0, 1234).rate_limit, 0);
 }
 
@@ -533,23 +535,24 @@
   const auto sent = all<Send>(copy.request("held"));
   ASSERT_EQ(sent.size(), 1U);
   for (int i = kListed; i < kDay; ++i) {
-    MembershipUpdate change;
-    change.form = i % 7 == 0 ? MembershipUpdate::Form::kFull : MembershipUpdate::Form::kChanges;
-    if (change.form == MembershipUpdate::Form::kFull) {
-      for (int at = i - kListed + 1; at < i; ++at) change.servers.push_back(server(at));
+    EndpointUpdate change;
+    change.form = i % 7 == 0 ? EndpointUpdate::Form::kFull : EndpointUpdate::Form::kDelta;
+    if (change.form == EndpointUpdate::Form::kFull) {
+      for (int at = i - kListed + 1; at < i; ++at) change.endpoints.push_back(server(at));
     } else {
-      change.servers.push_back(server(i - kListed));
-      change.servers.back().state = ServerState::kGone;
+      change.endpoints.push_back(server(i - kListed));
+      change.endpoints.back().state = EndpointState::kRemoved;
     }
-    change.servers.push_back(server(i));
+    change.endpoints.push_back(server(i));
     copy.at(i, change);
     const std::string id = "r" + std::to_string(i);
     ASSERT_EQ(all<Send>(copy.request(id)).size(), 1U);
-    copy.end(id, Outcome::kDelivered);
+    copy.end(id, Outcome::kSuccess);
   }
-  EXPECT_EQ(copy.balancer.servers(), kListed + 1U) << "those listed, and the one that the open request names";
-  copy.end("held", Outcome::kDelivered);
-  EXPECT_EQ(copy.balancer.servers(), static_cast<std::size_t>(kListed));
+  EXPECT_EQ(copy.balancer.known_endpoints(), kListed + 1U)
+      << "those listed, and the one that the open request names";
+  copy.end("held", Outcome::kSuccess);
+  EXPECT_EQ(copy.balancer.known_endpoints(), static_cast<std::size_t>(kListed));
 }
 
 }  // namespace
--- a/tests/policy/property_test.cpp
+++ b/tests/policy/property_test.cpp
@@ -32,7 +32,7 @@
       : settings_(settings), copy_(settings, seed), dice_(seed) {}
 
   void play(int steps) {
-    tell({MembershipUpdate::Form::kFull, some_servers()});
+    tell({EndpointUpdate::Form::kFull, some_servers()});
     for (int i = 0; i < steps && !testing::Test::HasFailure(); ++i) {
       now_ += roll(20) == 0 ? 5.0 * part() : 0.02 * part();  // mostly steady, sometimes a jump
       expire();
@@ -49,23 +49,23 @@
   int roll(int sides) { return static_cast<int>(dice_() % static_cast<unsigned>(sides)); }
   double part() { return static_cast<double>(roll(1000)) / 1000; }
 
-  std::vector<Server> some_servers() {
-    std::vector<Server> out;
+  std::vector<Endpoint> some_servers() {
+    std::vector<Endpoint> out;
     for (int i = 0; i < 12; ++i) {
       if (roll(4) == 0) continue;
-      Server s = server(i, i % 2, i / 3);
-      if (roll(3) == 0) s.started = now_ - part();
-      s.state = static_cast<ServerState>(roll(5) < 3 ? 0 : roll(3));
+      Endpoint s = server(i, i % 2, i / 3);
+      if (roll(3) == 0) s.started_at = now_ - part();
+      s.state = static_cast<EndpointState>(roll(5) < 3 ? 0 : roll(3));
       out.push_back(s);
     }
     return out;
   }
 
-  void tell(const MembershipUpdate& update) {
-    if (update.form == MembershipUpdate::Form::kFull) usable_.clear();
-    for (const Server& s : update.servers) {
+  void tell(const EndpointUpdate& update) {
+    if (update.form == EndpointUpdate::Form::kFull) usable_.clear();
+    for (const Endpoint& s : update.endpoints) {
       told_[s.address] = s;
-      usable_[s.address] = s.state == ServerState::kReady;
+      usable_[s.address] = s.state == EndpointState::kReady;
     }
     check(copy_.at(now_, update));
   }
@@ -84,7 +84,7 @@
     Sent& sent = held.sent[attempt];
     sent.open = false;
     sent.may_have_run = !proves_unrun(outcome);
-    if (outcome == Outcome::kDelivered) held.concluded = true;
+    if (outcome == Outcome::kSuccess) held.concluded = true;
     const AttemptResult result{id, static_cast<int>(attempt), outcome, now_ - sent.at, held.concluded};
     check(copy_.at(now_, result));
     if (roll(8) != 0) return;
@@ -112,10 +112,10 @@
       auto it = held_.lower_bound("r" + std::to_string(roll(std::max(1, i))));
       if (it == held_.end() || it->second.concluded) return;
       it->second.concluded = true;  // the client left
-      check(copy_.at(now_, RequestGone{it->first}));
+      check(copy_.at(now_, RequestAbandoned{it->first}));
     } else if (roll(4) == 0) {
       const int form = roll(3);
-      tell({static_cast<MembershipUpdate::Form>(form), form == 2 ? std::vector<Server>() : some_servers()});
+      tell({static_cast<EndpointUpdate::Form>(form), form == 2 ? std::vector<Endpoint>() : some_servers()});
     } else {
       check(copy_.at(now_, TimerFired{static_cast<std::uint64_t>(roll(3))}));
     }
@@ -130,7 +130,7 @@
     }
     if (open.empty()) return;
     const auto& [id, attempt] = open[static_cast<std::size_t>(roll(static_cast<int>(open.size())))];
-    end(id, held_[id], attempt, roll(2) == 0 ? Outcome::kDelivered : static_cast<Outcome>(roll(9)));
+    end(id, held_[id], attempt, roll(2) == 0 ? Outcome::kSuccess : static_cast<Outcome>(roll(9)));
   }
 
   static bool any_open(const Held& held) {
@@ -143,7 +143,7 @@
   void check(const std::vector<Action>& actions) {
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<Send>(&action)) check_send(*send);
-      if (const auto* refuse = std::get_if<Refuse>(&action)) check_final(refuse->id, true);
+      if (const auto* refuse = std::get_if<Reject>(&action)) check_final(refuse->id, true);
       if (const auto* fail = std::get_if<Fail>(&action)) check_final(fail->id, false);
       if (const auto* cancel = std::get_if<Cancel>(&action)) {
         EXPECT_TRUE(settings_.can_cancel);
@@ -158,7 +158,8 @@
     held.concluded = true;
     const RequestClass& c = settings_.classes[held.request_class];
     const bool harmless =
-        c.effect == Effect::kSafe || (c.effect == Effect::kKeyed && c.dedup_scope == DedupScope::kAll);
+        c.idempotency == Idempotency::kIdempotent ||
+        (c.idempotency == Idempotency::kIdempotentWithKey && c.dedup_scope == DedupScope::kAll);
     if (!refused || harmless) return;
     for (const Sent& sent : held.sent)
       EXPECT_FALSE(sent.may_have_run) << id << " refused, but it may have run";
@@ -173,12 +174,12 @@
     EXPECT_LT(held.sent.size(), static_cast<std::size_t>(settings_.max_attempts));
     const RequestClass& c = settings_.classes[held.request_class];
     for (const Sent& before : held.sent) {
-      EXPECT_TRUE(settings_.second_copies || !before.open) << send.id << " has two attempts out";
-      if (c.effect == Effect::kSafe || !before.may_have_run) continue;
-      EXPECT_NE(c.effect, Effect::kUnsafe) << send.id << " may run twice";
+      EXPECT_TRUE(settings_.can_hedge || !before.open) << send.id << " has two attempts out";
+      if (c.idempotency == Idempotency::kIdempotent || !before.may_have_run) continue;
+      EXPECT_NE(c.idempotency, Idempotency::kNotIdempotent) << send.id << " may run twice";
       EXPECT_LE(now_, before.at + c.dedup_window) << send.id << " after the servers forgot it";
-      const Server& a = told_[before.server];
-      const Server& b = told_[send.server];
+      const Endpoint& a = told_[before.server];
+      const Endpoint& b = told_[send.server];
       EXPECT_TRUE(c.dedup_scope != DedupScope::kZone || a.zone == b.zone) << "another zone may repeat it";
       EXPECT_TRUE(c.dedup_scope != DedupScope::kCell || a.cell == b.cell) << "another cell may repeat it";
     }
@@ -190,7 +191,7 @@
   std::mt19937 dice_;
   double now_ = 50;
   std::map<std::string, Held> held_;
-  std::map<std::string, Server> told_;
+  std::map<std::string, Endpoint> told_;
   std::map<std::string, bool> usable_;
 };
 
@@ -199,21 +200,22 @@
     std::mt19937 dice(seed);
     const auto roll = [&](int sides) { return static_cast<int>(dice() % static_cast<unsigned>(sides)); };
     Settings s = basic_settings();
-    s.classes = {class_of(Effect::kSafe), class_of(Effect::kKeyed, static_cast<DedupScope>(roll(3))),
-                 class_of(Effect::kUnsafe)};
+    s.classes = {class_of(Idempotency::kIdempotent),
+                 class_of(Idempotency::kIdempotentWithKey, static_cast<DedupScope>(roll(3))),
+                 class_of(Idempotency::kNotIdempotent)};
     for (RequestClass& c : s.classes) {
-      c.late_worth = roll(2) * 0.5;
+      c.late_value = roll(2) * 0.5;
       c.dedup_window = 0.5 + roll(8);
     }
-    s.copy_count = 1 + roll(400);
-    s.copy_index = roll(s.copy_count);
+    s.replica_count = 1 + roll(400);
+    s.replica_index = roll(s.replica_count);
     s.tier = roll(3);
     s.max_attempts = 1 + roll(5);
     s.can_cancel = roll(2) == 0;
-    s.must_watch = roll(2) == 0;
-    s.start_capacity = 0.2;
-    s.ramp_time = roll(10);
-    s.cross_zone_price = roll(2) * 0.01;
+    s.uses_watch = roll(2) == 0;
+    s.slow_start_min_capacity = 0.2;
+    s.slow_start_window = roll(10);
+    s.cross_zone_cost = roll(2) * 0.01;
     s.tenants = {{1.0 + roll(3000)}, {}};
     SCOPED_TRACE("seed " + std::to_string(seed));
     Watcher(s, seed).play(1500);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -16,8 +16,8 @@
 
 struct Deployment {
   const char* name;
-  double start_capacity, ramp_time;  // of the settings
-  double multiple, window;           // x what it can do at that moment, s
+  double slow_start_min_capacity, slow_start_window;  // of the settings
+  double multiple, window;                            // x what it can do at that moment, s
 };
 constexpr Deployment kDeployments[] = {{"usual", 0.32, 9, 4, 1},
                                        {"long_window", 0.3, 6, 2.5, 3},
@@ -42,9 +42,9 @@
   ColdDay(const Deployment& deployment, int nodes, std::uint64_t seed)
       : deployment_(deployment), dice_(seed), seed_(seed) {
     settings_ = basic_settings();
-    settings_.copy_count = nodes;
-    settings_.start_capacity = deployment.start_capacity;
-    settings_.ramp_time = deployment.ramp_time;
+    settings_.replica_count = nodes;
+    settings_.slow_start_min_capacity = deployment.slow_start_min_capacity;
+    settings_.slow_start_window = deployment.slow_start_window;
     settings_.tenants = {{kServers * kCapacity}};
     // Some nodes believe that there are half as many, or twice.
     for (int i = 0; i < nodes; ++i) nodes_.push_back(start_node(i, 0));
@@ -79,24 +79,24 @@
 
   std::unique_ptr<Copy> start_node(int number, double now) {
     Settings s = settings_;
-    s.copy_index = number;
+    s.replica_index = number;
     const int wrong = static_cast<int>(dice_() % 4);
-    if (wrong == 1) s.copy_count = std::max(number + 1, s.copy_count / 2);
-    if (wrong == 2) s.copy_count *= 2;
+    if (wrong == 1) s.replica_count = std::max(number + 1, s.replica_count / 2);
+    if (wrong == 2) s.replica_count *= 2;
     auto out = std::make_unique<Copy>(s, seed_ * 1000 + static_cast<std::uint64_t>(number) + 1);
-    MembershipUpdate all = members(kServers);
-    if (now > kFirstStart) all.servers[0].started = kFirstStart;
-    if (started_twice_ && now > kSecondStart) all.servers[0].started = kSecondStart;
+    EndpointUpdate all = members(kServers);
+    if (now > kFirstStart) all.endpoints[0].started_at = kFirstStart;
+    if (started_twice_ && now > kSecondStart) all.endpoints[0].started_at = kSecondStart;
     out->at(now, all);
     return out;
   }
 
   void tell(std::size_t node, double now, double started, double& when) {
     when = kEnd + 1;
-    MembershipUpdate change;
-    change.form = MembershipUpdate::Form::kChanges;
-    change.servers = {server(0)};
-    change.servers[0].started = started;
+    EndpointUpdate change;
+    change.form = EndpointUpdate::Form::kDelta;
+    change.endpoints = {server(0)};
+    change.endpoints[0].started_at = started;
     nodes_[node]->at(now, change);
   }
 
@@ -111,7 +111,7 @@
       if (to == "s0") sent_.push_back(now);
       const int number = std::stoi(to.substr(1));
       const bool bad = number > 0 && number <= bad_servers_ && now > kFirstStart;
-      const Outcome outcome = !bad              ? Outcome::kDelivered
+      const Outcome outcome = !bad              ? Outcome::kSuccess
                               : number % 2 == 0 ? Outcome::kError
                                                 : Outcome::kRejected;
       sends = all<Send>(copy.end(id, outcome, attempt, 0.05));
@@ -125,9 +125,10 @@
       if (sent_[first] < start + 1.5) continue;  // until then some nodes have not been told
       const auto end = std::lower_bound(sent_.begin(), sent_.end(), sent_[first] + deployment_.window);
       const double age = sent_[first] - start;
-      if (age + deployment_.window > deployment_.ramp_time) break;  // a warm one may be sent all
-      const double warmth = std::min(
-          1.0, deployment_.start_capacity + (1 - deployment_.start_capacity) * age / deployment_.ramp_time);
+      if (age + deployment_.window > deployment_.slow_start_window) break;  // a warm one may be sent all
+      const double warmth =
+          std::min(1.0, deployment_.slow_start_min_capacity +
+                            (1 - deployment_.slow_start_min_capacity) * age / deployment_.slow_start_window);
       const double mean = deployment_.multiple * kCapacity * warmth * deployment_.window;
       const auto count = static_cast<double>(end - sent_.begin()) - static_cast<double>(first);
       out = std::max(out, count / allowed(mean));
