--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -27,6 +27,18 @@
       echo "policy: only policy headers may be included" >&2
       exit 1
     fi ;;
+  terms)  # no withdrawn word in a package that docs/TERMS.md lists as done; string literals, such as wire names, excepted
+    packages=$(sed -n 's/^Done: //p' docs/TERMS.md | tr -d '`.,')
+    [ -n "$packages" ]
+    withdrawn='told|turn(s|ed) away|rooms?|aims?|give_up|gives up|worth|callers?|dial(s|ed|ing|ling)?|part(y|ies)|askers?'
+    withdrawn+='|judges?|errands?|rumou?rs?|accusers?|(second|further) (copy|copies|try|tries)|copies|cast|planted|Danger:'
+    found=0
+    while IFS= read -r file; do
+      if sed -E 's/"([^"\\]|\\.)*"//g' "$file" | grep -nwiE "$withdrawn" | sed "s#^#$file:#"; then found=1; fi
+    done < <(sources | grep -E "^(${packages// /|})")
+    [ "$found" = 0 ] || { echo "terms: see docs/TERMS.md for the words to use" >&2; exit 1; } ;;
+  known_red)
+    tests/known_red_test.sh "$scratch" ;;
   format)
     sources | xargs clang-format --dry-run -Werror ;;
   tidy)
