--- a/bench/discovery/crowd.h
+++ b/bench/discovery/crowd.h
@@ -11,7 +11,7 @@
 #include <queue>
 #include <vector>
 
-#include "support.h"
+#include "random.h"
 #include "thymewood/balancer.h"
 
 namespace thymewood::bench {
--- a/policy/balancer.cpp
+++ b/policy/balancer.cpp
@@ -9,8 +9,11 @@
 #include <unordered_map>
 
 #include "concurrency_limit.h"
+#include "decaying_rate.h"
 #include "endpoint_lease.h"
-#include "support.h"
+#include "estimate.h"
+#include "pending_requests.h"
+#include "random.h"
 #include "tenant_limiter.h"
 #include "watch_backoff.h"
 
@@ -174,7 +177,7 @@
     } else if (unknown) {
       servers_.emplace_back();
     }
-    if (unknown) servers_[it->second].order = hash_of(told.address);
+    if (unknown) servers_[it->second].order = stable_hash(told.address);
     ServerNode& s = servers_[it->second];
     if (unknown || told.started_at != s.told.started_at || s.told.state == EndpointState::kRemoved) {
       ServerNode fresh;  // another process: what the last one did says nothing
@@ -259,16 +262,16 @@
   // Whether a further call would be answered well before its aim: calls in flight against answers a second.
   // Danger: a queue longer than the aim feeds itself. One call has room: at many copies each has but a part;
   // but not where one has just been turned away.
-  bool has_room(const Pending& p, const ServerNode& s) const {
+  bool has_room(const PendingRequest& p, const ServerNode& s) const {
     if (now_ < s.full_until) return false;
     const double room = room_.at_server(now_, s.answered, s.met_at, sharers_);
-    return s.in_flight < std::max(1.0, room * (p.within_share ? kShareRoom : 1));
+    return s.in_flight < std::max(1.0, room * (p.within_quota ? kShareRoom : 1));
   }
 
   // The same for all servers, by a measure that is steadier; past the first tier nothing is refused for it.
-  bool tier_has_room(const Pending& p) {
+  bool tier_has_room(const PendingRequest& p) {
     if (settings_.tier > 0) return true;
-    return in_flight_ + random_.unit() < tier_room(now_) * (p.within_share ? kShareRoom : 1);
+    return in_flight_ + random_.unit() < tier_room(now_) * (p.within_quota ? kShareRoom : 1);
   }
   double tier_room(double now) const {
     return room_.at_all(now, static_cast<double>(subset_.size()), met_at_, sharers_);
@@ -310,11 +313,11 @@
            (s.told.weight * warmth(s) * trust);
   }
 
-  bool in_scope(const Pending& p, const ServerNode& s) const {
+  bool in_scope(const PendingRequest& p, const ServerNode& s) const {
     const RequestClass& c = settings_.classes[p.request_class];
     for (const Attempt& a : p.attempts) {
       if (!a.may_have_run || c.idempotency == Idempotency::kIdempotent) continue;
-      if (c.idempotency == Idempotency::kNotIdempotent || now_ > a.sent + c.dedup_window) return false;
+      if (c.idempotency == Idempotency::kNotIdempotent || now_ > a.sent_at + c.dedup_window) return false;
       if (c.dedup_scope == DedupScope::kZone && a.zone != s.told.zone) return false;
       if (c.dedup_scope == DedupScope::kCell && a.cell != s.told.cell) return false;
     }
@@ -322,19 +325,19 @@
   }
 
   // Until when one more attempt is dropped as a repeat by those that may have run.
-  double harmless_until(const Pending& p) const {
+  double harmless_until(const PendingRequest& p) const {
     const RequestClass& c = settings_.classes[p.request_class];
     double out = kForever;
     for (const Attempt& a : p.attempts) {
       if (a.may_have_run && c.idempotency == Idempotency::kIdempotentWithKey)
-        out = std::min(out, a.sent + c.dedup_window);
+        out = std::min(out, a.sent_at + c.dedup_window);
     }
     return out;
   }
 
-  bool may_use(std::size_t i, const Pending& p, bool healthy, bool untried, bool room) {
+  bool may_use(std::size_t i, const PendingRequest& p, bool healthy, bool untried, bool room) {
     ServerNode& s = servers_[i];
-    return is_confirmed(s) && !(healthy && failing(s) >= kIll) && !(untried && p.tried(i)) &&
+    return is_confirmed(s) && !(healthy && failing(s) >= kIll) && !(untried && p.was_sent_to(i)) &&
            !(room && !has_room(p, s)) && in_scope(p, s) && budget_allows(s);
   }
 
@@ -344,12 +347,12 @@
 
   // Where no confirmed server can be used: now and then one of the others, in turn, the one that answered
   // last before the rest.
-  std::optional<std::size_t> pick_unconfirmed(const Pending& p) {
+  std::optional<std::size_t> pick_unconfirmed(const PendingRequest& p) {
     if (lease_.is_current() || now_ < next_unconfirmed_) return std::nullopt;
     std::optional<std::size_t> best;
     for (const std::size_t i : ring_) {
       ServerNode& s = servers_[i];
-      if (is_confirmed(s) || p.tried(i) || !in_scope(p, s) || !budget_allows(s)) continue;
+      if (is_confirmed(s) || p.was_sent_to(i) || !in_scope(p, s) || !budget_allows(s)) continue;
       const auto rank = [this](std::size_t at) {
         return std::pair(servers_[at].tried_at, -servers_[at].accepted_at);
       };
@@ -363,7 +366,8 @@
 
   // Gathers the servers of `from` that may be used; returns whether there are any. Past the first tier room
   // is a wish: a refusal there wastes what was done above.
-  bool gather(const std::vector<std::size_t>& from, const Pending& p, bool healthy, bool untried, bool room) {
+  bool gather(const std::vector<std::size_t>& from, const PendingRequest& p, bool healthy, bool untried,
+              bool room) {
     choice_.clear();
     for (const std::size_t i : from) {
       if (may_use(i, p, healthy, untried, room)) choice_.push_back(i);
@@ -374,7 +378,7 @@
   // Two members of a large subset that may be used, found by drawing until two are. Danger: to look at a
   // thousand servers for each call takes longer than all else together. Where few may be used it finds none,
   // and then they are looked through.
-  bool draw_two(const Pending& p) {
+  bool draw_two(const PendingRequest& p) {
     choice_.clear();
     if (subset_.size() <= kFew) return false;
     for (int draws = 0; draws < kDraws && choice_.size() < 2; ++draws) {
@@ -389,7 +393,7 @@
   // that memory a server gets what it can do and not just its share of the draws. Where the subset has too
   // few that are well, all servers stand in; where none is well the cause is shared and health does not
   // count.
-  std::optional<std::size_t> pick(const Pending& p) {
+  std::optional<std::size_t> pick(const PendingRequest& p) {
     if (!tier_has_room(p)) return std::nullopt;
     const bool first_tier = settings_.tier == 0;
     const bool found =
@@ -417,7 +421,7 @@
   // ---------------------------------------------------------------- how long?
 
   // An attempt may run until the answer is worthless, or until it is clearly late while another can follow.
-  double timeout(const Pending& p) const {
+  double timeout(const PendingRequest& p) const {
     const double left = p.useful_until - now_;
     const ClassTime& c = classes_[p.request_class];
     const Estimate& usual = c.latency;
@@ -437,14 +441,14 @@
                                     r.outcome != Outcome::kRejected);
   }
 
-  bool worth_another(const Pending& p, bool budgeted) const {
+  bool worth_another(const PendingRequest& p, bool budgeted) const {
     return !p.streaming && p.attempts.size() < static_cast<std::size_t>(settings_.max_attempts) &&
            (!budgeted || retry_tokens_ >= 1) &&
            p.useful_until - now_ > classes_[p.request_class].latency.mean / 2;
   }
 
   // A refusal promises that a repeat is harmless: only when nothing can have run, or repeats are dropped.
-  bool may_refuse(const Pending& p) const {
+  bool may_refuse(const PendingRequest& p) const {
     const RequestClass& c = settings_.classes[p.request_class];
     if (c.idempotency == Idempotency::kIdempotent) return true;
     if (c.idempotency == Idempotency::kIdempotentWithKey && c.dedup_scope == DedupScope::kAll) return true;
@@ -453,7 +457,7 @@
 
   // ---------------------------------------------------------------- doing it
 
-  bool send(const std::string& id, Pending& p, bool budgeted) {
+  bool send(const std::string& id, PendingRequest& p, bool budgeted) {
     const double limit = timeout(p);
     const std::optional<std::size_t> server = limit > 0 ? pick(p) : std::nullopt;
     if (!server) return false;
@@ -477,7 +481,7 @@
   // s; when to come back. Danger: callers that were refused together and told the same come back together.
   double advice() { return settings_.max_retry_after * (kLeastAdvice + kAdviceSpread * random_.unit()); }
 
-  void answer_unserved(const std::string& id, Pending& p) {
+  void answer_unserved(const std::string& id, PendingRequest& p) {
     p.finished = true;
     if (!may_refuse(p)) return out_->push_back(Fail{id});
     out_->push_back(Reject{id, advice()});
@@ -491,8 +495,8 @@
     denied_ = unplaced_ = hopeless_ = 0;
   }
 
-  void close(std::unordered_map<std::string, Pending>::iterator it) {
-    const Pending ended = std::move(it->second);
+  void close(std::unordered_map<std::string, PendingRequest>::iterator it) {
+    const PendingRequest ended = std::move(it->second);
     pending_.erase(it);
     for (const Attempt& a : ended.attempts) {
       servers_[a.server].named -= 1;
@@ -500,10 +504,10 @@
     }
   }
 
-  void cancel_open(const std::string& id, const Pending& p) {
+  void cancel_open(const std::string& id, const PendingRequest& p) {
     if (!settings_.can_cancel || p.streaming) return;
     for (std::size_t i = 0; i < p.attempts.size(); ++i) {
-      if (p.attempts[i].open) out_->push_back(Cancel{id, static_cast<int>(i)});
+      if (p.attempts[i].in_flight) out_->push_back(Cancel{id, static_cast<int>(i)});
     }
   }
 
@@ -516,7 +520,7 @@
   void on(const Request& r) {
     if (pending_.contains(r.id)) return;  // an id that is still open: one answer is owed, not two
     const std::size_t tenant = std::min(r.tenant, tenants_.size() - 1);
-    const bool within_share = tenants_[tenant].is_within_share(now_);
+    const bool within_quota = tenants_[tenant].is_within_share(now_);
     if (!tenants_[tenant].admits(now_, random_)) {
       out_->push_back(Reject{r.id, advice()});
       note_shed(denied_);
@@ -529,7 +533,7 @@
     }
     admitted_.add(now_);
     const auto it = pending_.try_emplace(r.id).first;
-    Pending& p = it->second;
+    PendingRequest& p = it->second;
     p.tenant = tenant;
     p.request_class = request_class;
     const RequestClass& c = settings_.classes[p.request_class];
@@ -538,7 +542,7 @@
     p.useful_until =
         now_ + std::min(r.time_left,
                         c.late_value > 0 ? r.time_left : latency_objective - 2 * settings_.clock_granularity);
-    p.within_share = within_share;
+    p.within_quota = within_quota;
     if (send(r.id, p, false)) return;
     room_.refused(now_, in_flight_, settings_.tier == 0, sharers_);
     tenants_[tenant].ended(now_, true, room_.unqueued());
@@ -550,28 +554,28 @@
   void on(const AttemptResult& r) {
     const auto it = pending_.find(r.id);
     if (it == pending_.end()) return;
-    Pending& p = it->second;
+    PendingRequest& p = it->second;
     if (r.attempt < 0 || static_cast<std::size_t>(r.attempt) >= p.attempts.size()) return;
     Attempt& a = p.attempts[static_cast<std::size_t>(r.attempt)];
-    if (!a.open) return;
-    a.open = false;
+    if (!a.in_flight) return;
+    a.in_flight = false;
     a.may_have_run = !never_ran(r.outcome);
     ServerNode& s = servers_[a.server];
     s.in_flight -= 1;
-    s.sent_sum -= a.sent;
+    s.sent_sum -= a.sent_at;
     in_flight_ -= 1;
-    learn_from(p, s, r, a.sent);
+    learn_from(p, s, r, a.sent_at);
     if (r.request_complete && !p.finished) {
       p.finished = true;
       cancel_open(r.id, p);
     }
     const bool budgeted = is_budgeted(r);
-    if (!p.finished && !p.any_open() && !(worth_another(p, budgeted) && send(r.id, p, budgeted)))
+    if (!p.finished && !p.any_in_flight() && !(worth_another(p, budgeted) && send(r.id, p, budgeted)))
       answer_unserved(r.id, p);
-    if (p.finished && !p.any_open()) close(it);
+    if (p.finished && !p.any_in_flight()) close(it);
   }
 
-  void learn_from(const Pending& p, ServerNode& s, const AttemptResult& r, double sent) {
+  void learn_from(const PendingRequest& p, ServerNode& s, const AttemptResult& r, double sent) {
     const bool was_well = failing(s) < kIll;
     if (r.outcome == Outcome::kCancelled || r.outcome == Outcome::kNotSent) return;
     const bool answered = r.outcome == Outcome::kSuccess;
@@ -612,7 +616,7 @@
     if (it == pending_.end()) return;
     if (!it->second.finished) cancel_open(r.id, it->second);
     it->second.finished = true;
-    if (!it->second.any_open()) close(it);
+    if (!it->second.any_in_flight()) close(it);
   }
 
   void on(const EndpointUpdate& update) {
@@ -680,7 +684,7 @@
   std::size_t subset_home_ = 0;            // its first members: those that are not away
   std::size_t remembered_ = 0;             // the least busy of the last draw
   double ready_weight_ = 0, sharers_ = 1;  // sharers: copies that use the same server
-  FadingRate admitted_{kAdmittedMemory};
+  DecayingRate admitted_{kAdmittedMemory};
   int in_flight_ = 0;
   double met_at_ = kForever;
   std::uint64_t listing_ = 0;
@@ -690,7 +694,8 @@
   double next_unconfirmed_ = 0;
   int denied_ = 0, unplaced_ = 0, hopeless_ = 0;  // since the last log line
   double next_log_ = 0;
-  std::unordered_map<std::string, Pending> pending_;  // looked up, never walked: order would not be stable
+  std::unordered_map<std::string, PendingRequest>
+      pending_;  // looked up, never walked: order would not be stable
 };
 
 Balancer::Balancer(const Settings& s, std::uint64_t seed) : impl_(std::make_unique<Impl>(s, seed)) {}
--- a/policy/concurrency_limit.h
+++ b/policy/concurrency_limit.h
@@ -9,7 +9,8 @@
 #include <vector>
 
 #include "concurrency_probe.h"
-#include "support.h"
+#include "decaying_rate.h"
+#include "estimate.h"
 #include "thymewood/balancer.h"
 
 namespace thymewood {
@@ -47,7 +48,7 @@
   double worked_on(double now) const;
 
  private:
-  FadingRate steady_{kMemory}, quick_{kMemory}, slow_{kWorkedMemory};
+  DecayingRate steady_{kMemory}, quick_{kMemory}, slow_{kWorkedMemory};
   double worked_ = 0, worked_at_ = 0;
   static constexpr double kMemory = 2;  // s; of the steady rate, if two answer times are not more
   static constexpr double kWorkedMemory = 10, kWorkedHold = 60;  // s; of the calls that were worked on
@@ -87,7 +88,7 @@
   struct ClassRoom {
     double latency_objective = 0;
     IdleTime idle;
-    FadingRate answered{2};
+    DecayingRate answered{2};
     double idle_time() const { return idle.part_of_aim() * latency_objective; }
   };
   void learn_waits(double now);
--- /dev/null
+++ b/policy/pending_requests.h
@@ -0,0 +1,61 @@
+// The requests that still owe their client an answer, or have attempts in flight.
+#pragma once
+
+#include <algorithm>
+#include <string>
+#include <unordered_map>
+#include <utility>
+#include <vector>
+
+#include "thymewood/balancer.h"
+
+namespace thymewood {
+
+struct Attempt {
+  std::size_t server = 0;  // its index in the server table
+  double sent_at = 0;
+  int zone = 0;  // where the server was when it was sent: after a restart it may be elsewhere
+  int cell = 0;
+  bool in_flight = true;
+  bool may_have_run = true;
+};
+
+struct PendingRequest {
+  std::size_t tenant = 0;
+  std::size_t request_class = 0;
+  double useful_until = 0;  // when an answer loses all of its value
+  std::vector<Attempt> attempts;
+  bool finished = false;      // answered or abandoned
+  bool streaming = false;     // the client has begun to receive the response
+  bool within_quota = false;  // its tenant was within its quota as it arrived
+
+  bool any_in_flight() const {
+    return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.in_flight; });
+  }
+  bool may_have_run() const {
+    return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.may_have_run; });
+  }
+  bool was_sent_to(std::size_t server) const {
+    return std::any_of(attempts.begin(), attempts.end(),
+                       [=](const Attempt& a) { return a.server == server; });
+  }
+};
+
+// Looked up by id only and never iterated: the order of a hash map differs between platforms.
+class PendingRequests {
+ public:
+  bool contains(const std::string& id) const { return requests_.contains(id); }
+  PendingRequest& add(const std::string& id) { return requests_[id]; }
+  // nullptr where no such request is pending. The pointer is valid until the request is removed.
+  PendingRequest* find(const std::string& id) {
+    const auto it = requests_.find(id);
+    return it == requests_.end() ? nullptr : &it->second;
+  }
+  // Returns the removed request, which must be pending.
+  PendingRequest remove(const std::string& id) { return std::move(requests_.extract(id).mapped()); }
+
+ private:
+  std::unordered_map<std::string, PendingRequest> requests_;
+};
+
+}  // namespace thymewood
--- /dev/null
+++ b/policy/sliding_window.h
@@ -0,0 +1,60 @@
+// Counts of requests over the last few seconds, by which a tenant's rate limit is enforced.
+#pragma once
+
+#include <cmath>
+#include <cstdint>
+#include <limits>
+#include <vector>
+
+namespace thymewood {
+
+// Total and denied requests of a window, in buckets; the latest buckets also make the rate of the last
+// second.
+class SlidingWindow {
+ public:
+  struct Sums {
+    double total = 0;
+    double denied = 0;
+    double last_second = 0;
+    double admitted() const { return total - denied; }
+  };
+
+  // `bucket_s`: seconds in a bucket. `short_buckets`: buckets that make a second.
+  SlidingWindow(double bucket_s, int buckets, int short_buckets)
+      : bucket_s_(bucket_s), short_buckets_(short_buckets), buckets_(static_cast<std::size_t>(buckets)) {}
+
+  void add(double now, bool denied) {
+    const std::int64_t slot = slot_of(now), count = std::ssize(buckets_);
+    Bucket& bucket = buckets_[static_cast<std::size_t>(((slot % count) + count) % count)];
+    if (bucket.slot != slot) bucket = {slot, 0, 0};
+    bucket.total += 1;
+    if (denied) bucket.denied += 1;
+  }
+
+  Sums sums(double now) const {
+    const std::int64_t slot = slot_of(now);
+    Sums out;
+    for (const Bucket& bucket : buckets_) {
+      if (bucket.slot <= slot - std::ssize(buckets_)) continue;
+      out.total += bucket.total;
+      out.denied += bucket.denied;
+      if (bucket.slot > slot - short_buckets_) out.last_second += bucket.total;
+    }
+    return out;
+  }
+
+ private:
+  struct Bucket {
+    std::int64_t slot =
+        std::numeric_limits<std::int64_t>::min() / 2;  // so far back that it counts as expired
+    double total = 0;
+    double denied = 0;
+  };
+  std::int64_t slot_of(double now) const { return static_cast<std::int64_t>(std::floor(now / bucket_s_)); }
+
+  double bucket_s_;
+  int short_buckets_;
+  std::vector<Bucket> buckets_;
+};
+
+}  // namespace thymewood
--- a/policy/tenant_limiter.cpp
+++ b/policy/tenant_limiter.cpp
@@ -50,7 +50,7 @@
 
 double TenantLimiter::factor_of(const SlidingWindow::Sums& sums) const {
   const double soft = limit_ * kWindow;
-  if (sums.accepted() < soft) return 0;
+  if (sums.admitted() < soft) return 0;
   if (sums.total >= soft * kHardLimitFactor) return 1;
   return suppression_factor(limit_, sums.total / kWindow, sums.last_second);
 }
@@ -72,7 +72,7 @@
 
 bool TenantLimiter::is_within_share(double now) const {
   return first_tier_ && std::isfinite(limit_) && worth_ < 1 &&
-         window_.sums(now).accepted() <= floor_ * kWindow;
+         window_.sums(now).admitted() <= floor_ * kWindow;
 }
 
 void TenantLimiter::ended(double now, bool badly, double unqueued) {
@@ -80,7 +80,7 @@
   const double step = std::min(kMostStep, kStep / limit_);
   if (badly) {
     limit_ = std::max(floor_, limit_ * (1 - step));
-  } else if (window_.sums(now).accepted() > limit_ * kWindow / 2) {
+  } else if (window_.sums(now).admitted() > limit_ * kWindow / 2) {
     // Idle servers lose nothing by more, unless it is told to be worth nothing.
     const double worth = worth_ > 0 ? worth_ + (1 - worth_) * unqueued : 0;
     limit_ *= 1 + step * kBadShare * (limit_ > start_ ? worth : 1);
@@ -89,7 +89,7 @@
 
 TenantLimitView TenantLimiter::view(double now) const {
   const SlidingWindow::Sums sums = window_.sums(now);
-  return {limit_, factor_of(sums), sums.total, sums.declined};
+  return {limit_, factor_of(sums), sums.total, sums.denied};
 }
 
 }  // namespace thymewood
--- a/policy/tenant_limiter.h
+++ b/policy/tenant_limiter.h
@@ -4,7 +4,8 @@
 // Times are seconds on the module's clock; limits and rates are calls a second.
 #pragma once
 
-#include "support.h"
+#include "random.h"
+#include "sliding_window.h"
 #include "thymewood/balancer.h"
 
 namespace thymewood {
--- a/policy/watch_backoff.h
+++ b/policy/watch_backoff.h
@@ -13,7 +13,7 @@
 #include <algorithm>
 #include <optional>
 
-#include "support.h"
+#include "random.h"
 #include "thymewood/balancer.h"
 
 namespace thymewood {
--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -23,7 +23,7 @@
       echo "policy: only the library's pure parts may be included" >&2
       exit 1
     fi
-    if grep -nE '#include "' "${files[@]}" | grep -vE '"(thymewood/(actions|balancer|events|settings)|support|concurrency_limit|concurrency_probe|tenant_limiter|endpoint_lease|watch_backoff)\.h"$'; then
+    if grep -nE '#include "' "${files[@]}" | grep -vE '"(thymewood/(actions|balancer|events|settings)|concurrency_limit|concurrency_probe|tenant_limiter|endpoint_lease|watch_backoff|decaying_rate|estimate|pending_requests|random|sliding_window)\.h"$'; then
       echo "policy: only policy headers may be included" >&2
       exit 1
     fi ;;
