--- a/tests/membership/view_test.cpp
+++ b/tests/membership/view_test.cpp
@@ -189,7 +189,7 @@
 
 // ---------------------------------------------------------------- who covers which server
 
-// As in policy/balancer.cpp.
+// As in policy/subset.cpp and policy/subset.h.
 constexpr std::size_t kSubsetSize = 5, kCover = 2, kMovingCover = 5;
 
 std::size_t size_of(std::size_t servers, std::size_t live, std::size_t cover = kCover) {
