--- a/bench/discovery/main.cpp
+++ b/bench/discovery/main.cpp
@@ -63,7 +63,7 @@
           print_row(plan, "WatchRetry", [] {
             const auto retry = std::make_shared<thymewood::WatchBackoff>(kAskWithin);
             return tb::PausePolicy(
-                [retry](const auto& failure, auto& random) { return retry->pause_after(failure, random); });
+                [retry](const auto& failure, auto& random) { return retry->next_delay(failure, random); });
           });
         }
       }
--- a/policy/balancer.cpp
+++ b/policy/balancer.cpp
@@ -77,8 +77,8 @@
   }
 
   ConcurrencyLimitView concurrency_limit(double now) const {
-    return {limit_.natural(), limit_.answers(now), static_cast<double>(servers_.in_flight()),
-            capacity_.tier_limit(now), limit_.crowd_bound(now)};
+    return {limit_.idle_latency(), limit_.response_rate(now), static_cast<double>(servers_.in_flight()),
+            capacity_.tier_limit(now), limit_.probed_bound(now)};
   }
 
  private:
@@ -95,7 +95,7 @@
   void on(const EndpointUpdate& update) {
     if (update.form == EndpointUpdate::Form::kFailed) {
       if (settings_.uses_watch)
-        emit(SetTimer{now_ + watch_backoff_.pause_after(update.failure, random_), kWatchTimer});
+        emit(SetTimer{now_ + watch_backoff_.next_delay(update.failure, random_), kWatchTimer});
       return;
     }
     watch_backoff_.reset();
@@ -119,13 +119,13 @@
   void on(const ReplicaSetChanged& replicas) {
     if (replicas.rank < 0 || replicas.rank >= replicas.live_count) return;
     const double quota_factor = static_cast<double>(subset_.replica_count()) / replicas.live_count;
-    for (TenantLimiter& tenant : tenants_) tenant.share_anew(quota_factor);
+    for (TenantLimiter& tenant : tenants_) tenant.scale_quota(quota_factor);
     subset_.set_replicas(replicas);
     rebuild_subset();
   }
 
   void rebuild_subset() {
-    if (subset_.rebuild(servers_)) limit_.forget_crowds();
+    if (subset_.rebuild(servers_)) limit_.reset_probe();
   }
 
   // ---- requests
@@ -133,7 +133,7 @@
   void on(const Request& arrived) {
     if (pending_.contains(arrived.id)) return;  // one answer is owed for an id, not two
     const std::size_t tenant = std::min(arrived.tenant, tenants_.size() - 1);
-    const bool within_quota = tenants_[tenant].is_within_share(now_);
+    const bool within_quota = tenants_[tenant].is_within_quota(now_);
     if (!tenants_[tenant].admits(now_, random_)) return shed(arrived.id, SheddingReason::kOverTenantLimit);
     const std::size_t request_class = std::min(arrived.request_class, settings_.classes.size() - 1);
     if (has_too_little_time(request_class, arrived.time_left))
@@ -147,8 +147,8 @@
     request.within_quota = within_quota;
     if (send(arrived.id, request, false)) return;
 
-    limit_.refused(now_, servers_.in_flight(), settings_.tier == 0, subset_.replicas_per_server());
-    tenants_[tenant].ended(now_, true, limit_.unqueued());
+    limit_.record_rejection(now_, servers_.in_flight(), settings_.tier == 0, subset_.replicas_per_server());
+    tenants_[tenant].record_overload();
     count_shed(SheddingReason::kNoCapacity);
     finish_unserved(arrived.id, request);
     pending_.remove(arrived.id);
@@ -297,11 +297,11 @@
     const bool success = result.outcome == Outcome::kSuccess;
     if (!success && result.outcome != Outcome::kTimedOut) return;
     if (success)
-      limit_.answered(now_, request_class, result.elapsed, servers_.in_flight(), latency_.overall_mean(),
-                      server.throughput);
+      limit_.record_success(now_, request_class, result.elapsed, servers_.in_flight(),
+                            latency_.overall_mean(), server.throughput);
     server.latency.record(now_, class_mean > 0 ? result.elapsed / class_mean : 1);
     latency_.record(now_, request_class, result.elapsed);
-    limit_.took(now_, request_class, result.elapsed);
+    limit_.record_latency(now_, request_class, result.elapsed);
   }
 
   // Answers in time raise a tenant's limit and signs of overload lower it. Errors come at any load, and one
@@ -310,12 +310,12 @@
     TenantLimiter& tenant = tenants_[request.tenant];
     if (result.outcome == Outcome::kSuccess) {
       const double latency_objective = settings_.classes[request.request_class].latency_objective;
-      if (result.elapsed < kInTime * latency_objective) tenant.ended(now_, false, limit_.unqueued());
+      if (result.elapsed < kInTime * latency_objective) tenant.record_success(now_, limit_.unqueued());
       return;
     }
     const bool is_overload = result.outcome == Outcome::kRejected || result.outcome == Outcome::kTimedOut ||
                              result.outcome == Outcome::kConnectFailed;
-    if (is_overload && !was_ejected) tenant.ended(now_, true, limit_.unqueued());
+    if (is_overload && !was_ejected) tenant.record_overload();
   }
 
   template <typename SomeAction>
--- a/policy/capacity.cpp
+++ b/policy/capacity.cpp
@@ -14,7 +14,7 @@
 bool Capacity::server_has_capacity(double now, const PendingRequest& request, const Server& server) const {
   if (now < server.saturated_until) return false;
   const double limit =
-      limit_.at_server(now, server.throughput, server.first_seen_at, subset_.replicas_per_server());
+      limit_.server_limit(now, server.throughput, server.first_seen_at, subset_.replicas_per_server());
   return server.in_flight < std::max(1.0, limit * limit_factor(request));
 }
 
@@ -25,8 +25,8 @@
 }
 
 double Capacity::tier_limit(double now) const {
-  return limit_.at_all(now, static_cast<double>(subset_.members().size()), servers_.first_update_at(),
-                       subset_.replicas_per_server());
+  return limit_.tier_limit(now, static_cast<double>(subset_.members().size()), servers_.first_update_at(),
+                           subset_.replicas_per_server());
 }
 
 }  // namespace thymewood
--- a/policy/concurrency_limit.cpp
+++ b/policy/concurrency_limit.cpp
@@ -7,188 +7,144 @@
 namespace thymewood {
 namespace {
 
-constexpr double kForever = std::numeric_limits<double>::infinity();
-constexpr double kLeastAim = 1e-3, kMostAim = 60;  // s; what an aim counts as
-
-// How long calls take on an idle tier.
-constexpr double kStartBase = 0.15;  // of the aim; the most that answers under refusals may give at first
-constexpr double kMostBase = 0.3;    // of the aim; a start under load takes no queue for usual
-constexpr double kBaseCalls = 20;    // calls; answers before the usual answer time counts as learned
-constexpr double kBaseSettle = 3;    // s; before it the answers are those of the quickest calls only
-constexpr double kBaseGain = 0.02;   // weight of one answer
-constexpr double kBaseFall = 5, kBaseRise = 60;  // s; how fast a quicker, and a slower, tier becomes usual
-constexpr double kBaseDoubt = 15;  // s; the same for a slower one while nothing without a queue was seen
-
-// How long they may wait.
-constexpr double kQueueFactor = 0.9;  // x the idle answer time: what a call may wait, ...
-constexpr double kQueueShare = 0.25;  // ... or this part of what its aim leaves, if that is more
-constexpr double kLatePart = 0.5;     // of a late answer's worth: what it adds to the aim
-constexpr double kSomeCalls = 0.03;   // of the calls; a class with fewer does not say how long all may wait
-constexpr double kWaitsKept = 0.1;    // s; between two looks at the mix
+constexpr double kMinObjective = 1e-3, kMaxObjective = 60;  // s
 
-// How many that makes.
-constexpr double kLeastRoom = 2;      // calls in flight, over all copies, that any server has room for
-constexpr double kStartRoom = 6;      // and more at one that has had no time to answer; fades as answers come
-constexpr double kStartMemory = 2;    // s; how soon
-constexpr double kServerPart = 0.85;  // x the room, at one server: its measure is less steady than the tier's
-constexpr double kCalm = 0.45, kCrowded = 0.7;  // of the aim; answer times that leave chance all, no room
-constexpr double kChance = 2;   // calls; what a copy may hold by chance, beside the deviations
-constexpr double kNoise = 1.5;  // standard deviations of a count that are left to chance
-constexpr double kIdleStretch = 1.5,
-                 kQueuedStretch = 1.8;  // x the idle answer time: surely no queue; a queue
-constexpr double kRecentGain = 0.15;    // weight of one answer in what the tier does now ...
-constexpr double kRecentTime = 0.25;  // s; ... or less where answers come faster than that many in this time
-
-// When there is none.
-constexpr double kRefusing =
-    1;  // s; so long after a refusal for want of room, calls in flight are what room is
-constexpr double kTrialWait = 1.5,
-                 kTrialLeast = 12;  // x the idle answer time; calls: a queue that has to spare
-// Copies at a server. Danger: half the calls of one among many take next to nothing of a queue, and the queue
-// would pass for none.
-constexpr double kProofSharers = 2;
-constexpr double kSureRoom = 1.3;  // x the calls that are worked on at once; no crowd is seen below
-
-// s; by when an answer is worth its wait: the aim, and a part of what lies between it and the end where a
-// late answer still has worth. Danger: all of that part lets queues grow in which servers turn slow.
-double patience(const RequestClass& c) {
-  return c.late_value > 0 && std::isfinite(c.client_timeout)
-             ? c.latency_objective +
-                   kLatePart * c.late_value * std::max(0.0, c.client_timeout - c.latency_objective)
-             : c.latency_objective;
-}
+// How long requests may queue.
+constexpr double kQueueingPerIdle = 0.9;    // x the idle latency, ...
+constexpr double kQueueingPerSlack = 0.25;  // ... or of what the objective leaves, if that is more
+constexpr double kLateValueWeight = 0.5;    // of the value of a late answer: what it adds to the objective
+constexpr double kMinClassPart = 0.03;  // of the requests; a rarer class does not bound the queueing of all
+constexpr double kMixUpdateInterval = 0.1;  // s
 
-// Calls that may be in flight, over all copies, where nothing is measured yet.
-double unmeasured_room(double now, double met_at) {
-  return kLeastRoom + kStartRoom * std::exp((met_at - now) / kStartMemory);
+// How many that makes.
+constexpr double kMinRequests = 2;          // in flight over all replicas, allowed at any server
+constexpr double kInitialRequests = 6;      // and more at one that had no time to answer yet
+constexpr double kInitialTimeConstant = 2;  // s; in which these decay
+constexpr double kServerFactor = 0.85;  // x the limit, at one server: measured less steadily than the tier
+constexpr double kCalmRatio = 0.45;     // of the objective; latency that leaves all to random variation
+constexpr double kCrowdedRatio = 0.7;   // of the objective; latency that leaves nothing to it
+constexpr double kMinVariation = 2;     // requests beyond the limit at random, beside the deviations
+constexpr double kVariationDeviations = 1.5;  // standard deviations of a count, likewise
+constexpr double kUnqueuedStretch = 1.5;      // x the idle latency; surely no queue
+constexpr double kQueuedStretch = 1.8;        // x the idle latency; surely a queue
+constexpr double kLatencyGain = 0.15;         // weight of one response in the latency now ...
+constexpr double kLatencyInterval = 0.25;     // s; ... or less where more of them come in this time
+
+// When to probe lower limits.
+constexpr double kRejectionPeriod =
+    1;  // s after a rejection, in which the requests in flight are at the limit
+constexpr double kMinProbeQueueing = 1.5;  // x the idle latency; shorter queues have nothing to spare
+constexpr double kMinProbedRequests = 12;
+// Replicas per server. Half of the requests of one replica among many hardly shorten a queue, which would
+// pass for none.
+constexpr double kMaxReplicasForProof = 2;
+constexpr double kBusyFactor = 1.3;  // x the requests processed at once; below it servers are not crowded
+
+// s; by when an answer is worth its wait. Where late answers have value, a part of the time between objective
+// and timeout counts too; all of it would allow queues in which servers become slow.
+double useful_latency(const RequestClass& c) {
+  if (!(c.late_value > 0 && std::isfinite(c.client_timeout))) return c.latency_objective;
+  return c.latency_objective +
+         kLateValueWeight * c.late_value * std::max(0.0, c.client_timeout - c.latency_objective);
+}
+
+// Requests in flight, over all replicas, where nothing is measured yet.
+double initial_limit(double now, double since) {
+  return kMinRequests + kInitialRequests * std::exp((since - now) / kInitialTimeConstant);
 }
 
 }  // namespace
 
-// ---------------------------------------------------------------- what is learned
-
-void IdleTime::add(double now, double part_of_aim, bool queued) {
-  if (usual_.samples == 0) at_ = now + kBaseSettle;
-  usual_.add(part_of_aim, kBaseGain);
-  if (now < at_ || usual_.samples < kBaseCalls) return;
-  const double rise = sure_ ? kBaseRise : kBaseDoubt;
-  const double step = learned_ ? (now - at_) / (usual_.mean < base_ ? kBaseFall : rise) : 1;
-  const double most = std::max(proven_, queued && !learned_ ? kStartBase : kMostBase);
-  base_ = std::min(base_ + (usual_.mean - base_) * std::min(1.0, step), most);
-  sure_ = sure_ || !queued;
-  learned_ = true;
-  at_ = now;
-}
-
-// Danger: where the aim is a few times what calls take, the bounds above hold a start's guess for long.
-void IdleTime::prove(double now) {
-  if (usual_.samples < kBaseCalls || usual_.mean <= base_) return;
-  base_ = proven_ = usual_.mean;
-  learned_ = sure_ = true;
-  at_ = now;
-}
-
-void Throughput::add(double now, double natural, double answer_time) {
-  steady_.add(now, std::max(kMemory, 2 * answer_time));
-  quick_.add(now, answer_time / 2);
-  slow_.add(now);
-  worked_ = std::max(worked_on(now), natural * slow_.at(now));
-  worked_at_ = now;
-}
-double Throughput::steady(double now, double answer_time) const {
-  return steady_.at(now, std::max(kMemory, 2 * answer_time));
-}
-double Throughput::quick(double now, double answer_time) const { return quick_.at(now, answer_time / 2); }
-double Throughput::worked_on(double now) const {
-  return worked_ * std::exp((worked_at_ - now) / kWorkedHold);
-}
-
 ConcurrencyLimit::ConcurrencyLimit(const std::vector<RequestClass>& classes) {
   for (const RequestClass& c : classes) {
     classes_.emplace_back();
-    classes_.back().latency_objective = std::max(std::min(patience(c), kMostAim), kLeastAim);
+    classes_.back().latency_objective = std::max(std::min(useful_latency(c), kMaxObjective), kMinObjective);
   }
-  learn_waits(0);
-}
-
-void ConcurrencyLimit::answered(double now, std::size_t request_class, double elapsed, double in_flight,
-                                double usual_answer_time, Throughput& server) {
-  ClassRoom& c = classes_[request_class];
-  const double known = sure_ ? natural_ : 0;
-  server.add(now, known, natural_ + wait_);
-  all_.add(now, known, natural_ + wait_);
-  trial_.answered(now, c.idle_time(), in_flight, usual_answer_time, elapsed);
-  if (trial_.take_proof() && may_prove_) {
-    for (ClassRoom& each : classes_) each.idle.prove(now);
-    waits_until_ = now;
+  update_mix(0);
+}
+
+void ConcurrencyLimit::record_success(double now, std::size_t request_class, double elapsed, double in_flight,
+                                      double mean_latency, Throughput& server) {
+  ClassState& c = classes_[request_class];
+  const double reliable_latency = reliable_ ? idle_latency_ : 0;
+  server.add(now, reliable_latency, response_time());
+  tier_.add(now, reliable_latency, response_time());
+  probe_.record_response(now, c.idle_latency(), in_flight, mean_latency, elapsed);
+  if (probe_.take_unqueued_proof() && probe_proves_idle_) {
+    for (ClassState& each : classes_) each.idle.confirm_unqueued(now);
+    next_update_at_ = now;
   }
-  c.answered.add(now);
-  c.idle.add(now, elapsed / c.latency_objective,
-             now < refused_at_ + kRefusing && in_flight > kSureRoom * all_.worked_on(now) + 1);
-  if (now >= waits_until_) learn_waits(now);
-}
-
-void ConcurrencyLimit::took(double now, std::size_t request_class, double elapsed) {
-  const ClassRoom& c = classes_[request_class];
-  const double gain = std::min(kRecentGain, (now - recent_at_) / kRecentTime);
-  recent_.add(elapsed / c.latency_objective, gain);
-  stretch_.add(elapsed / c.idle_time(), gain);
-  recent_at_ = now;
-}
-
-// Danger: servers that were crowded from the start never show what they do otherwise. Half of a long queue
-// still keeps them busy; a short one is left alone, for there fewer calls leave servers idle.
-void ConcurrencyLimit::refused(double now, double in_flight, bool may_try, double sharers) {
-  refused_at_ = now;
-  may_prove_ = sharers <= kProofSharers;
-  if (!may_try || (sure_ && wait_ < kTrialWait * natural_)) return;
-  trial_.refused(now, in_flight, std::max(kTrialLeast, kSureRoom * all_.worked_on(now)));
-}
-
-// What the class allows that can bear the least. Danger: where one class may wait long, its queue is that of
-// the others too.
-void ConcurrencyLimit::learn_waits(double now) {
-  double sum = 0, weighted = 0, least = kForever;
-  sure_ = true;
-  for (const ClassRoom& c : classes_) sum += c.answered.at(now);
-  for (const ClassRoom& c : classes_) {
-    const double part = sum > 0 ? c.answered.at(now) / sum : 1.0 / static_cast<double>(classes_.size());
-    weighted += part * c.idle_time();
-    if (part < kSomeCalls) continue;
-    sure_ = sure_ && c.idle.sure();
-    least = std::min(
-        least, std::max(kQueueFactor * c.idle_time(), kQueueShare * (c.latency_objective - c.idle_time())));
+  c.responses.add(now);
+  const bool may_have_queued =
+      now < rejected_at_ + kRejectionPeriod && in_flight > kBusyFactor * tier_.concurrency(now) + 1;
+  c.idle.add(now, elapsed / c.latency_objective, may_have_queued);
+  if (now >= next_update_at_) update_mix(now);
+}
+
+void ConcurrencyLimit::record_latency(double now, std::size_t request_class, double elapsed) {
+  const ClassState& c = classes_[request_class];
+  const double gain = std::min(kLatencyGain, (now - latency_at_) / kLatencyInterval);
+  objective_ratio_.add(elapsed / c.latency_objective, gain);
+  stretch_.add(elapsed / c.idle_latency(), gain);
+  latency_at_ = now;
+}
+
+// Servers that were crowded from the start never show what they do otherwise, so lower limits are probed.
+// Half of a long queue still keeps servers busy; a short one is left alone, since fewer requests would idle
+// them.
+void ConcurrencyLimit::record_rejection(double now, double in_flight, bool may_probe, double replicas) {
+  rejected_at_ = now;
+  probe_proves_idle_ = replicas <= kMaxReplicasForProof;
+  if (!may_probe || (reliable_ && allowed_queueing_ < kMinProbeQueueing * idle_latency_)) return;
+  probe_.record_rejection(now, in_flight, std::max(kMinProbedRequests, kBusyFactor * tier_.concurrency(now)));
+}
+
+// The class that can bear the least bounds the queueing: all classes share the queue.
+void ConcurrencyLimit::update_mix(double now) {
+  double total_rate = 0, mean_idle = 0, min_queueing = std::numeric_limits<double>::infinity();
+  reliable_ = true;
+  for (const ClassState& c : classes_) total_rate += c.responses.at(now);
+  for (const ClassState& c : classes_) {
+    const double part =
+        total_rate > 0 ? c.responses.at(now) / total_rate : 1.0 / static_cast<double>(classes_.size());
+    mean_idle += part * c.idle_latency();
+    if (part < kMinClassPart) continue;
+    reliable_ = reliable_ && c.idle.is_reliable();
+    const double slack = c.latency_objective - c.idle_latency();
+    min_queueing =
+        std::min(min_queueing, std::max(kQueueingPerIdle * c.idle_latency(), kQueueingPerSlack * slack));
   }
-  natural_ = weighted;
-  wait_ = std::isfinite(least) ? least : natural_;
-  waits_until_ = now + kWaitsKept;
+  idle_latency_ = mean_idle;
+  allowed_queueing_ = std::isfinite(min_queueing) ? min_queueing : idle_latency_;
+  next_update_at_ = now + kMixUpdateInterval;
 }
 
-// ---------------------------------------------------------------- how much room that makes
-
 double ConcurrencyLimit::unqueued() const {
-  return std::clamp((kQueuedStretch - stretch_.mean) / (kQueuedStretch - kIdleStretch), 0.0, 1.0);
+  return std::clamp((kQueuedStretch - stretch_.mean) / (kQueuedStretch - kUnqueuedStretch), 0.0, 1.0);
 }
 
-// Calls in flight at which the wait is what it may be, by the answers that come. Answers that show no queue
-// are proof of more room than they use: then a few of them are enough to go by. Danger: under a queue the
-// quick measure would take chance for room.
-double ConcurrencyLimit::by_answers(const Throughput& t, double now) const {
-  const double steady = t.steady(now, natural_ + wait_);
-  const double rise = std::max(0.0, t.quick(now, natural_ + wait_) - steady);
-  return std::max((natural_ + wait_) * (steady + unqueued() * rise), t.worked_on(now));
+// Requests in flight at which queueing is as long as allowed, by the responses that come. Responses without a
+// queue prove more capacity than they use, so a few of them raise the limit; under a queue the fast rate
+// would take random variation for capacity.
+double ConcurrencyLimit::by_responses(const Throughput& throughput, double now) const {
+  const double steady = throughput.steady_rate(now, response_time());
+  const double rise = std::max(0.0, throughput.fast_rate(now, response_time()) - steady);
+  return std::max(response_time() * (steady + unqueued() * rise), throughput.concurrency(now));
 }
 
-double ConcurrencyLimit::at_server(double now, const Throughput& server, double met_at,
-                                   double sharers) const {
-  return unmeasured_room(now, met_at) / sharers + kServerPart * by_answers(server, now);
+double ConcurrencyLimit::server_limit(double now, const Throughput& server, double since,
+                                      double replicas) const {
+  return initial_limit(now, since) / replicas + kServerFactor * by_responses(server, now);
 }
 
-double ConcurrencyLimit::at_all(double now, double servers, double met_at, double sharers) const {
-  // Danger: what chance needs at each of many copies is a crowd over all: it is given in calm only.
-  const double calm = std::clamp((kCrowded - recent_.mean) / (kCrowded - kCalm), 0.0, 1.0);
-  const double room = unmeasured_room(now, met_at) * servers / sharers + by_answers(all_, now);
-  return std::min(room + calm * (kChance + kNoise * std::sqrt(room)), trial_.bound(now));
+// Random variation is allowed for only while latency is low: what each of many replicas needs for it would
+// sum to a crowd.
+double ConcurrencyLimit::tier_limit(double now, double servers, double since, double replicas) const {
+  const double calm =
+      std::clamp((kCrowdedRatio - objective_ratio_.mean) / (kCrowdedRatio - kCalmRatio), 0.0, 1.0);
+  const double limit = initial_limit(now, since) * servers / replicas + by_responses(tier_, now);
+  const double variation = kMinVariation + kVariationDeviations * std::sqrt(limit);
+  return std::min(limit + calm * variation, probe_.bound(now));
 }
 
 }  // namespace thymewood
--- a/policy/tenant_limiter.h
+++ b/policy/tenant_limiter.h
@@ -1,7 +1,7 @@
-// A tenant's limit: how many calls a second it may make, learned from its own calls, and the suppressed
-// strategy of the design page by which calls beyond it are denied. Nothing here knows of servers.
+// Rate limiting of one tenant: a limit learned from the results of its own requests, beyond which requests
+// are denied with a probability (suppression). Nothing here knows of servers.
 //
-// Times are seconds on the module's clock; limits and rates are calls a second.
+// Times are seconds on the host's clock; limits and rates are requests per second.
 #pragma once
 
 #include "random.h"
@@ -12,34 +12,40 @@
 
 class TenantLimiter {
  public:
-  // Without an allowance there is no limit.
-  TenantLimiter(const Tenant& told, const Settings& settings);
+  // Without a quota there is no limit.
+  TenantLimiter(const Tenant& tenant, const Settings& settings);
 
-  // Whether one more call may go; it is counted either way.
+  // Whether one more request is admitted; it is counted either way.
   bool admits(double now, Random& random);
 
-  // Whether the tenant has not had its share of late. Danger: where others flood the tier, what is worth
-  // little takes all the room. Less room for those instead would feed on itself: room is learned from
-  // answers.
-  bool is_within_share(double now) const;
+  // Whether the tenant has used no more than its quota of late. Such requests get more capacity, since
+  // tenants that flood the tier would otherwise take all of it. Giving those less instead would feed on
+  // itself: the concurrency limit is learned from responses.
+  bool is_within_quota(double now) const;
 
-  // Learns, a step with each call that ends. `unqueued`: 1 where answers show no queue, 0 where they do.
-  // Danger: calls end a feedback delay after they were let in; a second in which all end badly takes a part
-  // of a limit and no more, however high it is.
-  void ended(double now, bool badly, double unqueued);
+  // Adjusts the limit by the end of one request. `unqueued`: 1 where responses show no queue, 0 where they
+  // do. Requests end some time after they were admitted, so that a second of failures may take only a part of
+  // a limit, however high it is.
+  void record_success(double now, double unqueued);
+  void record_overload();
 
-  // This copy's part of the allowance is so many times what it was.
-  void share_anew(double factor);
+  // This replica's part of the quota is now so many times what it was.
+  void scale_quota(double factor);
 
   TenantLimitView view(double now) const;
 
  private:
-  double factor_of(const SlidingWindow::Sums& sums) const;
+  double suppression(const SlidingWindow::Sums& sums) const;
+  double step() const;
 
   SlidingWindow window_;
-  bool first_tier_;
-  double limit_, start_, floor_ = 0, worth_ = 1;  // worth: of what exceeds the start
-  double factor_ = 0, factor_until_;
+  bool is_first_tier_;
+  double limit_;
+  double initial_limit_;
+  double min_limit_ = 0;
+  double over_quota_weight_ = 1;  // of what exceeds the initial limit
+  double cached_suppression_ = 0;
+  double cached_until_;
 };
 
 }  // namespace thymewood
--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -23,7 +23,7 @@
       echo "policy: only the library's pure parts may be included" >&2
       exit 1
     fi
-    if grep -nE '#include "' "${files[@]}" | grep -vE '"(thymewood/(actions|balancer|events|settings)|capacity|concurrency_limit|concurrency_probe|decaying_rate|endpoint_lease|estimate|idempotency|latency_statistics|outlier_detection|pending_requests|random|relative_latency|retry_policy|server_selector|server_table|shedding_statistics|sliding_window|slow_start|subset|tenant_limiter|watch_backoff)\.h"$'; then
+    if grep -nE '#include "' "${files[@]}" | grep -vE '"(thymewood/(actions|balancer|events|settings)|capacity|concurrency_limit|concurrency_probe|decaying_rate|endpoint_lease|estimate|idempotency|idle_latency|latency_statistics|outlier_detection|pending_requests|random|relative_latency|retry_policy|server_selector|server_table|shedding_statistics|sliding_window|slow_start|subset|tenant_limiter|throughput|watch_backoff)\.h"$'; then
       echo "policy: only policy headers may be included" >&2
       exit 1
     fi ;;
--- a/tests/policy/concurrency_limit_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -29,39 +29,39 @@
   void run(double seconds, double rate, double elapsed, std::size_t c = 0) {
     for (const double end = now + seconds; now < end;) {
       now += 1 / rate;
-      room.answered(now, c, elapsed, rate * elapsed, elapsed, server);
-      room.took(now, c, elapsed);
+      room.record_success(now, c, elapsed, rate * elapsed, elapsed, server);
+      room.record_latency(now, c, elapsed);
     }
   }
-  double all() const { return room.at_all(now, 1, 0, 1); }
+  double all() const { return room.tier_limit(now, 1, 0, 1); }
 };
 
 // Answers of one share of the aim, a hundred a second.
-void feed(IdleTime& idle, double& now, double seconds, double part, bool queued) {
+void feed(IdleLatency& idle, double& now, double seconds, double part, bool queued) {
   for (const double end = now + seconds; now < end; now += 0.01) idle.add(now, part, queued);
 }
 
-TEST(IdleTime, TheFirstSecondsTeachNothing) {
-  IdleTime idle;
+TEST(IdleLatency, TheFirstSecondsTeachNothing) {
+  IdleLatency idle;
   for (int i = 0; i < 290; ++i) idle.add(i * 0.01, 0.001, false);
-  EXPECT_DOUBLE_EQ(idle.part_of_aim(), 0.15);
-  EXPECT_FALSE(idle.sure());
+  EXPECT_DOUBLE_EQ(idle.ratio(), 0.15);
+  EXPECT_FALSE(idle.is_reliable());
   for (int i = 290; i < 320; ++i) idle.add(i * 0.01, 0.001, false);
-  EXPECT_NEAR(idle.part_of_aim(), 0.001, 1e-4);
-  EXPECT_TRUE(idle.sure());
+  EXPECT_NEAR(idle.ratio(), 0.001, 1e-4);
+  EXPECT_TRUE(idle.is_reliable());
 }
 
-TEST(IdleTime, WhatIsProvenHasNoBound) {
-  IdleTime idle;
+TEST(IdleLatency, WhatIsProvenHasNoBound) {
+  IdleLatency idle;
   double now = 0;
   feed(idle, now, 5, 0.4, true);
-  ASSERT_LE(idle.part_of_aim(), 0.3);
-  idle.prove(now);
-  EXPECT_TRUE(idle.sure());
+  ASSERT_LE(idle.ratio(), 0.3);
+  idle.confirm_unqueued(now);
+  EXPECT_TRUE(idle.is_reliable());
   feed(idle, now, 20, 0.4, true);
-  EXPECT_NEAR(idle.part_of_aim(), 0.4, 0.01) << "it stays";
+  EXPECT_NEAR(idle.ratio(), 0.4, 0.01) << "it stays";
   feed(idle, now, 20, 0.1, true);
-  EXPECT_LT(idle.part_of_aim(), 0.15) << "a quicker tier is believed as ever";
+  EXPECT_LT(idle.ratio(), 0.15) << "a quicker tier is believed as ever";
 }
 
 // Danger: the queue at a server that many copies use is as long when one of them has half as many calls
@@ -73,70 +73,70 @@
     double now = 0, owed = 0;
     while (now < 12) {
       now += 0.001;
-      const double in_flight = std::min(200.0, room.crowd_bound(now));
-      room.refused(now, in_flight, true, sharers);
+      const double in_flight = std::min(200.0, room.probed_bound(now));
+      room.record_rejection(now, in_flight, true, sharers);
       for (owed += in_flight / 0.4 * 0.001; owed >= 1; owed -= 1) {
-        room.answered(now, 0, 0.4, in_flight, 0.4, server);
-        room.took(now, 0, 0.4);
+        room.record_success(now, 0, 0.4, in_flight, 0.4, server);
+        room.record_latency(now, 0, 0.4);
       }
     }
-    return room.natural();
+    return room.idle_latency();
   };
   EXPECT_NEAR(idle_after_trials(1), 0.4, 0.01) << "alone, it has seen that calls take so long";
   EXPECT_LE(idle_after_trials(8), 0.3) << "eight, who see what a queue makes look the same";
 }
 
-TEST(IdleTime, FallsSoonAndRisesSlowly) {
-  IdleTime idle;
+TEST(IdleLatency, FallsSoonAndRisesSlowly) {
+  IdleLatency idle;
   double now = 0;
   feed(idle, now, 5, 0.1, false);
-  ASSERT_NEAR(idle.part_of_aim(), 0.1, 0.005);
+  ASSERT_NEAR(idle.ratio(), 0.1, 0.005);
   feed(idle, now, 15, 0.2, false);
-  const double risen = idle.part_of_aim();
+  const double risen = idle.ratio();
   EXPECT_GT(risen, 0.11);
   EXPECT_LT(risen, 0.14);
   feed(idle, now, 15, 0.05, false);
-  EXPECT_LT(idle.part_of_aim(), 0.06);
+  EXPECT_LT(idle.ratio(), 0.06);
 }
 
-TEST(IdleTime, AStartUnderRefusalsIsNotTakenForIdle) {
-  IdleTime queued, calm;
+TEST(IdleLatency, AStartUnderRefusalsIsNotTakenForIdle) {
+  IdleLatency queued, calm;
   for (int i = 0; i < 320; ++i) {
     queued.add(i * 0.01, 0.6, true);
     calm.add(i * 0.01, 0.6, false);
   }
-  EXPECT_LE(queued.part_of_aim(), 0.16);
-  EXPECT_FALSE(queued.sure());
-  EXPECT_DOUBLE_EQ(calm.part_of_aim(), 0.3);  // never more: no queue is idle
+  EXPECT_LE(queued.ratio(), 0.16);
+  EXPECT_FALSE(queued.is_reliable());
+  EXPECT_DOUBLE_EQ(calm.ratio(), 0.3);  // never more: no queue is idle
   // While it is in doubt, it rises four times as fast: a slow tier would starve under what was guessed.
   for (int i = 320; i < 1800; ++i) queued.add(i * 0.01, 0.6, true);
-  EXPECT_GT(queued.part_of_aim(), 0.25);
+  EXPECT_GT(queued.ratio(), 0.25);
 }
 
 TEST(Throughput, TheQuickMeasureFollowsAStepAndTheSteadyOneLags) {
   Throughput t;
   for (int i = 1; i <= 100; ++i) t.add(i * 0.001, 0.02, 0.1);
-  EXPECT_LT(t.steady(0.1, 0.1), 100);
-  EXPECT_GT(t.quick(0.1, 0.1), 500);
+  EXPECT_LT(t.steady_rate(0.1, 0.1), 100);
+  EXPECT_GT(t.fast_rate(0.1, 0.1), 500);
   for (int i = 101; i <= 10000; ++i) t.add(i * 0.001, 0.02, 0.1);
-  EXPECT_NEAR(t.steady(10, 0.1), 1000, 20);
+  EXPECT_NEAR(t.steady_rate(10, 0.1), 1000, 20);
 }
 
 TEST(Throughput, RemembersForAWhileWhatWasWorkedOnAtOnce) {
   Throughput t;
   for (int i = 1; i <= 60000; ++i) t.add(i * 0.001, 0.02, 0.1);
-  EXPECT_NEAR(t.worked_on(60), 20, 1);
-  EXPECT_NEAR(t.worked_on(120), 20 / std::exp(1), 1);
+  EXPECT_NEAR(t.concurrency(60), 20, 1);
+  EXPECT_NEAR(t.concurrency(120), 20 / std::exp(1), 1);
   Throughput unsure;
   for (int i = 1; i <= 1000; ++i) unsure.add(i * 0.001, 0, 0.1);
-  EXPECT_EQ(unsure.worked_on(1), 0);
+  EXPECT_EQ(unsure.concurrency(1), 0);
 }
 
 TEST(ConcurrencyLimit, IsWhatTheAimsAllowForTheAnswersThatCome) {
   Feed feed({class_with(1)});
   feed.run(30, 1000, 0.02);
-  EXPECT_NEAR(feed.room.natural(), 0.02, 0.001);
-  EXPECT_NEAR(feed.room.wait(), 0.245, 0.002);  // a quarter of what the aim leaves
+  EXPECT_NEAR(feed.room.idle_latency(), 0.02, 0.001);
+  EXPECT_NEAR(feed.room.allowed_queueing(), 0.245, 0.002);  // a quarter of what the aim leaves
   const double by_little = 1000 * 0.265;
   EXPECT_GT(feed.all(), by_little);
   EXPECT_LT(feed.all(), 1.25 * by_little);
@@ -149,25 +149,25 @@
   Feed late({c}), never({class_with(1)});
   late.run(30, 1000, 0.02);
   never.run(30, 1000, 0.02);
-  EXPECT_NEAR(late.room.wait(), 0.25 * (1.2 - 0.02), 0.002);
-  EXPECT_NEAR(never.room.wait(), 0.25 * (1 - 0.02), 0.002);
+  EXPECT_NEAR(late.room.allowed_queueing(), 0.25 * (1.2 - 0.02), 0.002);
+  EXPECT_NEAR(never.room.allowed_queueing(), 0.25 * (1 - 0.02), 0.002);
   // What calls take under refusals is guessed by the same measure.
   c.late_value = 1;
-  EXPECT_NEAR(ConcurrencyLimit({c}).natural(), 0.15 * 1.5, 1e-9);
+  EXPECT_NEAR(ConcurrencyLimit({c}).idle_latency(), 0.15 * 1.5, 1e-9);
   c.client_timeout = std::numeric_limits<double>::infinity();
-  EXPECT_NEAR(ConcurrencyLimit({c}).natural(), 0.15, 1e-9) << "no end, no part of it";
+  EXPECT_NEAR(ConcurrencyLimit({c}).idle_latency(), 0.15, 1e-9) << "no end, no part of it";
 }
 
 TEST(ConcurrencyLimit, TheLeastPatientClassSaysHowLongAllMayWait) {
   Feed feed({class_with(0.1), class_with(10)});
   feed.run(20, 500, 0.05, 1);
-  EXPECT_GT(feed.room.wait(), 2) << "nobody else is there";
+  EXPECT_GT(feed.room.allowed_queueing(), 2) << "nobody else is there";
   for (int i = 0; i < 100; ++i) {
     feed.run(0.1, 500, 0.05, 1);
     feed.run(0.1, 500, 0.01, 0);
   }
-  EXPECT_LT(feed.room.wait(), 0.026);
-  EXPECT_NEAR(feed.room.natural(), 0.03, 0.005) << "by the mix";
+  EXPECT_LT(feed.room.allowed_queueing(), 0.026);
+  EXPECT_NEAR(feed.room.idle_latency(), 0.03, 0.005) << "by the mix";
 }
 
 TEST(ConcurrencyLimit, AClassThatHardlyComesDoesNotSay) {
@@ -176,7 +176,7 @@
     feed.run(1, 500, 0.05, 1);
     feed.run(0.002, 500, 0.01, 0);
   }
-  EXPECT_GT(feed.room.wait(), 2);
+  EXPECT_GT(feed.room.allowed_queueing(), 2);
 }
 
 TEST(ConcurrencyLimit, GrowsWithinAFewAnswersWhereTheyMeetNoQueueAndNotBehindOne) {
@@ -202,10 +202,10 @@
 TEST(ConcurrencyLimit, StartsWithSomeCallsAServerOverAllCopies) {
   const ConcurrencyLimit room({class_with(1)});
   const Throughput none;
-  EXPECT_DOUBLE_EQ(room.at_server(0, none, 0, 1), 8);
-  EXPECT_DOUBLE_EQ(room.at_server(0, none, 0, 8), 1);
-  EXPECT_NEAR(room.at_server(100, none, 0, 1), 2, 1e-9);
-  EXPECT_GT(room.at_all(0, 10, 0, 1), 80);
+  EXPECT_DOUBLE_EQ(room.server_limit(0, none, 0, 1), 8);
+  EXPECT_DOUBLE_EQ(room.server_limit(0, none, 0, 8), 1);
+  EXPECT_NEAR(room.server_limit(100, none, 0, 1), 2, 1e-9);
+  EXPECT_GT(room.tier_limit(0, 10, 0, 1), 80);
 }
 
 TEST(ConcurrencyLimit, AimsOfNothingAndWithoutEndAreTakenForWithinBounds) {
--- a/tests/policy/concurrency_probe_test.cpp
+++ b/tests/policy/concurrency_probe_test.cpp
@@ -28,12 +28,12 @@
       const double wanted = std::min(wanted_, bound);
       in_flight_ += std::clamp(wanted - in_flight_, -rate_(in_flight_) * kStep, kMostIn * kStep);
       lowest_ = std::min(lowest_, bound);
-      if (refusing) trial.refused(now_, in_flight_, kLeast);
+      if (refusing) trial.record_rejection(now_, in_flight_, kLeast);
       owed_ += rate_(in_flight_) * kStep;
       for (; owed_ >= 1; owed_ -= 1) {
         ++answered;
-        trial.answered(now_, kWork, in_flight_, in_flight_ / rate_(in_flight_),
-                       in_flight_ / rate_(in_flight_));
+        trial.record_response(now_, kWork, in_flight_, in_flight_ / rate_(in_flight_),
+                              in_flight_ / rate_(in_flight_));
       }
     }
     return answered / seconds;
@@ -57,11 +57,11 @@
   ConcurrencyProbe idle, queued;
   Plant workers_left([](double in_flight) { return 20 * in_flight + 1; }, 50);
   workers_left.run(idle, 10);
-  EXPECT_TRUE(idle.take_proof());
-  EXPECT_FALSE(idle.take_proof()) << "once for each trial";
+  EXPECT_TRUE(idle.take_unqueued_proof());
+  EXPECT_FALSE(idle.take_unqueued_proof()) << "once for each trial";
   Plant full(queue, 400);
   full.run(queued, 10);
-  EXPECT_FALSE(queued.take_proof());
+  EXPECT_FALSE(queued.take_unqueued_proof());
 }
 
 TEST(ConcurrencyProbe, FindsThatFewerCallsGetMoreDoneAndStaysThere) {
@@ -136,7 +136,7 @@
   Plant plant(crowd, 400);
   plant.run(trial, 10);
   ASSERT_LT(trial.bound(plant.now()), 160);
-  trial.forget();
+  trial.reset();
   EXPECT_EQ(trial.bound(plant.now()), ConcurrencyProbe::kNoBound);
 }
 
--- a/tests/policy/endpoint_lease_test.cpp
+++ b/tests/policy/endpoint_lease_test.cpp
@@ -126,7 +126,7 @@
   Random random(1);
   double sum = 0, least = 100, most = 0;
   for (int i = 0; i < 1000; ++i) {
-    const double pause = retry.pause_after(WatchFailure{false, 2}, random);
+    const double pause = retry.next_delay(WatchFailure{false, 2}, random);
     sum += pause;
     least = std::min(least, pause);
     most = std::max(most, pause);
@@ -141,11 +141,11 @@
     WatchBackoff retry(10);
     Random random(seed);
     double after_move = 0;
-    for (int i = 0; i < 5; ++i) after_move += retry.pause_after(WatchFailure{false, 0.01}, random);
+    for (int i = 0; i < 5; ++i) after_move += retry.next_delay(WatchFailure{false, 0.01}, random);
     EXPECT_LT(after_move, 4);
-    for (int i = 0; i < 20; ++i) retry.pause_after(WatchFailure{false, 0.01}, random);
+    for (int i = 0; i < 20; ++i) retry.next_delay(WatchFailure{false, 0.01}, random);
     double three = 0;
-    for (int i = 0; i < 3; ++i) three += retry.pause_after(WatchFailure{false, 0.01}, random);
+    for (int i = 0; i < 3; ++i) three += retry.next_delay(WatchFailure{false, 0.01}, random);
     EXPECT_LT(three, 6);
   }
 }
@@ -155,8 +155,8 @@
   WatchBackoff usual(10), hasty(1);
   double most = 0, most_hasty = 0;
   for (int i = 0; i < 200; ++i) {
-    most = std::max(most, usual.pause_after(WatchFailure{true, 0}, random));
-    most_hasty = std::max(most_hasty, hasty.pause_after(WatchFailure{true, 0}, random));
+    most = std::max(most, usual.next_delay(WatchFailure{true, 0}, random));
+    most_hasty = std::max(most_hasty, hasty.next_delay(WatchFailure{true, 0}, random));
   }
   EXPECT_GT(most, 1.8);
   EXPECT_LT(most_hasty, 0.25) << "a list that may be used for 1 s is asked for well within that";
@@ -177,7 +177,7 @@
             [] {
               const auto retry = std::make_shared<WatchBackoff>(10);
               return bench::PausePolicy(
-                  [retry](const auto& failure, auto& dice) { return retry->pause_after(failure, dice); });
+                  [retry](const auto& failure, auto& dice) { return retry->next_delay(failure, dice); });
             },
             seed);
         EXPECT_LT(result.last(), 30) << nodes << " nodes, " << all_calls << " s for all, seed " << seed;
