--- a/tests/policy/balancer_harness.h
+++ b/tests/policy/balancer_harness.h
@@ -1,4 +1,5 @@
-// What the tests share: a balancer that remembers its clock and hands back the actions of each event.
+// Shared by the policy tests: settings, endpoint lists, and a replica that remembers its clock and returns
+// the actions of each event.
 #pragma once
 
 #include <string>
@@ -37,19 +38,19 @@
   return s;
 }
 
-inline EndpointUpdate members(int count) {
+inline EndpointUpdate endpoints(int count) {
   EndpointUpdate m;
   for (int i = 0; i < count; ++i) m.endpoints.push_back(server(i));
   return m;
 }
 
-// By the rules' own table of outcomes, for the checkers.
-inline bool proves_unrun(Outcome o) {
+// By the specified table of outcomes, independent of the policy's own.
+inline bool proves_not_run(Outcome o) {
   return o == Outcome::kRejected || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
 }
 
-struct Copy {
-  explicit Copy(const Settings& settings, std::uint64_t seed = 1) : balancer(settings, seed) {}
+struct Replica {
+  explicit Replica(const Settings& settings, std::uint64_t seed = 1) : balancer(settings, seed) {}
 
   std::vector<Action> at(double time, const Event& event) {
     now = time;
@@ -82,4 +83,33 @@
   return out;
 }
 
+inline std::size_t final_answers(const std::vector<Action>& actions) {
+  return all<Reject>(actions).size() + all<Fail>(actions).size();
+}
+
+inline constexpr Outcome kFailures[] = {Outcome::kError,         Outcome::kRejected, Outcome::kTimedOut,
+                                        Outcome::kConnectFailed, Outcome::kReset,    Outcome::kCancelled,
+                                        Outcome::kNotSent,       Outcome::kUnknown};
+
+// With a quota that no test reaches, so that the tenant limiter denies nothing.
+inline Settings settings_with_ample_quota() {
+  Settings s = basic_settings();
+  s.tenants = {{1000.0}};
+  return s;
+}
+
+// Sends one request and ends each attempt with the outcome that `outcome_of` gives for its server, until no
+// attempt follows; returns the servers tried. A success takes 50 ms, other ends 1 ms.
+template <typename OutcomeOf>
+std::vector<std::string> run_to_end(Replica& replica, const std::string& id, const OutcomeOf& outcome_of) {
+  std::vector<std::string> tried;
+  for (auto sends = all<Send>(replica.request(id)); !sends.empty();) {
+    tried.push_back(sends[0].server);
+    const Outcome outcome = outcome_of(tried.back());
+    sends = all<Send>(replica.end(id, outcome, static_cast<int>(tried.size()) - 1,
+                                  outcome == Outcome::kSuccess ? 0.05 : 0.001));
+  }
+  return tried;
+}
+
 }  // namespace thymewood
--- /dev/null
+++ b/tests/policy/balancer_test.cpp
@@ -0,0 +1,184 @@
+// The handlers of events: one final answer to each request, early rejection, the watch on discovery.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <optional>
+
+#include "balancer_harness.h"
+
+namespace thymewood {
+namespace {
+
+TEST(Balancer, GivesTheSameActionsForTheSameSeedAndEvents) {
+  const auto run = [] {
+    Replica replica(basic_settings(), 99);
+    replica.at(5, endpoints(12));
+    std::string out;
+    for (int i = 0; i < 200; ++i) {
+      for (const Send& send : all<Send>(replica.request(std::to_string(i)))) out += send.server + " ";
+    }
+    return out;
+  };
+  EXPECT_EQ(run(), run());
+}
+
+TEST(Balancer, IgnoresARequestWhoseIdIsPending) {
+  Replica replica(basic_settings());
+  replica.at(0, endpoints(2));
+  ASSERT_EQ(all<Send>(replica.request("r")).size(), 1U);
+  EXPECT_TRUE(replica.request("r").empty());
+  EXPECT_TRUE(replica.end("r", Outcome::kSuccess).empty());
+}
+
+TEST(Balancer, ToleratesNumbersOutOfRange) {
+  Replica replica(basic_settings());
+  replica.at(0, endpoints(2));
+  EXPECT_EQ(all<Send>(replica.request("a", 77, 88)).size(), 1U);
+  EXPECT_TRUE(replica.end("a", Outcome::kSuccess, 9).empty());
+  EXPECT_TRUE(replica.end("a", Outcome::kSuccess, -1).empty());
+  EXPECT_TRUE(replica.end("never", Outcome::kSuccess).empty());
+  EXPECT_TRUE(replica.at(0, TimerFired{12345}).empty());
+  EXPECT_TRUE(replica.at(0, RequestAbandoned{"never"}).empty());
+  EXPECT_GE(replica.balancer.tenant(0, 1234).rate_limit, 0);
+}
+
+// Orders in which an outcome and the client's disconnect can meet.
+TEST(FinalAnswer, IsGivenOnceInEveryOrderOfEvents) {
+  for (const Outcome outcome : kFailures) {
+    for (const bool abandoned_first : {false, true}) {
+      Settings s = basic_settings(class_of(Idempotency::kNotIdempotent));
+      s.max_attempts = 1;
+      Replica replica(s);
+      replica.at(0, endpoints(3));
+      ASSERT_EQ(all<Send>(replica.request("r")).size(), 1U);
+      replica.now = 1;
+      std::vector<Action> after;
+      if (abandoned_first) {
+        after = replica.at(1, RequestAbandoned{"r"});
+        EXPECT_EQ(final_answers(after), 0U);
+        EXPECT_EQ(all<Cancel>(after).size(), 1U);
+        after = replica.end("r", outcome);
+        EXPECT_EQ(final_answers(after), 0U);
+      } else {
+        after = replica.end("r", outcome);
+        EXPECT_EQ(final_answers(after), 1U);
+        EXPECT_TRUE(replica.at(1, RequestAbandoned{"r"}).empty());
+      }
+      EXPECT_TRUE(all<Send>(after).empty());
+      EXPECT_TRUE(replica.end("r", outcome).empty()) << "the same outcome twice";
+    }
+  }
+}
+
+TEST(FinalAnswer, IsNotNeededAfterASuccess) {
+  Replica replica(basic_settings());
+  replica.at(0, endpoints(3));
+  replica.request("r");
+  EXPECT_TRUE(replica.end("r", Outcome::kSuccess).empty());
+  EXPECT_TRUE(replica.at(0, RequestAbandoned{"r"}).empty());
+}
+
+TEST(FinalAnswer, ComesBeforeTheClientTimeout) {
+  RequestClass c = class_of(Idempotency::kNotIdempotent);
+  c.late_value = 0.5;
+  Replica replica(basic_settings(c));
+  replica.at(0, endpoints(3));
+  Request r;
+  r.id = "r";
+  r.time_left = 0.7;
+  const auto sends = all<Send>(replica.at(0, r));
+  ASSERT_EQ(sends.size(), 1U);
+  EXPECT_LE(sends[0].timeout, 0.7);
+  EXPECT_GT(sends[0].timeout, 0);
+}
+
+TEST(FinalAnswer, IsARejectionWithoutServers) {
+  Replica nothing_known(basic_settings());
+  EXPECT_EQ(all<Reject>(nothing_known.request("a")).size(), 1U);
+  Replica draining(basic_settings());
+  EndpointUpdate m = endpoints(3);
+  for (Endpoint& s : m.endpoints) s.state = EndpointState::kDraining;
+  draining.at(0, m);
+  EXPECT_EQ(all<Reject>(draining.request("a")).size(), 1U);
+}
+
+// Clients whose timeout may be shorter than responses take: such requests are rejected at once, so that the
+// client may come back.
+struct ImpatientClients {
+  explicit ImpatientClients(int tier = 0, Idempotency idempotency = Idempotency::kNotIdempotent) {
+    Settings s = settings_with_ample_quota();
+    s.classes = {class_of(idempotency)};
+    s.tier = tier;
+    replica.emplace(s);
+    replica->at(0, endpoints(4));
+  }
+  // How many of so many requests are sent.
+  int sent(double time_left, int requests = 100) {
+    int out = 0;
+    for (int i = 0; i < requests; ++i) {
+      Request r;
+      r.id = "h" + std::to_string(++request_count);
+      r.time_left = time_left;
+      const auto actions = replica->at(replica->now + 0.02, r);
+      out += static_cast<int>(all<Send>(actions).size());
+      EXPECT_EQ(all<Send>(actions).size() + all<Reject>(actions).size(), 1U);
+      if (!all<Send>(actions).empty()) replica->end(r.id, Outcome::kSuccess);
+    }
+    return out;
+  }
+  std::optional<Replica> replica;
+  int request_count = 0;
+};
+
+TEST(TooLittleTime, IsRejectedOnceTheLatencyIsLearned) {
+  ImpatientClients clients;
+  EXPECT_EQ(clients.sent(0.05, 19), 19) << "nothing is learned yet";
+  for (int i = 0; i < 5; ++i) clients.sent(6);  // answers take 0.1 s
+  EXPECT_LT(clients.sent(0.05), 15);
+  EXPECT_EQ(clients.sent(0.2), 100);
+}
+
+// A latency that was learned under load would otherwise shut out those clients for good.
+TEST(TooLittleTime, StillSendsASample) {
+  ImpatientClients clients;
+  for (int i = 0; i < 5; ++i) clients.sent(6);
+  int tried = 0;
+  for (int i = 0; i < 10; ++i) tried += clients.sent(0.05);
+  EXPECT_GT(tried, 20);
+}
+
+TEST(TooLittleTime, IsSentPastTheFirstTier) {
+  ImpatientClients clients(1);
+  for (int i = 0; i < 5; ++i) clients.sent(6);
+  EXPECT_EQ(clients.sent(0.05), 100);
+}
+
+TEST(Watch, IsOpenedAtTheStartAndAgainAfterFailures) {
+  Settings s = basic_settings();
+  s.uses_watch = true;
+  s.poll_interval = 10;
+  Replica replica(s);
+  EXPECT_EQ(all<WatchEndpoints>(replica.at(0, Started{})).size(), 1U);
+  EndpointUpdate failed;
+  failed.form = EndpointUpdate::Form::kFailed;
+  double now = 0;
+  for (int i = 0; i < 12; ++i) {
+    const auto timers = all<SetTimer>(replica.at(now, failed));
+    ASSERT_EQ(timers.size(), 1U);
+    EXPECT_GT(timers[0].at, now);
+    EXPECT_LE(timers[0].at, now + 5) << "within the time after which it counts as notified";
+    now = timers[0].at;
+    EXPECT_EQ(all<WatchEndpoints>(replica.at(now, TimerFired{timers[0].token})).size(), 1U);
+  }
+}
+
+TEST(Watch, IsNotOpenedWithoutTheSetting) {
+  Replica replica(basic_settings());
+  EXPECT_TRUE(replica.at(0, Started{}).empty());
+  EndpointUpdate failed;
+  failed.form = EndpointUpdate::Form::kFailed;
+  EXPECT_TRUE(replica.at(0, failed).empty());
+}
+
+}  // namespace
+}  // namespace thymewood
--- a/tests/policy/concurrency_probe_test.cpp
+++ b/tests/policy/concurrency_probe_test.cpp
@@ -1,5 +1,5 @@
-// Trials of fewer calls in flight, against a plant that is written here: how much is answered a second at so
-// many calls in flight, without chance.
+// Probes of lower limits against a simulated tier that answers at a fixed rate for each number of requests in
+// flight.
 #include "concurrency_probe.h"
 
 #include <gtest/gtest.h>
@@ -10,29 +10,30 @@
 namespace thymewood {
 namespace {
 
-constexpr double kWork = 0.01;  // s of each call
-constexpr double kLeast = 12;
+constexpr double kWork = 0.01;  // s of each request
+constexpr double kMinLimit = 12;
 
-// As many calls as are let in, up to `wanted`, are in flight; `rate` says how many are answered a second.
-class Plant {
+// As many requests as are admitted, up to `wanted`, are in flight; `rate`: responses per second at that
+// number.
+class Tier {
  public:
-  Plant(std::function<double(double)> rate, double wanted) : rate_(std::move(rate)), wanted_(wanted) {}
+  Tier(std::function<double(double)> rate, double wanted) : rate_(std::move(rate)), wanted_(wanted) {}
 
-  // Returns the calls answered a second, in the mean.
-  double run(ConcurrencyProbe& trial, double seconds, bool refusing = true) {
+  // Returns the mean of responses per second.
+  double run(ConcurrencyProbe& probe, double seconds, bool rejecting = true) {
     const double end = now_ + seconds;
     double answered = 0;
     while (now_ < end) {
       now_ += kStep;
-      const double bound = trial.bound(now_);
+      const double bound = probe.bound(now_);
       const double wanted = std::min(wanted_, bound);
-      in_flight_ += std::clamp(wanted - in_flight_, -rate_(in_flight_) * kStep, kMostIn * kStep);
+      in_flight_ += std::clamp(wanted - in_flight_, -rate_(in_flight_) * kStep, kMaxArrivals * kStep);
       lowest_ = std::min(lowest_, bound);
-      if (refusing) trial.record_rejection(now_, in_flight_, kLeast);
+      if (rejecting) probe.record_rejection(now_, in_flight_, kMinLimit);
       owed_ += rate_(in_flight_) * kStep;
       for (; owed_ >= 1; owed_ -= 1) {
         ++answered;
-        trial.record_response(now_, kWork, in_flight_, in_flight_ / rate_(in_flight_),
+        probe.record_response(now_, kWork, in_flight_, in_flight_ / rate_(in_flight_),
                               in_flight_ / rate_(in_flight_));
       }
     }
@@ -44,7 +45,7 @@
   double lowest() const { return lowest_; }
 
  private:
-  static constexpr double kStep = 0.001, kMostIn = 2000;  // s; calls a second that come at the most
+  static constexpr double kStep = 0.001, kMaxArrivals = 2000;  // s; requests per second at most
   std::function<double(double)> rate_;
   double wanted_, now_ = 0, in_flight_ = 0, owed_ = 0, lowest_ = ConcurrencyProbe::kNoBound;
 };
@@ -52,92 +53,91 @@
 double queue(double in_flight) { return 50 * std::min(in_flight, 32.0) + 1; }
 double crowd(double in_flight) { return in_flight < 160 ? queue(in_flight) : queue(in_flight) / 3; }
 
-// Danger: where the aim is a few times what calls take, a start's guess refuses calls that met no queue.
-TEST(ConcurrencyProbe, CallsThatTakeAsLongWithFewerInFlightMetNoQueue) {
+// Where the objective is a few times the idle latency, the initial guess rejects requests that met no queue.
+TEST(ConcurrencyProbe, ProvesThatRequestsMetNoQueue) {
   ConcurrencyProbe idle, queued;
-  Plant workers_left([](double in_flight) { return 20 * in_flight + 1; }, 50);
-  workers_left.run(idle, 10);
+  Tier spare_workers([](double in_flight) { return 20 * in_flight + 1; }, 50);
+  spare_workers.run(idle, 10);
   EXPECT_TRUE(idle.take_unqueued_proof());
-  EXPECT_FALSE(idle.take_unqueued_proof()) << "once for each trial";
-  Plant full(queue, 400);
+  EXPECT_FALSE(idle.take_unqueued_proof()) << "once for each probe";
+  Tier full(queue, 400);
   full.run(queued, 10);
   EXPECT_FALSE(queued.take_unqueued_proof());
 }
 
-TEST(ConcurrencyProbe, FindsThatFewerCallsGetMoreDoneAndStaysThere) {
-  ConcurrencyProbe trial;
-  Plant plant(crowd, 400);
-  plant.run(trial, 10);
-  EXPECT_LT(trial.bound(plant.now()), 160);
-  EXPECT_GT(plant.run(trial, 60), 0.97 * 1600);
+TEST(ConcurrencyProbe, KeepsALowerLimitThatGetsMoreDone) {
+  ConcurrencyProbe probe;
+  Tier tier(crowd, 400);
+  tier.run(probe, 10);
+  EXPECT_LT(probe.bound(tier.now()), 160);
+  EXPECT_GT(tier.run(probe, 60), 0.97 * 1600);
 }
 
-TEST(ConcurrencyProbe, AnyQueueIsWorthAsMuchSoNoneIsCut) {
-  ConcurrencyProbe trial;
-  Plant plant(queue, 400);
-  EXPECT_GT(plant.run(trial, 120), 0.97 * 1600);
-  EXPECT_EQ(trial.bound(plant.now()), ConcurrencyProbe::kNoBound);
-  EXPECT_LT(plant.lowest(), 400);  // it was tried
+TEST(ConcurrencyProbe, KeepsAQueueThatDoesNoHarm) {
+  ConcurrencyProbe probe;
+  Tier tier(queue, 400);
+  EXPECT_GT(tier.run(probe, 120), 0.97 * 1600);
+  EXPECT_EQ(probe.bound(tier.now()), ConcurrencyProbe::kNoBound);
+  EXPECT_LT(tier.lowest(), 400);  // it was probed
 }
 
-TEST(ConcurrencyProbe, WithoutRefusalsNothingIsTried) {
-  ConcurrencyProbe trial;
-  Plant plant(crowd, 100);
-  plant.run(trial, 60, false);
-  EXPECT_EQ(plant.lowest(), ConcurrencyProbe::kNoBound);
+TEST(ConcurrencyProbe, ProbesNothingWithoutRejections) {
+  ConcurrencyProbe probe;
+  Tier tier(crowd, 100);
+  tier.run(probe, 60, false);
+  EXPECT_EQ(tier.lowest(), ConcurrencyProbe::kNoBound);
 }
 
-TEST(ConcurrencyProbe, FewerThanTheLeastAreNeverTried) {
-  ConcurrencyProbe trial;
-  Plant plant([](double n) { return n < 4 ? 1000.0 : 100.0; }, 20);
-  plant.run(trial, 120);
-  EXPECT_GE(plant.lowest(), kLeast);
+TEST(ConcurrencyProbe, NeverProbesBelowTheMinimum) {
+  ConcurrencyProbe probe;
+  Tier tier([](double n) { return n < 4 ? 1000.0 : 100.0; }, 20);
+  tier.run(probe, 120);
+  EXPECT_GE(tier.lowest(), kMinLimit);
 }
 
-TEST(ConcurrencyProbe, WhereAnswersAreTooFewToMeasureNothingIsHeldBack) {
-  ConcurrencyProbe trial;
-  Plant plant([](double n) { return n < 160 ? 16.0 : 5.0; }, 400);
-  plant.run(trial, 300);
-  EXPECT_EQ(plant.lowest(), ConcurrencyProbe::kNoBound);
+TEST(ConcurrencyProbe, ProbesNothingWhereResponsesAreTooFew) {
+  ConcurrencyProbe probe;
+  Tier tier([](double n) { return n < 160 ? 16.0 : 5.0; }, 400);
+  tier.run(probe, 300);
+  EXPECT_EQ(tier.lowest(), ConcurrencyProbe::kNoBound);
 }
 
-// Guards against a first refusal with a call or two in flight that keeps a crowd from being found for a
-// minute.
-TEST(ConcurrencyProbe, ATrialThatCouldNotBeginIsThoughtOfAgainSoon) {
-  ConcurrencyProbe trial;
-  Plant few(crowd, 10);
-  few.run(trial, 3);
-  Plant many(crowd, 400);
+// A first rejection with a request or two in flight must not keep a crowd from being found for a minute.
+TEST(ConcurrencyProbe, RetriesAPostponedProbeSoon) {
+  ConcurrencyProbe probe;
+  Tier few(crowd, 10);
+  few.run(probe, 3);
+  Tier many(crowd, 400);
   many.skip(few.now());
-  many.run(trial, 10);
-  EXPECT_LT(trial.bound(many.now()), 160);
+  many.run(probe, 10);
+  EXPECT_LT(probe.bound(many.now()), 160);
 }
 
-TEST(ConcurrencyProbe, ABoundIsLiftedOnceNothingIsRefused) {
-  ConcurrencyProbe trial;
-  Plant plant(crowd, 400);
-  plant.run(trial, 10);
-  ASSERT_LT(trial.bound(plant.now()), 160);
-  plant.run(trial, 15, false);
-  EXPECT_GT(trial.bound(plant.now()), 400);
+TEST(ConcurrencyProbe, LiftsTheBoundOnceNothingIsRejected) {
+  ConcurrencyProbe probe;
+  Tier tier(crowd, 400);
+  tier.run(probe, 10);
+  ASSERT_LT(probe.bound(tier.now()), 160);
+  tier.run(probe, 15, false);
+  EXPECT_GT(probe.bound(tier.now()), 400);
 }
 
-TEST(ConcurrencyProbe, ABoundRisesWhereMoreGetsMoreDone) {
-  ConcurrencyProbe trial;
-  Plant plant(crowd, 400);
-  plant.run(trial, 10);
-  plant.change([](double n) { return 50 * std::min(n, 300.0) + 1; });  // ten times the workers
-  plant.run(trial, 100);
-  EXPECT_GT(plant.run(trial, 30), 0.9 * 15000);
+TEST(ConcurrencyProbe, RaisesTheBoundWhereMoreGetsMoreDone) {
+  ConcurrencyProbe probe;
+  Tier tier(crowd, 400);
+  tier.run(probe, 10);
+  tier.change([](double n) { return 50 * std::min(n, 300.0) + 1; });  // ten times the workers
+  tier.run(probe, 100);
+  EXPECT_GT(tier.run(probe, 30), 0.9 * 15000);
 }
 
-TEST(ConcurrencyProbe, ForgetsWithTheServers) {
-  ConcurrencyProbe trial;
-  Plant plant(crowd, 400);
-  plant.run(trial, 10);
-  ASSERT_LT(trial.bound(plant.now()), 160);
-  trial.reset();
-  EXPECT_EQ(trial.bound(plant.now()), ConcurrencyProbe::kNoBound);
+TEST(ConcurrencyProbe, ForgetsTheBoundOnReset) {
+  ConcurrencyProbe probe;
+  Tier tier(crowd, 400);
+  tier.run(probe, 10);
+  ASSERT_LT(probe.bound(tier.now()), 160);
+  probe.reset();
+  EXPECT_EQ(probe.bound(tier.now()), ConcurrencyProbe::kNoBound);
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/policy/idempotency_test.cpp
@@ -0,0 +1,78 @@
+// No request takes effect twice.
+#include <gtest/gtest.h>
+
+#include <map>
+#include <optional>
+#include <utility>
+
+#include "balancer_harness.h"
+
+namespace thymewood {
+namespace {
+
+EndpointUpdate two_cells() {
+  EndpointUpdate m;
+  for (int i = 0; i < 8; ++i) m.endpoints.push_back(server(i, i % 2, i / 2));
+  return m;
+}
+
+// Every class and scope against every failure: what may be retried, where, and what may be rejected.
+TEST(Idempotency, RestrictsRetriesByClassScopeAndOutcome) {
+  const std::pair<Idempotency, DedupScope> kinds[] = {{Idempotency::kIdempotent, DedupScope::kCell},
+                                                      {Idempotency::kIdempotentWithKey, DedupScope::kAll},
+                                                      {Idempotency::kIdempotentWithKey, DedupScope::kZone},
+                                                      {Idempotency::kIdempotentWithKey, DedupScope::kCell},
+                                                      {Idempotency::kNotIdempotent, DedupScope::kCell}};
+  std::map<std::string, Endpoint> listed;
+  for (const Endpoint& s : two_cells().endpoints) listed[s.address] = s;
+  for (const auto& [idempotency, scope] : kinds) {
+    for (const Outcome first : kFailures) {
+      for (std::uint64_t seed = 1; seed <= 20; ++seed) {
+        Replica replica(basic_settings(class_of(idempotency, scope)), seed);
+        replica.at(0, two_cells());
+        std::optional<Endpoint> may_have_run;
+        std::string id = "r";
+        auto actions = replica.request(id);
+        for (int attempt = 0; attempt < 10; ++attempt) {
+          const auto sends = all<Send>(actions);
+          if (sends.empty()) {
+            EXPECT_EQ(final_answers(actions), 1U);
+            if (!all<Reject>(actions).empty() && may_have_run && idempotency != Idempotency::kIdempotent) {
+              EXPECT_TRUE(idempotency == Idempotency::kIdempotentWithKey && scope == DedupScope::kAll);
+            }
+            break;
+          }
+          ASSERT_EQ(sends.size(), 1U);
+          const Endpoint& s = listed[sends[0].server];
+          if (may_have_run) {
+            EXPECT_NE(idempotency, Idempotency::kNotIdempotent);
+            if (idempotency == Idempotency::kIdempotentWithKey && scope == DedupScope::kZone) {
+              EXPECT_EQ(s.zone, may_have_run->zone);
+            }
+            if (idempotency == Idempotency::kIdempotentWithKey && scope == DedupScope::kCell) {
+              EXPECT_EQ(s.cell, may_have_run->cell);
+            }
+          }
+          const Outcome outcome = attempt == 0 ? first : Outcome::kConnectFailed;
+          if (!may_have_run && !proves_not_run(outcome)) may_have_run = s;
+          replica.now += 0.05;
+          actions = replica.end(id, outcome, attempt);
+          ASSERT_LT(attempt, 9);
+        }
+      }
+    }
+  }
+}
+
+TEST(Idempotency, AllowsNoRetryAfterTheDedupWindow) {
+  RequestClass c = class_of(Idempotency::kIdempotentWithKey, DedupScope::kAll);
+  c.dedup_window = 0.5;
+  Replica replica(basic_settings(c));
+  replica.at(0, endpoints(4));
+  ASSERT_EQ(all<Send>(replica.request("r")).size(), 1U);
+  replica.now = 0.6;
+  EXPECT_TRUE(all<Send>(replica.end("r", Outcome::kError)).empty());
+}
+
+}  // namespace
+}  // namespace thymewood
--- a/tests/policy/property_test.cpp
+++ b/tests/policy/property_test.cpp
@@ -1,5 +1,5 @@
-// The rules under anything: long seeded sequences of events over many settings, watched by a checker that is
-// written from the rules' wording and shares nothing with the module.
+// The rules under random events: long seeded sequences over many settings, checked by a model that is written
+// from the protocol and shares nothing with the policy.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -11,130 +11,130 @@
 namespace thymewood {
 namespace {
 
-struct Sent {
+struct SentAttempt {
   std::string server;
   double at = 0;
   bool open = true;
-  bool may_have_run = true;  // until an outcome proves that it never did
+  bool may_have_run = true;  // until an outcome proves that it did not
 };
 
-struct Held {
+struct TrackedRequest {
   std::size_t request_class = 0;
-  double due = 0;  // when the client gives up
-  std::vector<Sent> sent;
-  bool concluded = false;  // the request has its final answer, or nobody waits for one
+  double due = 0;  // the client timeout
+  std::vector<SentAttempt> sent;
+  bool concluded = false;  // the request has its final answer, or its client has left
 };
 
-// Everything that a host knows: what it told the copy and what the copy asked for.
-class Watcher {
+// Plays the host: it knows the events it has sent and the actions it was asked for.
+class RuleChecker {
  public:
-  Watcher(const Settings& settings, std::uint64_t seed)
-      : settings_(settings), copy_(settings, seed), dice_(seed) {}
+  RuleChecker(const Settings& settings, std::uint64_t seed)
+      : settings_(settings), replica_(settings, seed), rng_(seed) {}
 
   void play(int steps) {
-    tell({EndpointUpdate::Form::kFull, some_servers()});
+    notify({EndpointUpdate::Form::kFull, some_servers()});
     for (int i = 0; i < steps && !testing::Test::HasFailure(); ++i) {
-      now_ += roll(20) == 0 ? 5.0 * part() : 0.02 * part();  // mostly steady, sometimes a jump
+      now_ += roll(20) == 0 ? 5.0 * fraction() : 0.02 * fraction();  // mostly steady, sometimes a jump
       expire();
       step(i);
     }
     now_ += 100;
     expire();
-    for (const auto& [id, held] : held_) {
-      EXPECT_TRUE(held.concluded) << id << " never got a final answer";
+    for (const auto& [id, request] : requests_) {
+      EXPECT_TRUE(request.concluded) << id << " never got a final answer";
     }
   }
 
  private:
-  int roll(int sides) { return static_cast<int>(dice_() % static_cast<unsigned>(sides)); }
-  double part() { return static_cast<double>(roll(1000)) / 1000; }
+  int roll(int sides) { return static_cast<int>(rng_() % static_cast<unsigned>(sides)); }
+  double fraction() { return static_cast<double>(roll(1000)) / 1000; }
 
   std::vector<Endpoint> some_servers() {
     std::vector<Endpoint> out;
     for (int i = 0; i < 12; ++i) {
       if (roll(4) == 0) continue;
       Endpoint s = server(i, i % 2, i / 3);
-      if (roll(3) == 0) s.started_at = now_ - part();
+      if (roll(3) == 0) s.started_at = now_ - fraction();
       s.state = static_cast<EndpointState>(roll(5) < 3 ? 0 : roll(3));
       out.push_back(s);
     }
     return out;
   }
 
-  void tell(const EndpointUpdate& update) {
+  void notify(const EndpointUpdate& update) {
     if (update.form == EndpointUpdate::Form::kFull) usable_.clear();
     for (const Endpoint& s : update.endpoints) {
-      told_[s.address] = s;
+      listed_[s.address] = s;
       usable_[s.address] = s.state == EndpointState::kReady;
     }
-    check(copy_.at(now_, update));
+    check(replica_.at(now_, update));
   }
 
-  // The host ends what runs out of time, as a wire would: a time-out for each open attempt.
+  // Ends what runs out of time: a time-out for each attempt in flight.
   void expire() {
-    for (auto& [id, held] : held_) {
-      if (now_ < held.due) continue;
-      for (std::size_t i = 0; i < held.sent.size(); ++i) {
-        if (held.sent[i].open) end(id, held, i, Outcome::kTimedOut);
+    for (auto& [id, request] : requests_) {
+      if (now_ < request.due) continue;
+      for (std::size_t i = 0; i < request.sent.size(); ++i) {
+        if (request.sent[i].open) end(id, request, i, Outcome::kTimedOut);
       }
     }
   }
 
-  void end(const std::string& id, Held& held, std::size_t attempt, Outcome outcome) {
-    Sent& sent = held.sent[attempt];
+  void end(const std::string& id, TrackedRequest& request, std::size_t attempt, Outcome outcome) {
+    SentAttempt& sent = request.sent[attempt];
     sent.open = false;
-    sent.may_have_run = !proves_unrun(outcome);
-    if (outcome == Outcome::kSuccess) held.concluded = true;
-    const AttemptResult result{id, static_cast<int>(attempt), outcome, now_ - sent.at, held.concluded};
-    check(copy_.at(now_, result));
+    sent.may_have_run = !proves_not_run(outcome);
+    if (outcome == Outcome::kSuccess) request.concluded = true;
+    const AttemptResult result{id, static_cast<int>(attempt), outcome, now_ - sent.at, request.concluded};
+    check(replica_.at(now_, result));
     if (roll(8) != 0) return;
-    EXPECT_TRUE(copy_.at(now_, result).empty()) << "the same outcome twice";
+    EXPECT_TRUE(replica_.at(now_, result).empty()) << "the same outcome twice";
   }
 
   void step(int i) {
     const int what = roll(10);
     if (what < 4) {
       const std::string id = "r" + std::to_string(i);
-      Held& held = held_[id];
-      held.request_class = static_cast<std::size_t>(roll(static_cast<int>(settings_.classes.size())));
-      const double left = roll(30) == 0 ? 0 : 6 * part();
-      held.due = now_ + left;
+      TrackedRequest& request = requests_[id];
+      request.request_class = static_cast<std::size_t>(roll(static_cast<int>(settings_.classes.size())));
+      const double left = roll(30) == 0 ? 0 : 6 * fraction();
+      request.due = now_ + left;
       Request r;
       r.id = id;
-      r.request_class = held.request_class;
+      r.request_class = request.request_class;
       r.tenant = static_cast<std::size_t>(roll(3));
       r.time_left = left;
-      check(copy_.at(now_, r));
-      EXPECT_TRUE(held.concluded || any_open(held)) << id << " is held with nothing out";
+      check(replica_.at(now_, r));
+      EXPECT_TRUE(request.concluded || any_open(request)) << id << " is pending without an attempt in flight";
     } else if (what < 8) {
       end_some();
-    } else if (what == 8 && !held_.empty()) {
-      auto it = held_.lower_bound("r" + std::to_string(roll(std::max(1, i))));
-      if (it == held_.end() || it->second.concluded) return;
+    } else if (what == 8 && !requests_.empty()) {
+      auto it = requests_.lower_bound("r" + std::to_string(roll(std::max(1, i))));
+      if (it == requests_.end() || it->second.concluded) return;
       it->second.concluded = true;  // the client left
-      check(copy_.at(now_, RequestAbandoned{it->first}));
+      check(replica_.at(now_, RequestAbandoned{it->first}));
     } else if (roll(4) == 0) {
       const int form = roll(3);
-      tell({static_cast<EndpointUpdate::Form>(form), form == 2 ? std::vector<Endpoint>() : some_servers()});
+      notify({static_cast<EndpointUpdate::Form>(form), form == 2 ? std::vector<Endpoint>() : some_servers()});
     } else {
-      check(copy_.at(now_, TimerFired{static_cast<std::uint64_t>(roll(3))}));
+      check(replica_.at(now_, TimerFired{static_cast<std::uint64_t>(roll(3))}));
     }
   }
 
   void end_some() {
     std::vector<std::pair<std::string, std::size_t>> open;
-    for (const auto& [id, held] : held_) {
-      for (std::size_t i = 0; i < held.sent.size(); ++i) {
-        if (held.sent[i].open) open.emplace_back(id, i);
+    for (const auto& [id, request] : requests_) {
+      for (std::size_t i = 0; i < request.sent.size(); ++i) {
+        if (request.sent[i].open) open.emplace_back(id, i);
       }
     }
     if (open.empty()) return;
     const auto& [id, attempt] = open[static_cast<std::size_t>(roll(static_cast<int>(open.size())))];
-    end(id, held_[id], attempt, roll(2) == 0 ? Outcome::kSuccess : static_cast<Outcome>(roll(9)));
+    end(id, requests_[id], attempt, roll(2) == 0 ? Outcome::kSuccess : static_cast<Outcome>(roll(9)));
   }
 
-  static bool any_open(const Held& held) {
-    for (const Sent& sent : held.sent) {
+  static bool any_open(const TrackedRequest& request) {
+    for (const SentAttempt& sent : request.sent) {
       if (sent.open) return true;
     }
     return false;
@@ -143,62 +143,62 @@
   void check(const std::vector<Action>& actions) {
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<Send>(&action)) check_send(*send);
-      if (const auto* refuse = std::get_if<Reject>(&action)) check_final(refuse->id, true);
+      if (const auto* reject = std::get_if<Reject>(&action)) check_final(reject->id, true);
       if (const auto* fail = std::get_if<Fail>(&action)) check_final(fail->id, false);
       if (const auto* cancel = std::get_if<Cancel>(&action)) {
         EXPECT_TRUE(settings_.can_cancel);
-        EXPECT_LT(static_cast<std::size_t>(cancel->attempt), held_[cancel->id].sent.size());
+        EXPECT_LT(static_cast<std::size_t>(cancel->attempt), requests_[cancel->id].sent.size());
       }
     }
   }
 
-  void check_final(const std::string& id, bool refused) {
-    Held& held = held_.at(id);
-    EXPECT_FALSE(held.concluded) << id << " got two final answers";
-    held.concluded = true;
-    const RequestClass& c = settings_.classes[held.request_class];
+  void check_final(const std::string& id, bool rejected) {
+    TrackedRequest& request = requests_.at(id);
+    EXPECT_FALSE(request.concluded) << id << " got two final answers";
+    request.concluded = true;
+    const RequestClass& c = settings_.classes[request.request_class];
     const bool harmless =
         c.idempotency == Idempotency::kIdempotent ||
         (c.idempotency == Idempotency::kIdempotentWithKey && c.dedup_scope == DedupScope::kAll);
-    if (!refused || harmless) return;
-    for (const Sent& sent : held.sent)
-      EXPECT_FALSE(sent.may_have_run) << id << " refused, but it may have run";
+    if (!rejected || harmless) return;
+    for (const SentAttempt& sent : request.sent)
+      EXPECT_FALSE(sent.may_have_run) << id << " rejected, but it may have run";
   }
 
   void check_send(const Send& send) {
-    Held& held = held_.at(send.id);
-    EXPECT_FALSE(held.concluded) << send.id << " sent after its final answer";
-    EXPECT_TRUE(usable_[send.server]) << send.server << " drains, is gone or was never told";
+    TrackedRequest& request = requests_.at(send.id);
+    EXPECT_FALSE(request.concluded) << send.id << " sent after its final answer";
+    EXPECT_TRUE(usable_[send.server]) << send.server << " is draining, removed or was never listed";
     EXPECT_GT(send.timeout, 0);
-    EXPECT_LE(now_ + send.timeout, held.due + 1e-9) << "no time would be left for a final answer";
-    EXPECT_LT(held.sent.size(), static_cast<std::size_t>(settings_.max_attempts));
-    const RequestClass& c = settings_.classes[held.request_class];
-    for (const Sent& before : held.sent) {
-      EXPECT_TRUE(settings_.can_hedge || !before.open) << send.id << " has two attempts out";
+    EXPECT_LE(now_ + send.timeout, request.due + 1e-9) << "no time would be left for a final answer";
+    EXPECT_LT(request.sent.size(), static_cast<std::size_t>(settings_.max_attempts));
+    const RequestClass& c = settings_.classes[request.request_class];
+    for (const SentAttempt& before : request.sent) {
+      EXPECT_TRUE(settings_.can_hedge || !before.open) << send.id << " has two attempts in flight";
       if (c.idempotency == Idempotency::kIdempotent || !before.may_have_run) continue;
       EXPECT_NE(c.idempotency, Idempotency::kNotIdempotent) << send.id << " may run twice";
-      EXPECT_LE(now_, before.at + c.dedup_window) << send.id << " after the servers forgot it";
-      const Endpoint& a = told_[before.server];
-      const Endpoint& b = told_[send.server];
+      EXPECT_LE(now_, before.at + c.dedup_window) << send.id << " after the dedup window";
+      const Endpoint& a = listed_[before.server];
+      const Endpoint& b = listed_[send.server];
       EXPECT_TRUE(c.dedup_scope != DedupScope::kZone || a.zone == b.zone) << "another zone may repeat it";
       EXPECT_TRUE(c.dedup_scope != DedupScope::kCell || a.cell == b.cell) << "another cell may repeat it";
     }
-    held.sent.push_back({send.server, now_});
+    request.sent.push_back({send.server, now_});
   }
 
   Settings settings_;
-  Copy copy_;
-  std::mt19937 dice_;
+  Replica replica_;
+  std::mt19937 rng_;
   double now_ = 50;
-  std::map<std::string, Held> held_;
-  std::map<std::string, Endpoint> told_;
+  std::map<std::string, TrackedRequest> requests_;
+  std::map<std::string, Endpoint> listed_;
   std::map<std::string, bool> usable_;
 };
 
-TEST(Property, TheRulesHoldUnderAnything) {
+TEST(Property, RulesHoldUnderRandomEvents) {
   for (unsigned seed = 1; seed <= 120 && !HasFailure(); ++seed) {
-    std::mt19937 dice(seed);
-    const auto roll = [&](int sides) { return static_cast<int>(dice() % static_cast<unsigned>(sides)); };
+    std::mt19937 rng(seed);
+    const auto roll = [&](int sides) { return static_cast<int>(rng() % static_cast<unsigned>(sides)); };
     Settings s = basic_settings();
     s.classes = {class_of(Idempotency::kIdempotent),
                  class_of(Idempotency::kIdempotentWithKey, static_cast<DedupScope>(roll(3))),
@@ -218,7 +218,7 @@
     s.cross_zone_cost = roll(2) * 0.01;
     s.tenants = {{1.0 + roll(3000)}, {}};
     SCOPED_TRACE("seed " + std::to_string(seed));
-    Watcher(s, seed).play(1500);
+    RuleChecker(s, seed).play(1500);
   }
 }
 
--- a/tests/policy/replica_set_test.cpp
+++ b/tests/policy/replica_set_test.cpp
@@ -1,5 +1,5 @@
-// What the module makes of a fleet that has changed: its part of the servers and of an allowance moves, and
-// nothing that a list or a rule forbids becomes allowed.
+// A replica set that has changed: its parts of the servers and of a quota change with it, and nothing that
+// the endpoint list or a rule forbids becomes allowed.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,9 +13,9 @@
 
 constexpr int kServers = 40;
 
-Settings of_copy(int copy, int count) {
+Settings settings_of(int replica, int count) {
   Settings s;
-  s.replica_index = copy;
+  s.replica_index = replica;
   s.replica_count = count;
   s.max_attempts = 2;
   RequestClass c;
@@ -37,20 +37,20 @@
   return out;
 }
 
-class Copy {
+class ReplicaUnderTest {
  public:
-  Copy(const Settings& settings, int servers) : balancer_(settings, 7) {
-    tell(list_of(servers));
-    tell(Started{});
+  ReplicaUnderTest(const Settings& settings, int servers) : balancer_(settings, 7) {
+    notify(list_of(servers));
+    notify(Started{});
   }
-  void tell(const Event& event) { actions_of(event); }
-  // To which servers so many calls go, each answered at once.
-  std::map<std::string, int> send(int calls) {
+  void notify(const Event& event) { actions_of(event); }
+  // Sends so many requests, each answered at once; returns how many each server got.
+  std::map<std::string, int> send(int requests) {
     std::map<std::string, int> out;
-    for (int i = 0; i < calls; ++i) {
+    for (int i = 0; i < requests; ++i) {
       now_ += 0.01;
       Request r;
-      r.id = "r" + std::to_string(++asked_);
+      r.id = "r" + std::to_string(++requests_);
       r.time_left = 2;
       for (const Action& action : actions_of(r)) {
         const auto* sent = std::get_if<Send>(&action);
@@ -73,7 +73,7 @@
   }
   Balancer balancer_;
   double now_ = 1;
-  int asked_ = 0;
+  int requests_ = 0;
 };
 
 std::set<std::string> names(const std::map<std::string, int>& sent) {
@@ -82,71 +82,71 @@
   return out;
 }
 
-TEST(ReplicaSetChanged, GivesAnotherPartOfTheServers) {
-  Copy copy(of_copy(9, 20), kServers);
-  const std::set<std::string> before = names(copy.send(400));
+TEST(ReplicaSetChanged, ChangesTheSubset) {
+  ReplicaUnderTest replica(settings_of(9, 20), kServers);
+  const std::set<std::string> before = names(replica.send(400));
   EXPECT_EQ(before.size(), 5u);
-  copy.tell(ReplicaSetChanged{3, 20, 20, false});
-  const std::set<std::string> after = names(copy.send(400));
+  replica.notify(ReplicaSetChanged{3, 20, 20, false});
+  const std::set<std::string> after = names(replica.send(400));
   EXPECT_EQ(after.size(), 5u);
   EXPECT_NE(before, after);
-  copy.tell(ReplicaSetChanged{9, 20, 20, false});
-  EXPECT_EQ(names(copy.send(400)), before);
+  replica.notify(ReplicaSetChanged{9, 20, 20, false});
+  EXPECT_EQ(names(replica.send(400)), before);
 }
 
-TEST(ReplicaSetChanged, OfHalfTheCopiesCoversWhatTheOthersLeft) {
-  std::set<std::string> told, live;
+TEST(ReplicaSetChanged, CoversAllServersWithHalfTheReplicas) {
+  std::set<std::string> by_settings, live;
   for (int rank = 0; rank < 10; ++rank) {
     // Of twenty, the first ten died.
-    Copy copy(of_copy(10 + rank, 20), kServers);
-    for (const std::string& name : names(copy.send(400))) told.insert(name);
-    copy.tell(ReplicaSetChanged{rank, 10, 20, false});
-    for (const std::string& name : names(copy.send(800))) live.insert(name);
+    ReplicaUnderTest replica(settings_of(10 + rank, 20), kServers);
+    for (const std::string& name : names(replica.send(400))) by_settings.insert(name);
+    replica.notify(ReplicaSetChanged{rank, 10, 20, false});
+    for (const std::string& name : names(replica.send(800))) live.insert(name);
   }
-  EXPECT_LT(told.size(), 30u) << "by the told count servers stay bare";
+  EXPECT_LT(by_settings.size(), 30u) << "by the configured count some servers have no replica";
   EXPECT_EQ(live.size(), static_cast<std::size_t>(kServers));
 }
 
-TEST(ReplicaSetChanged, WhileItMovesPartsAreWider) {
-  Copy copy(of_copy(2, 8), kServers);
-  EXPECT_EQ(names(copy.send(2000)).size(), 10u) << "two copies a server";
-  copy.tell(ReplicaSetChanged{2, 8, 8, true});
-  EXPECT_EQ(names(copy.send(4000)).size(), 25u) << "five";
-  copy.tell(ReplicaSetChanged{2, 8, 8, false});
-  EXPECT_EQ(names(copy.send(2000)).size(), 10u);
+TEST(ReplicaSetChanged, WidensSubsetsWhileSettling) {
+  ReplicaUnderTest replica(settings_of(2, 8), kServers);
+  EXPECT_EQ(names(replica.send(2000)).size(), 10u) << "two replicas a server";
+  replica.notify(ReplicaSetChanged{2, 8, 8, true});
+  EXPECT_EQ(names(replica.send(4000)).size(), 25u) << "five";
+  replica.notify(ReplicaSetChanged{2, 8, 8, false});
+  EXPECT_EQ(names(replica.send(2000)).size(), 10u);
 }
 
-TEST(ReplicaSetChanged, ThatCanNotBeChangesNothing) {
-  Copy copy(of_copy(9, 20), kServers);
-  const std::set<std::string> before = names(copy.send(400));
+TEST(ReplicaSetChanged, IsIgnoredWhenInvalid) {
+  ReplicaUnderTest replica(settings_of(9, 20), kServers);
+  const std::set<std::string> before = names(replica.send(400));
   for (const ReplicaSetChanged& wrong :
        {ReplicaSetChanged{-1, 5, 5, false}, ReplicaSetChanged{5, 5, 5, false},
         ReplicaSetChanged{0, 0, 0, false}})
-    copy.tell(wrong);
-  EXPECT_EQ(names(copy.send(400)), before);
+    replica.notify(wrong);
+  EXPECT_EQ(names(replica.send(400)), before);
 }
 
-TEST(ReplicaSetChanged, AddsNoServerAndLiftsNoDrain) {
-  Copy copy(of_copy(1, 4), 6);
+TEST(ReplicaSetChanged, MakesNoServerUsable) {
+  ReplicaUnderTest replica(settings_of(1, 4), 6);
   EndpointUpdate drain;
   drain.form = EndpointUpdate::Form::kDelta;
   drain.endpoints = list_of(3, EndpointState::kDraining).endpoints;
-  copy.tell(drain);
-  copy.tell(ReplicaSetChanged{0, 1, 1, true});
-  for (const std::string& name : names(copy.send(500)))
+  replica.notify(drain);
+  replica.notify(ReplicaSetChanged{0, 1, 1, true});
+  for (const std::string& name : names(replica.send(500)))
     EXPECT_TRUE(name == "s3" || name == "s4" || name == "s5") << name;
 }
 
-TEST(ReplicaSetChanged, MovesTheCopysPartOfAnAllowance) {
-  Settings s = of_copy(0, 4);
+TEST(ReplicaSetChanged, ScalesTheReplicasPartOfAQuota) {
+  Settings s = settings_of(0, 4);
   s.tenants.push_back({400.0});
-  Copy copy(s, kServers);
-  const double before = copy.tenant().rate_limit;
+  ReplicaUnderTest replica(s, kServers);
+  const double before = replica.tenant().rate_limit;
   ASSERT_GT(before, 0);
-  copy.tell(ReplicaSetChanged{0, 2, 4, false});
-  EXPECT_NEAR(copy.tenant().rate_limit, 2 * before, 1e-9) << "half of them live: twice the part";
-  copy.tell(ReplicaSetChanged{0, 4, 4, false});
-  EXPECT_NEAR(copy.tenant().rate_limit, before, 1e-9);
+  replica.notify(ReplicaSetChanged{0, 2, 4, false});
+  EXPECT_NEAR(replica.tenant().rate_limit, 2 * before, 1e-9) << "half of them are live: twice the part";
+  replica.notify(ReplicaSetChanged{0, 4, 4, false});
+  EXPECT_NEAR(replica.tenant().rate_limit, before, 1e-9);
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/policy/retry_policy_test.cpp
@@ -0,0 +1,118 @@
+// Retries: their budget, which are free, and how long an attempt may take.
+#include <gtest/gtest.h>
+
+#include <string>
+#include <vector>
+
+#include "balancer_harness.h"
+
+namespace thymewood {
+namespace {
+
+TEST(RetryPolicy, LimitsRetriesByABudget) {
+  Replica replica(basic_settings());
+  replica.at(0, endpoints(4));
+  int firsts = 0;
+  int others = 0;
+  for (int i = 0; i < 300; ++i) {
+    replica.now = i * 0.02;
+    const std::string id = std::to_string(i);
+    auto sends = all<Send>(replica.request(id));
+    firsts += static_cast<int>(sends.size());
+    for (int attempt = 0; !sends.empty(); ++attempt) {
+      sends = all<Send>(replica.end(id, Outcome::kError, attempt));
+      others += static_cast<int>(sends.size());
+    }
+  }
+  EXPECT_GT(others, 0);
+  EXPECT_LT(others, firsts / 4 + 10);
+}
+
+// A connection that is refused, or was dropped while idle, has cost no server any work; an error has, and so
+// has a reset after a while.
+TEST(RetryPolicy, RetriesImmediateFailuresFree) {
+  struct Case {
+    Outcome outcome;
+    double elapsed;
+    bool free;
+  };
+  for (const Case& c : {Case{Outcome::kConnectFailed, 0.001, true}, Case{Outcome::kReset, 0.001, true},
+                        Case{Outcome::kReset, 0.1, false}, Case{Outcome::kConnectFailed, 0.25, false},
+                        Case{Outcome::kError, 0.001, false}}) {
+    Replica replica(settings_with_ample_quota());
+    replica.at(0, endpoints(4));
+    int others = 0;
+    for (int i = 0; i < 100; ++i) {
+      replica.now = i * 0.02;
+      const std::string id = std::to_string(i);
+      ASSERT_EQ(all<Send>(replica.request(id)).size(), 1U);
+      const auto more = all<Send>(replica.end(id, c.outcome, 0, c.elapsed));
+      others += static_cast<int>(more.size());
+      if (!more.empty()) replica.end(id, Outcome::kSuccess, 1);
+    }
+    if (c.free) {
+      EXPECT_EQ(others, 100);
+    } else {
+      EXPECT_LT(others, 15);
+    }
+  }
+}
+
+// Free retries are bounded by max_attempts all the same, and a request that is not idempotent is not retried
+// after a reset, however soon.
+TEST(RetryPolicy, KeepsTheRulesForFreeRetries) {
+  Replica replica(settings_with_ample_quota());
+  replica.at(0, endpoints(4));
+  int sent = static_cast<int>(all<Send>(replica.request("r")).size());
+  for (int attempt = 0; attempt < 20; ++attempt)
+    sent += static_cast<int>(all<Send>(replica.end("r", Outcome::kConnectFailed, attempt, 0.001)).size());
+  EXPECT_EQ(sent, 4) << "max_attempts";
+  Replica full(settings_with_ample_quota());
+  full.at(0, endpoints(8));
+  EXPECT_EQ(run_to_end(full, "r", [](const std::string&) { return Outcome::kRejected; }).size(), 4U)
+      << "max_attempts";
+  Settings s = settings_with_ample_quota();
+  s.classes = {class_of(Idempotency::kNotIdempotent)};
+  Replica not_idempotent(s);
+  not_idempotent.at(0, endpoints(4));
+  ASSERT_EQ(all<Send>(not_idempotent.request("u")).size(), 1U);
+  EXPECT_EQ(all<Fail>(not_idempotent.end("u", Outcome::kReset, 0, 0.001)).size(), 1U);
+}
+
+TEST(RetryPolicy, SendsARetryToAnotherServer) {
+  Replica replica(basic_settings());
+  replica.at(0, endpoints(3));
+  const auto first = all<Send>(replica.request("r"));
+  const auto second = all<Send>(replica.end("r", Outcome::kReset));
+  ASSERT_EQ(second.size(), 1U);
+  EXPECT_NE(first[0].server, second[0].server);
+}
+
+TEST(RetryPolicy, SendsNoMoreThanMaxAttempts) {
+  Settings s = basic_settings();
+  s.max_attempts = 3;
+  Replica replica(s);
+  replica.at(0, endpoints(8));
+  auto actions = replica.request("r");
+  int sends = 0;
+  while (!all<Send>(actions).empty()) actions = replica.end("r", Outcome::kRejected, sends++);
+  EXPECT_LE(sends, 3);
+  EXPECT_EQ(final_answers(actions), 1U);
+}
+
+TEST(AttemptTimeout, FollowsTheObservedLatency) {
+  Replica replica(basic_settings());
+  replica.at(0, endpoints(4));
+  const double before = all<Send>(replica.request("first"))[0].timeout;
+  for (int i = 0; i < 100; ++i) {
+    replica.now = i * 0.1;
+    replica.request(std::to_string(i));
+    replica.end(std::to_string(i), Outcome::kSuccess, 0, 0.05);
+  }
+  const double after = all<Send>(replica.request("last"))[0].timeout;
+  EXPECT_LT(after, before / 2);
+  EXPECT_GT(after, 0.05);
+}
+
+}  // namespace
+}  // namespace thymewood
--- /dev/null
+++ b/tests/policy/server_table_test.cpp
@@ -0,0 +1,79 @@
+// Which servers are known, and what their state in the endpoint list allows.
+#include <gtest/gtest.h>
+
+#include <set>
+#include <string>
+
+#include "balancer_harness.h"
+
+namespace thymewood {
+namespace {
+
+// All servers are replaced again and again; the table must not grow with every server there ever was.
+TEST(ServerTable, ForgetsRemovedServersWithoutPendingRequests) {
+  Replica replica(basic_settings());
+  constexpr int kListed = 5, kChanges = 1000;
+  replica.at(0, endpoints(kListed));
+  const auto sent = all<Send>(replica.request("in_flight"));
+  ASSERT_EQ(sent.size(), 1U);
+  for (int i = kListed; i < kChanges; ++i) {
+    EndpointUpdate change;
+    change.form = i % 7 == 0 ? EndpointUpdate::Form::kFull : EndpointUpdate::Form::kDelta;
+    if (change.form == EndpointUpdate::Form::kFull) {
+      for (int at = i - kListed + 1; at < i; ++at) change.endpoints.push_back(server(at));
+    } else {
+      change.endpoints.push_back(server(i - kListed));
+      change.endpoints.back().state = EndpointState::kRemoved;
+    }
+    change.endpoints.push_back(server(i));
+    replica.at(i, change);
+    const std::string id = "r" + std::to_string(i);
+    ASSERT_EQ(all<Send>(replica.request(id)).size(), 1U);
+    replica.end(id, Outcome::kSuccess);
+  }
+  EXPECT_EQ(replica.balancer.known_endpoints(), kListed + 1U)
+      << "those listed, and the one that the pending request refers to";
+  replica.end("in_flight", Outcome::kSuccess);
+  EXPECT_EQ(replica.balancer.known_endpoints(), static_cast<std::size_t>(kListed));
+}
+
+std::set<std::string> servers_used(Replica& replica, int requests, const std::string& prefix) {
+  std::set<std::string> used;
+  for (int i = 0; i < requests; ++i) {
+    const std::string id = prefix + std::to_string(i);
+    for (const Send& send : all<Send>(replica.request(id))) used.insert(send.server);
+    replica.end(id, Outcome::kSuccess);
+  }
+  return used;
+}
+
+TEST(ServerTable, SendsNothingToDrainingOrRemovedServers) {
+  for (const EndpointState state : {EndpointState::kDraining, EndpointState::kRemoved}) {
+    Replica replica(basic_settings());
+    replica.at(0, endpoints(3));
+    EXPECT_EQ(servers_used(replica, 50, "a").size(), 3U);
+    EndpointUpdate change;
+    change.form = EndpointUpdate::Form::kDelta;
+    change.endpoints = {server(1)};
+    change.endpoints[0].state = state;
+    replica.at(1, change);
+    EXPECT_EQ(servers_used(replica, 50, "b"), (std::set<std::string>{"s0", "s2"}));
+    change.endpoints[0].state = EndpointState::kReady;
+    replica.at(2, change);
+    EXPECT_EQ(servers_used(replica, 50, "c").size(), 3U);
+  }
+}
+
+TEST(ServerTable, RemovesServersMissingFromAFullList) {
+  Replica replica(basic_settings());
+  replica.at(0, endpoints(3));
+  replica.at(1, endpoints(2));
+  EXPECT_EQ(servers_used(replica, 50, "a"), (std::set<std::string>{"s0", "s1"}));
+  EndpointUpdate failed;
+  failed.form = EndpointUpdate::Form::kFailed;
+  replica.at(2, failed);
+  EXPECT_EQ(servers_used(replica, 50, "b"), (std::set<std::string>{"s0", "s1"}));
+}
+
+}  // namespace
+}  // namespace thymewood
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,7 +1,7 @@
-// Servers that have just started: what all nodes together send one of them stays within its budget over every
-// window of the settings' length, however many nodes there are, whatever fails beside it, also where nodes
-// start while it is cold, know another number of nodes than there are, and where it starts twice in a row. In
-// virtual time, over a thousand seeds.
+// Servers that have just started: what all nodes together send to one of them stays within its budget in
+// every window of the given length, whatever the number of nodes and whatever fails beside it, also where
+// nodes start meanwhile, are configured with a wrong number of nodes, or the server starts twice. In virtual
+// time, over a thousand seeds.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,30 +17,30 @@
 struct Deployment {
   const char* name;
   double slow_start_min_capacity, slow_start_window;  // of the settings
-  double multiple, window;                            // x what it can do at that moment, s
+  double multiple, window;                            // x its capacity at that moment, s
 };
-constexpr Deployment kDeployments[] = {{"usual", 0.32, 9, 4, 1},
+constexpr Deployment kDeployments[] = {{"default", 0.32, 9, 4, 1},
                                        {"long_window", 0.3, 6, 2.5, 3},
                                        {"strict", 0.4, 8, 2, 1.5},
-                                       {"cold", 0.14, 24, 3, 0.8}};
+                                       {"low_start", 0.14, 24, 3, 0.8}};
 constexpr int kNodeCounts[] = {1, 2, 3, 12, 60, 300};
 constexpr int kSeedsEach = 42;  // x 4 deployments x 6 counts: 1,008
 
 constexpr int kServers = 10;
-constexpr double kCapacity = 20;                                // calls a second that a warm server can do
-constexpr double kLoad = 0.8;                                   // of all capacity
+constexpr double kCapacity = 20;  // requests per second of a server past its slow start
+constexpr double kLoad = 0.8;     // of all capacity
 constexpr double kFirstStart = 4, kSecondStart = 7, kEnd = 13;  // s
 
-// The protocol's allowance for chance.
+// The random variation that the protocol allows.
 double allowed(double mean) {
   constexpr double kFew = 30;
   return mean < kFew ? mean + 3 * std::sqrt(mean) + 3 : mean + 2 * std::sqrt(mean) + 2;
 }
 
-class ColdDay {
+class SlowStartRun {
  public:
-  ColdDay(const Deployment& deployment, int nodes, std::uint64_t seed)
-      : deployment_(deployment), dice_(seed), seed_(seed) {
+  SlowStartRun(const Deployment& deployment, int nodes, std::uint64_t seed)
+      : deployment_(deployment), rng_(seed), seed_(seed) {
     settings_ = basic_settings();
     settings_.replica_count = nodes;
     settings_.slow_start_min_capacity = deployment.slow_start_min_capacity;
@@ -49,49 +49,49 @@
     // Some nodes believe that there are half as many, or twice.
     for (int i = 0; i < nodes; ++i) nodes_.push_back(start_node(i, 0));
     started_twice_ = unit() < 0.5;
-    bad_servers_ = static_cast<int>(dice_() % kServers);
+    failing_servers_ = static_cast<int>(rng_() % kServers);
   }
 
   // The largest number of sends in a window, in parts of what is allowed there.
   double play() {
-    std::vector<double> told(nodes_.size()), told_again(nodes_.size());
-    for (double& t : told) t = kFirstStart + 0.3 + unit();
-    for (double& t : told_again) t = kSecondStart + 0.3 + unit();
-    const std::size_t reborn = dice_() % nodes_.size();
-    bool is_reborn = false;
+    std::vector<double> notified_at(nodes_.size()), notified_again_at(nodes_.size());
+    for (double& t : notified_at) t = kFirstStart + 0.3 + unit();
+    for (double& t : notified_again_at) t = kSecondStart + 0.3 + unit();
+    const std::size_t restarted = rng_() % nodes_.size();
+    bool has_restarted = false;
     const double rate = kLoad * kServers * kCapacity;
     for (double now = 0; now < kEnd; now += -std::log(1 - unit()) / rate) {
       for (std::size_t i = 0; i < nodes_.size(); ++i) {
-        if (now >= told[i]) tell(i, now, kFirstStart, told[i]);
-        if (started_twice_ && now >= told_again[i]) tell(i, now, kSecondStart, told_again[i]);
+        if (now >= notified_at[i]) notify(i, now, kFirstStart, notified_at[i]);
+        if (started_twice_ && now >= notified_again_at[i]) notify(i, now, kSecondStart, notified_again_at[i]);
       }
-      if (!is_reborn && now > kFirstStart + 2) {
-        is_reborn = true;
-        nodes_[reborn] = start_node(static_cast<int>(reborn), now);
+      if (!has_restarted && now > kFirstStart + 2) {
+        has_restarted = true;
+        nodes_[restarted] = start_node(static_cast<int>(restarted), now);
       }
-      request(dice_() % nodes_.size(), now);
+      request(rng_() % nodes_.size(), now);
     }
     return worst();
   }
 
  private:
-  double unit() { return std::uniform_real_distribution<>(0, 1)(dice_); }
+  double unit() { return std::uniform_real_distribution<>(0, 1)(rng_); }
 
-  std::unique_ptr<Copy> start_node(int number, double now) {
+  std::unique_ptr<Replica> start_node(int number, double now) {
     Settings s = settings_;
     s.replica_index = number;
-    const int wrong = static_cast<int>(dice_() % 4);
+    const int wrong = static_cast<int>(rng_() % 4);
     if (wrong == 1) s.replica_count = std::max(number + 1, s.replica_count / 2);
     if (wrong == 2) s.replica_count *= 2;
-    auto out = std::make_unique<Copy>(s, seed_ * 1000 + static_cast<std::uint64_t>(number) + 1);
-    EndpointUpdate all = members(kServers);
+    auto out = std::make_unique<Replica>(s, seed_ * 1000 + static_cast<std::uint64_t>(number) + 1);
+    EndpointUpdate all = endpoints(kServers);
     if (now > kFirstStart) all.endpoints[0].started_at = kFirstStart;
     if (started_twice_ && now > kSecondStart) all.endpoints[0].started_at = kSecondStart;
     out->at(now, all);
     return out;
   }
 
-  void tell(std::size_t node, double now, double started, double& when) {
+  void notify(std::size_t node, double now, double started, double& when) {
     when = kEnd + 1;
     EndpointUpdate change;
     change.form = EndpointUpdate::Form::kDelta;
@@ -100,21 +100,21 @@
     nodes_[node]->at(now, change);
   }
 
-  // Of the others some turn calls away, and some fail, so that calls come off them: up to all nine.
+  // Of the other servers up to all nine reject or fail, so that their requests are retried elsewhere.
   void request(std::size_t node, double now) {
-    Copy& copy = *nodes_[node];
-    copy.now = now;
-    const std::string id = std::to_string(++asked_);
-    auto sends = all<Send>(copy.request(id));
+    Replica& replica = *nodes_[node];
+    replica.now = now;
+    const std::string id = std::to_string(++requests_);
+    auto sends = all<Send>(replica.request(id));
     for (int attempt = 0; !sends.empty(); ++attempt) {
       const std::string to = sends[0].server;
       if (to == "s0") sent_.push_back(now);
       const int number = std::stoi(to.substr(1));
-      const bool bad = number > 0 && number <= bad_servers_ && now > kFirstStart;
-      const Outcome outcome = !bad              ? Outcome::kSuccess
+      const bool is_failing = number > 0 && number <= failing_servers_ && now > kFirstStart;
+      const Outcome outcome = !is_failing       ? Outcome::kSuccess
                               : number % 2 == 0 ? Outcome::kError
                                                 : Outcome::kRejected;
-      sends = all<Send>(copy.end(id, outcome, attempt, 0.05));
+      sends = all<Send>(replica.end(id, outcome, attempt, 0.05));
     }
   }
 
@@ -122,14 +122,15 @@
     double out = 0;
     const double start = started_twice_ ? kSecondStart : kFirstStart;
     for (std::size_t first = 0; first < sent_.size(); ++first) {
-      if (sent_[first] < start + 1.5) continue;  // until then some nodes have not been told
+      if (sent_[first] < start + 1.5) continue;  // until then some nodes have not been notified
       const auto end = std::lower_bound(sent_.begin(), sent_.end(), sent_[first] + deployment_.window);
       const double age = sent_[first] - start;
-      if (age + deployment_.window > deployment_.slow_start_window) break;  // a warm one may be sent all
-      const double warmth =
+      if (age + deployment_.window > deployment_.slow_start_window)
+        break;  // a server past its slow start may be sent everything
+      const double capacity =
           std::min(1.0, deployment_.slow_start_min_capacity +
                             (1 - deployment_.slow_start_min_capacity) * age / deployment_.slow_start_window);
-      const double mean = deployment_.multiple * kCapacity * warmth * deployment_.window;
+      const double mean = deployment_.multiple * kCapacity * capacity * deployment_.window;
       const auto count = static_cast<double>(end - sent_.begin()) - static_cast<double>(first);
       out = std::max(out, count / allowed(mean));
     }
@@ -137,30 +138,92 @@
   }
 
   Deployment deployment_;
-  std::mt19937_64 dice_;
+  std::mt19937_64 rng_;
   std::uint64_t seed_;
   Settings settings_;
-  std::vector<std::unique_ptr<Copy>> nodes_;
+  std::vector<std::unique_ptr<Replica>> nodes_;
   std::vector<double> sent_;
-  int asked_ = 0;
-  int bad_servers_ = 0;
+  int requests_ = 0;
+  int failing_servers_ = 0;
   bool started_twice_ = false;
 };
 
 class SlowStart : public testing::TestWithParam<int> {};
 
-TEST_P(SlowStart, TheNodesTogetherKeepTheBudgetOfAColdServer) {
+TEST_P(SlowStart, IsKeptByAllNodesTogether) {
   for (const Deployment& deployment : kDeployments) {
     double worst = 0;
     for (int seed = 1; seed <= kSeedsEach; ++seed) {
-      const double part = ColdDay(deployment, GetParam(), static_cast<std::uint64_t>(seed)).play();
+      const double part = SlowStartRun(deployment, GetParam(), static_cast<std::uint64_t>(seed)).play();
       EXPECT_LE(part, 1) << deployment.name << ", seed " << seed;
       worst = std::max(worst, part);
     }
-    EXPECT_GT(worst, 0) << "it gets some work, or it never warms";
+    EXPECT_GT(worst, 0) << "it gets some requests";
   }
 }
 INSTANTIATE_TEST_SUITE_P(Nodes, SlowStart, testing::ValuesIn(kNodeCounts));
 
+// Several replicas and one server that has just started: together they stay within what it has capacity for.
+TEST(SlowStartBudget, IsKeptByAllReplicasTogether) {
+  constexpr int kReplicas = 10;
+  constexpr int kServers = 10;
+  constexpr double kRate = 20;  // a replica; a server's part is 20 a second over all replicas
+  Settings s = basic_settings();
+  s.replica_count = kReplicas;
+  s.slow_start_min_capacity = 0.14;
+  s.slow_start_window = 24;
+  std::vector<double> sends;
+  for (int c = 0; c < kReplicas; ++c) {
+    s.replica_index = c;
+    Replica replica(s, static_cast<std::uint64_t>(c) + 1);
+    replica.at(100, endpoints(kServers));
+    for (int i = 0; i < static_cast<int>(40 * kRate); ++i) {
+      const double now = 100 + i / kRate;
+      if (i == static_cast<int>(10 * kRate)) {
+        EndpointUpdate restart;
+        restart.form = EndpointUpdate::Form::kDelta;
+        restart.endpoints = {server(0)};
+        restart.endpoints[0].started_at = 109;
+        replica.at(now, restart);
+      }
+      replica.now = now;
+      const std::string id = std::to_string(i);
+      for (const Send& send : all<Send>(replica.request(id))) {
+        if (send.server == "s0" && now >= 110) sends.push_back(now);
+      }
+      replica.end(id, Outcome::kSuccess);
+    }
+  }
+  const double part = kReplicas * kRate / kServers;
+  for (int step = 0; step < 48; ++step) {
+    const double t = 110 + 0.5 * step;
+    const double capacity = part * (0.14 + 0.86 * (t - 109) / 24);
+    const auto in_window =
+        std::count_if(sends.begin(), sends.end(), [t](double at) { return at >= t && at < t + 2; });
+    EXPECT_LE(static_cast<double>(in_window), 3 * capacity * 2) << "at " << t;
+  }
+  EXPECT_GT(sends.size(), 50U) << "a server that is warming up gets some requests";
+}
+
+TEST(SlowStartBudget, StillServesWhereAllServersAreWarmingUp) {
+  Settings s = basic_settings();
+  s.slow_start_min_capacity = 0.2;
+  s.slow_start_window = 10;
+  s.tenants = {{100.0}};
+  Replica replica(s);
+  EndpointUpdate m = endpoints(4);
+  for (Endpoint& one : m.endpoints) one.started_at = 99.5;
+  replica.at(100, m);
+  int sent = 0;
+  for (int i = 0; i < 500; ++i) {
+    replica.now = 100 + i * 0.01;
+    const std::string id = std::to_string(i);
+    sent += static_cast<int>(all<Send>(replica.request(id)).size());
+    replica.end(id, Outcome::kSuccess);
+  }
+  EXPECT_GT(sent, 50);
+  EXPECT_LT(sent, 400);
+}
+
 }  // namespace
 }  // namespace thymewood
--- /dev/null
+++ b/tests/policy/tenant_limiter_test.cpp
@@ -0,0 +1,241 @@
+// Rate limits of tenants: suppression, the quota, and how a limit follows the results of requests.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cmath>
+#include <limits>
+
+#include "balancer_harness.h"
+
+namespace thymewood {
+namespace {
+
+TEST(SuppressionFactor, MatchesTheDocumentedExamples) {
+  EXPECT_NEAR(suppression_factor(10, 14, 14), 0.286, 0.0005);
+  EXPECT_NEAR(suppression_factor(10, 11.67, 12), 0.167, 0.0005);
+  EXPECT_NEAR(suppression_factor(10, 13.33, 15), 0.333, 0.0005);
+}
+
+TEST(SuppressionFactor, UsesTheHigherRateAndStaysInRange) {
+  EXPECT_DOUBLE_EQ(suppression_factor(10, 20, 5), 0.5);
+  EXPECT_DOUBLE_EQ(suppression_factor(10, 5, 20), 0.5);
+  EXPECT_DOUBLE_EQ(suppression_factor(10, 5, 5), 0);
+  EXPECT_DOUBLE_EQ(suppression_factor(10, 0, 0), 0);
+  EXPECT_DOUBLE_EQ(suppression_factor(std::numeric_limits<double>::infinity(), 5, 5), 0);
+}
+
+Settings settings_with_quota(double quota) {
+  Settings s = basic_settings();
+  s.tenants = {{quota}};
+  return s;
+}
+
+// Requests at a steady rate, each answered at once; returns how many were admitted.
+int offer(Replica& replica, double from, double seconds, double rate, const std::string& prefix,
+          Outcome outcome = Outcome::kSuccess) {
+  int admitted = 0;
+  const int requests = static_cast<int>(seconds * rate);
+  for (int i = 0; i < requests; ++i) {
+    replica.now = from + i / rate;
+    const std::string id = prefix + std::to_string(i);
+    if (all<Send>(replica.request(id)).empty()) continue;
+    ++admitted;
+    const auto after = replica.end(id, outcome);
+    for (const Send& again : all<Send>(after)) replica.end(again.id, Outcome::kSuccess, 1);
+  }
+  return admitted;
+}
+
+TEST(TenantLimiter, AdmitsEveryRequestBelowTheLimit) {
+  Replica replica(settings_with_quota(100));
+  replica.at(0, endpoints(4));
+  EXPECT_EQ(offer(replica, 0, 10, 50, "a"), 500);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).suppression_factor, 0);
+}
+
+TEST(TenantLimiter, DeniesInProportionAboveTheLimit) {
+  Settings s = settings_with_quota(10);
+  s.over_quota_weight = 0;  // the limit stays where it starts
+  Replica replica(s);
+  replica.at(0, endpoints(4));
+  const double limit = replica.balancer.tenant(0, 0).rate_limit;
+  const int admitted = offer(replica, 0, 8, 4 * limit, "a");
+  const TenantLimitView view = replica.balancer.tenant(replica.now, 0);
+  EXPECT_GT(admitted, 0.8 * limit * 8);
+  EXPECT_LT(admitted, 1.6 * limit * 8);
+  EXPECT_NEAR(view.suppression_factor, 1 - view.rate_limit / (4 * limit), 0.05);
+  EXPECT_GT(view.declined, 0);
+}
+
+// Servers may fail at any load; that is no reason to cut a tenant to a part of its quota.
+TEST(TenantLimiter, DoesNotLowerTheLimitOnServerErrors) {
+  for (const Outcome outcome : {Outcome::kError, Outcome::kUnknown, Outcome::kReset}) {
+    Replica replica(settings_with_quota(10));
+    replica.at(0, endpoints(4));
+    const double limit = replica.balancer.tenant(0, 0).rate_limit;
+    offer(replica, 0, 4, 5, "a", outcome);
+    EXPECT_GE(replica.balancer.tenant(replica.now, 0).rate_limit, limit);
+  }
+}
+
+TEST(TenantLimiter, NeverLowersTheLimitBelowTheQuota) {
+  Replica replica(settings_with_quota(10));
+  replica.at(0, endpoints(4));
+  offer(replica, 0, 20, 9, "a", Outcome::kRejected);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).rate_limit, 10);
+}
+
+// A tenant within its quota finds a server although another, far over its own, uses all other capacity.
+TEST(TenantLimiter, KeepsCapacityForATenantWithinItsQuota) {
+  Settings s = basic_settings();
+  s.tenants = {{2.0}, {2.0}};
+  s.over_quota_weight = 0.05;
+  Replica replica(s);
+  replica.at(0, endpoints(6));
+  replica.now = 300;  // the initial limit has decayed
+  const auto sent = [&](const std::string& prefix, std::size_t tenant, int requests) {
+    std::size_t out = 0;
+    for (int i = 0; i < requests; ++i)
+      out += all<Send>(replica.request(prefix + std::to_string(i), tenant)).size();
+    return out;
+  };
+  EXPECT_GT(sent("flood", 0, 60), 8U) << "its quota of the window, and more";
+  EXPECT_EQ(sent("more", 0, 3), 0U) << "no capacity is left";
+  EXPECT_GT(sent("within", 1, 3), 0U);
+}
+
+TEST(TenantLimiter, DeniesEveryRequestAtTheHardLimit) {
+  Replica replica(settings_with_quota(10));
+  replica.at(0, endpoints(4));
+  const double limit = replica.balancer.tenant(0, 0).rate_limit;
+  const double flood = 400 * limit;
+  int late_admissions = 0;
+  for (int i = 0; i < static_cast<int>(flood); ++i) {
+    replica.now = i / flood;
+    const bool sent = !all<Send>(replica.request("r" + std::to_string(i))).empty();
+    if (i > flood * 0.9 && sent) ++late_admissions;
+  }
+  EXPECT_EQ(late_admissions, 0);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).suppression_factor, 1);
+}
+
+TEST(TenantLimiter, ForgetsRequestsOlderThanTheWindow) {
+  Replica replica(settings_with_quota(10));
+  replica.at(0, endpoints(4));
+  for (int i = 0; i < 500; ++i) replica.request("r" + std::to_string(i));
+  EXPECT_GT(replica.balancer.tenant(0, 0).suppression_factor, 0.5);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant(3.85, 0).total, 500);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant(4.15, 0).total, 0);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant(4.15, 0).suppression_factor, 0);
+}
+
+// The factor is cached for 100 ms: a flood within that time meets the factor from before it.
+TEST(TenantLimiter, CachesTheSuppressionFactor) {
+  Settings s = settings_with_quota(100);
+  s.over_quota_weight = 0;
+  Replica replica(s);
+  replica.at(0, endpoints(4));
+  const double limit = replica.balancer.tenant(0, 0).rate_limit;
+  const int soft = static_cast<int>(std::ceil(4 * limit));  // the window's seconds
+  const auto pour = [&](double time, int requests, const std::string& prefix) {
+    int admitted = 0;
+    for (int i = 0; i < requests; ++i) {
+      replica.now = time;
+      const std::string id = prefix + std::to_string(i);
+      if (all<Send>(replica.request(id)).empty()) continue;
+      ++admitted;
+      replica.end(id, Outcome::kSuccess);
+    }
+    return admitted;
+  };
+  EXPECT_EQ(pour(0, soft, "fill"), soft);
+  EXPECT_NEAR(pour(0.01, 1000, "cached"), 250, 60);  // the factor from when the flood began: three quarters
+  const double factor = replica.balancer.tenant(0.12, 0).suppression_factor;
+  EXPECT_GT(factor, 0.85);
+  EXPECT_NEAR(pour(0.12, 1000, "fresh"), 1000 * (1 - factor), 40);
+}
+
+TEST(TenantLimiter, RejectsDeniedRequestsUnsent) {
+  Replica replica(settings_with_quota(10));
+  replica.at(0, endpoints(4));
+  int rejected = 0;
+  for (int i = 0; i < 900; ++i) {
+    replica.now = 0.001 * i;
+    const auto actions = replica.request("r" + std::to_string(i));
+    EXPECT_EQ(all<Reject>(actions).size() + all<Send>(actions).size(), 1U);
+    rejected += static_cast<int>(all<Reject>(actions).size());
+    if (!all<Send>(actions).empty()) replica.end("r" + std::to_string(i), Outcome::kSuccess);
+  }
+  EXPECT_GT(rejected, 300);
+  EXPECT_EQ(replica.balancer.tenant(replica.now, 0).declined, rejected);
+}
+
+// Clients that are rejected together must not come back together.
+TEST(TenantLimiter, SpreadsRetryAfterOverRejectedClients) {
+  Replica replica(settings_with_quota(10));  // without servers all are rejected
+  double least = 9, most = 0, sum = 0;
+  for (int i = 0; i < 1000; ++i) {
+    const auto rejections = all<Reject>(replica.request("r" + std::to_string(i)));
+    ASSERT_EQ(rejections.size(), 1U);
+    least = std::min(least, rejections[0].retry_after);
+    most = std::max(most, rejections[0].retry_after);
+    sum += rejections[0].retry_after;
+  }
+  EXPECT_GE(least, 0.75) << "of 2 s that clients honor";
+  EXPECT_LE(most, 1.25);
+  EXPECT_GT(most - least, 0.45);
+  EXPECT_NEAR(sum / 1000, 1, 0.03);
+  Settings s = basic_settings();
+  s.max_retry_after = 0;
+  Replica no_retry_after(s);
+  EXPECT_EQ(all<Reject>(no_retry_after.request("r"))[0].retry_after, 0) << "where clients honor none";
+}
+
+TEST(TenantLimiter, RaisesTheLimitWhileRequestsFinishInTime) {
+  Replica replica(settings_with_quota(10));
+  replica.at(0, endpoints(4));
+  const double before = replica.balancer.tenant(0, 0).rate_limit;
+  offer(replica, 0, 10, before * 0.9, "a");
+  EXPECT_GT(replica.balancer.tenant(replica.now, 0).rate_limit, before);
+  EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, before * 2);
+}
+
+TEST(TenantLimiter, LowersTheLimitOnOverloadDownToAMinimum) {
+  Replica replica(settings_with_quota(100));
+  replica.at(0, endpoints(4));
+  offer(replica, 0, 40, 120, "up");
+  const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
+  ASSERT_GT(before, 130);
+  offer(replica, 40, 5, before, "a", Outcome::kRejected);
+  EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, before);
+  offer(replica, 45, 60, 50, "b", Outcome::kRejected);
+  EXPECT_GE(replica.balancer.tenant(replica.now, 0).rate_limit, 25)
+      << "a quarter of the replica's part of the quota";
+}
+
+// Requests that end within a feedback delay were admitted under the old limit and say nothing of the new one.
+TEST(TenantLimiter, LowersTheLimitOnlyInPartWithinASecond) {
+  Replica replica(settings_with_quota(100));
+  replica.at(0, endpoints(4));
+  const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
+  offer(replica, 0, 1, before, "a", Outcome::kRejected);
+  const double after = replica.balancer.tenant(replica.now, 0).rate_limit;
+  EXPECT_LT(after, before * 0.9);
+  EXPECT_GT(after, before * 0.5);
+}
+
+// Where everything slows down together, cutting all tenants to the same minimum would leave servers idle.
+TEST(TenantLimiter, KeepsTheLimitOnSlowResponses) {
+  Replica replica(settings_with_quota(100));
+  replica.at(0, endpoints(4));
+  const double before = replica.balancer.tenant(0, 0).rate_limit;
+  for (int i = 0; i < 500; ++i) {
+    replica.now = i * 0.01;
+    const std::string id = std::to_string(i);
+    if (!all<Send>(replica.request(id)).empty()) replica.end(id, Outcome::kSuccess, 0, 1.8);
+  }
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).rate_limit, before);
+}
+
+}  // namespace
+}  // namespace thymewood
