--- a/policy/balancer.cpp
+++ b/policy/balancer.cpp
@@ -1,4 +1,4 @@
-// The handlers of the balancer's events: each is the list of the steps that the policy modules take in turn.
+// The handlers of events. Each names the order of its steps; the policy modules decide, and own the state.
 #include "thymewood/balancer.h"
 
 #include <algorithm>
@@ -26,19 +26,20 @@
 
 constexpr std::uint64_t kWatchTimer = 0;
 
-// Of the requests with too little time left, the part that is sent all the same: without any, a latency that
-// was learned once would stay.
+// Part of the requests with too little time that is sent all the same; without it, a latency learned under
+// load would never be corrected.
 constexpr double kTooLittleTimeSample = 0.05;
-// Of the latency objective; slower answers show queues before the objective is missed.
-constexpr double kInTime = 0.6;
-// Of the longest Retry-After that clients honor.
+// Of the latency objective; slower responses show queues before the objective is missed.
+constexpr double kInTimePart = 0.6;
+// Parts of the longest Retry-After that clients honor.
 constexpr double kMinRetryAfter = 0.375, kRetryAfterSpread = 0.25;
 // s; by which a change that discovery had when it moved counts as notified sooner than one that comes later.
 constexpr double kMovedEarlier = 2;
 // An answer has to reach the client before its timeout, by so many steps of the clock.
 constexpr double kClockSteps = 2;
 
-// Requests out of the range of classes get one more class: not idempotent, without an objective of its own.
+// Requests whose class or tenant is out of range get one more of each: a class that is not idempotent and has
+// no latency objective, and a tenant without a quota.
 Settings with_fallbacks(Settings settings) {
   validate(settings);
   settings.classes.emplace_back();
@@ -269,7 +270,7 @@
   void learn_from(const PendingRequest& request, const Attempt& attempt, const AttemptResult& result) {
     if (result.outcome == Outcome::kCancelled || result.outcome == Outcome::kNotSent) return;
     const double class_mean = latency_.mean(request.request_class);
-    // A client timeout shorter than the usual latency says nothing of the server. A retry that runs out of
+    // A client timeout shorter than the mean latency says nothing of the server. A retry that runs out of
     // time does: its timeout was the balancer's choice.
     if (result.outcome == Outcome::kTimedOut && result.attempt == 0 && result.elapsed < class_mean) return;
     Server& server = servers_[attempt.server];
@@ -310,7 +311,7 @@
     TenantLimiter& tenant = tenants_[request.tenant];
     if (result.outcome == Outcome::kSuccess) {
       const double latency_objective = settings_.classes[request.request_class].latency_objective;
-      if (result.elapsed < kInTime * latency_objective) tenant.record_success(now_, limit_.unqueued());
+      if (result.elapsed < kInTimePart * latency_objective) tenant.record_success(now_, limit_.unqueued());
       return;
     }
     const bool is_overload = result.outcome == Outcome::kRejected || result.outcome == Outcome::kTimedOut ||
--- a/policy/capacity.cpp
+++ b/policy/capacity.cpp
@@ -20,7 +20,7 @@
 
 bool Capacity::tier_has_capacity(double now, const PendingRequest& request, Random& random) const {
   if (!is_first_tier_) return true;
-  // A random part of a request makes limits that are no whole number hold in the mean.
+  // The random fraction makes a fractional limit hold on average.
   return servers_.in_flight() + random.unit() < tier_limit(now) * limit_factor(request);
 }
 
--- a/policy/capacity.h
+++ b/policy/capacity.h
@@ -1,4 +1,4 @@
-// Whether a server, or the whole tier, can take one more request by the learned concurrency limit.
+// Whether a server, or the tier as one, can take one more request by the learned concurrency limit.
 #pragma once
 
 #include "concurrency_limit.h"
--- a/policy/concurrency_limit.cpp
+++ b/policy/concurrency_limit.cpp
@@ -99,7 +99,7 @@
   probe_.record_rejection(now, in_flight, std::max(kMinProbedRequests, kBusyFactor * tier_.concurrency(now)));
 }
 
-// The class that can bear the least bounds the queueing: all classes share the queue.
+// The class with the shortest allowed queueing bounds that of all: they share the queue.
 void ConcurrencyLimit::update_mix(double now) {
   double total_rate = 0, mean_idle = 0, min_queueing = std::numeric_limits<double>::infinity();
   reliable_ = true;
