--- a/tests/policy/concurrency_probe_test.cpp
+++ b/tests/policy/concurrency_probe_test.cpp
@@ -53,7 +53,7 @@
 double queue(double in_flight) { return 50 * std::min(in_flight, 32.0) + 1; }
 double crowd(double in_flight) { return in_flight < 160 ? queue(in_flight) : queue(in_flight) / 3; }
 
-// Where the objective is a few times the idle latency, the initial guess rejects requests that met no queue.
+// Otherwise an initial guess that is too low would go on rejecting requests that met no queue.
 TEST(ConcurrencyProbe, ProvesThatRequestsMetNoQueue) {
   ConcurrencyProbe idle, queued;
   Tier spare_workers([](double in_flight) { return 20 * in_flight + 1; }, 50);
--- a/tests/policy/property_test.cpp
+++ b/tests/policy/property_test.cpp
@@ -14,7 +14,7 @@
 struct SentAttempt {
   std::string server;
   double at = 0;
-  bool open = true;
+  bool in_flight = true;
   bool may_have_run = true;  // until an outcome proves that it did not
 };
 
@@ -75,14 +75,14 @@
     for (auto& [id, request] : requests_) {
       if (now_ < request.due) continue;
       for (std::size_t i = 0; i < request.sent.size(); ++i) {
-        if (request.sent[i].open) end(id, request, i, Outcome::kTimedOut);
+        if (request.sent[i].in_flight) end(id, request, i, Outcome::kTimedOut);
       }
     }
   }
 
   void end(const std::string& id, TrackedRequest& request, std::size_t attempt, Outcome outcome) {
     SentAttempt& sent = request.sent[attempt];
-    sent.open = false;
+    sent.in_flight = false;
     sent.may_have_run = !proves_not_run(outcome);
     if (outcome == Outcome::kSuccess) request.concluded = true;
     const AttemptResult result{id, static_cast<int>(attempt), outcome, now_ - sent.at, request.concluded};
@@ -105,7 +105,8 @@
       r.tenant = static_cast<std::size_t>(roll(3));
       r.time_left = left;
       check(replica_.at(now_, r));
-      EXPECT_TRUE(request.concluded || any_open(request)) << id << " is pending without an attempt in flight";
+      EXPECT_TRUE(request.concluded || any_in_flight(request))
+          << id << " is pending without an attempt in flight";
     } else if (what < 8) {
       end_some();
     } else if (what == 8 && !requests_.empty()) {
@@ -125,7 +126,7 @@
     std::vector<std::pair<std::string, std::size_t>> open;
     for (const auto& [id, request] : requests_) {
       for (std::size_t i = 0; i < request.sent.size(); ++i) {
-        if (request.sent[i].open) open.emplace_back(id, i);
+        if (request.sent[i].in_flight) open.emplace_back(id, i);
       }
     }
     if (open.empty()) return;
@@ -133,9 +134,9 @@
     end(id, requests_[id], attempt, roll(2) == 0 ? Outcome::kSuccess : static_cast<Outcome>(roll(9)));
   }
 
-  static bool any_open(const TrackedRequest& request) {
+  static bool any_in_flight(const TrackedRequest& request) {
     for (const SentAttempt& sent : request.sent) {
-      if (sent.open) return true;
+      if (sent.in_flight) return true;
     }
     return false;
   }
@@ -174,7 +175,7 @@
     EXPECT_LT(request.sent.size(), static_cast<std::size_t>(settings_.max_attempts));
     const RequestClass& c = settings_.classes[request.request_class];
     for (const SentAttempt& before : request.sent) {
-      EXPECT_TRUE(settings_.can_hedge || !before.open) << send.id << " has two attempts in flight";
+      EXPECT_TRUE(settings_.can_hedge || !before.in_flight) << send.id << " has two attempts in flight";
       if (c.idempotency == Idempotency::kIdempotent || !before.may_have_run) continue;
       EXPECT_NE(c.idempotency, Idempotency::kNotIdempotent) << send.id << " may run twice";
       EXPECT_LE(now_, before.at + c.dedup_window) << send.id << " after the dedup window";
--- a/tests/policy/server_selector_test.cpp
+++ b/tests/policy/server_selector_test.cpp
@@ -94,7 +94,7 @@
   Replica replica(basic_settings());
   replica.at(0, endpoints(servers));
   double best = 1;
-  for (int round = 0; round < 5; ++round) {  // the best of some, for a machine that does other things too
+  for (int round = 0; round < 5; ++round) {  // the best of several, since the machine may be busy
     constexpr int kRequests = 2000;
     const auto begin = std::chrono::steady_clock::now();
     for (int i = 0; i < kRequests; ++i) {
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -46,7 +46,7 @@
     settings_.slow_start_min_capacity = deployment.slow_start_min_capacity;
     settings_.slow_start_window = deployment.slow_start_window;
     settings_.tenants = {{kServers * kCapacity}};
-    // Some nodes believe that there are half as many, or twice.
+    // Some nodes are configured with half as many nodes, or with twice as many.
     for (int i = 0; i < nodes; ++i) nodes_.push_back(start_node(i, 0));
     started_twice_ = unit() < 0.5;
     failing_servers_ = static_cast<int>(rng_() % kServers);
@@ -150,7 +150,7 @@
 
 class SlowStart : public testing::TestWithParam<int> {};
 
-TEST_P(SlowStart, IsKeptByAllNodesTogether) {
+TEST_P(SlowStart, AllNodesTogetherStayWithinTheBudget) {
   for (const Deployment& deployment : kDeployments) {
     double worst = 0;
     for (int seed = 1; seed <= kSeedsEach; ++seed) {
@@ -166,7 +166,6 @@
 // Several replicas and one server that has just started: together they stay within what it has capacity for.
 TEST(SlowStartBudget, IsKeptByAllReplicasTogether) {
   constexpr int kReplicas = 10;
-  constexpr int kServers = 10;
   constexpr double kRate = 20;  // a replica; a server's part is 20 a second over all replicas
   Settings s = basic_settings();
   s.replica_count = kReplicas;
