--- a/node/clock.h
+++ b/node/clock.h
@@ -1,6 +1,5 @@
-// The one clock of a node: seconds on the steady clock since the node started. Spans of time are measured on
-// it alone; the wall clock is read for the starts of servers, which discovery tells as Unix time
-// (start_times.h).
+// The clock of a node: seconds on the steady clock since the node started. The wall clock is read only for
+// the start times of servers, which discovery gives as Unix time (start_times.h).
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -30,7 +29,7 @@
   Steady::time_point start_ = Steady::now();
 };
 
-// Calls off a timer, also from where nothing may be thrown.
+// Cancels a timer without throwing.
 inline void halt(boost::asio::steady_timer& timer) {
   boost::system::error_code ignored;
   timer.cancel(ignored);
--- a/node/config.cpp
+++ b/node/config.cpp
@@ -24,7 +24,7 @@
 }
 
 boost::asio::ip::tcp::endpoint read_endpoint(const json::Value& in, const char* field) {
-  const auto out = parse_endpoint(json::text(in, field));
+  const auto out = parse_socket_address(json::text(in, field));
   if (!out) json::wrong(field, "an address with a port");
   return *out;
 }
@@ -36,7 +36,7 @@
 }
 
 PeersTold::Endpoint read_peer(std::string_view text, const char* field) {
-  const auto out = parse_endpoint(text);
+  const auto out = parse_socket_address(text);
   if (!out) json::wrong(field, "an address with a port");
   return {out->address(), out->port()};
 }
@@ -114,7 +114,7 @@
   if (json::find(settings, "azs") != nullptr) {
     for (const json::Value& zone : json::array(settings, "azs").GetArray()) {
       if (!zone.IsString()) json::wrong("azs", "an array of strings");
-      out.directory.zones.emplace_back(zone.GetString(), zone.GetStringLength());
+      out.zone_names.names.emplace_back(zone.GetString(), zone.GetStringLength());
     }
   }
   const json::Value& bounds = json::need(settings, "bounds");
@@ -129,7 +129,7 @@
   out.peers = read_peers(in, bounds, out.settings);
   if (const json::Value* known = json::find(in, "known")) {
     try {
-      out.known = read_membership(*known, out.directory, clock.reading(), out.starts);
+      out.known = read_endpoint_list(*known, out.zone_names, clock.reading(), out.start_times);
     } catch (const std::exception& problem) {
       throw std::runtime_error(std::string("known: ") + problem.what());
     }
--- a/node/config.h
+++ b/node/config.h
@@ -23,9 +23,9 @@
   double dial_timeout = 0, idle_close = 0;
   Settings settings;
   std::vector<std::string> class_names, tenant_names;  // in the order of the settings
-  Directory directory;
-  Membership known;
-  StartTimes starts;  // of the servers in it
+  ZoneNames zone_names;
+  EndpointList known;
+  StartTimes start_times;  // of the servers in it
   // Where nodes may talk and it is said how.
   std::optional<PeersTold> peers;
 };
--- a/node/discovery.cpp
+++ b/node/discovery.cpp
@@ -107,7 +107,7 @@
       if (cancelled || Clock::Steady::now() < self->timer_.expiry() || self->owner_ == nullptr) return;
       // Danger: a node that was away finds its timer over before what came meanwhile.
       if (!self->pull() || Clock::Steady::now() < self->timer_.expiry()) return;
-      if (self->objects_.pending()) self->owner_->complain("discovery: an object without its end");
+      if (self->objects_.pending()) self->owner_->warn("discovery: an object without its end");
       self->end(self->asked_ ? "silent" : "connect_timed_out", {},
                 self->asked_ ? End::kSilent : End::kBroken);
     });
@@ -154,8 +154,8 @@
             return false;
           }
           if (!std::exchange(answered_, true))
-            owner_->starts_.discovery_clock(owner_->clock_.reading(),
-                                            parse_http_date(std::string(parser_.get()[http::field::date])));
+            owner_->start_times_.set_discovery_time(
+                owner_->clock_.reading(), parse_http_date(std::string(parser_.get()[http::field::date])));
           take();
           if (owner_ == nullptr) return false;
         }
@@ -176,7 +176,7 @@
     if (body.empty()) return;
     const std::string bytes = std::exchange(body, {});
     // What comes now is what has changed since the last word.
-    if (owner_->current_) owner_->starts_.list_was_current(heard_at_);
+    if (owner_->current_) owner_->start_times_.set_list_current_until(heard_at_);
     heard_at_ = owner_->clock_.now();
     // Danger: the empty lines of a watch whose last object was torn would keep it, and what it holds is lost.
     if (!objects_.pending() || bytes.find_first_not_of(" \t\r\n") != std::string::npos)
@@ -187,7 +187,7 @@
     });
     if (well && owner_ != nullptr && !objects_.pending()) owner_->became_current();
     if (well || owner_ == nullptr) return;
-    owner_->complain("discovery: neither an object nor white space, or an object over 4 MiB");
+    owner_->warn("discovery: neither an object nor white space, or an object over 4 MiB");
     end("malformed_list");
   }
 
@@ -206,14 +206,14 @@
   bool pulling_ = false;                // a listener's doing, from within an object
 };
 
-Discovery::Discovery(asio::io_context& io, tcp::endpoint where, Directory directory, const Clock& clock,
-                     StartTimes starts, Listener listener)
+Discovery::Discovery(asio::io_context& io, tcp::endpoint where, ZoneNames zone_names, const Clock& clock,
+                     StartTimes start_times, Listener listener)
     : io_(io),
       where_(std::move(where)),
-      directory_(std::move(directory)),
+      zone_names_(std::move(zone_names)),
       clock_(clock),
       listener_(std::move(listener)),
-      starts_(std::move(starts)) {}
+      start_times_(std::move(start_times)) {}
 
 Discovery::~Discovery() {
   if (watch_) watch_->abandon();
@@ -238,8 +238,8 @@
   if (watch_) watch_->abandon();
   watch_ = std::make_shared<Watch>(*this);
   opened_at_ = clock_.now();
-  if (LogEvent line = log_info("watch_started"); index_) line.with("index", *index_);
-  watch_->start(where_, index_);
+  if (LogEvent line = log_info("watch_started"); version_) line.with("index", *version_);
+  watch_->start(where_, version_);
 }
 
 double Discovery::patience(bool heard) const {
@@ -254,7 +254,7 @@
   if (watch_) became_stale(watch_->heard_at());
   where_ = where;
   // Nothing says that versions are counted alike at both addresses: a change between them must not be missed.
-  index_.reset();
+  version_.reset();
   silences_ = 0;
   listener_.moved();
   open();
@@ -270,36 +270,36 @@
 void Discovery::became_stale(double heard_at) {
   if (!std::exchange(current_, false)) return;
   log_info("list_stale").with("for", clock_.now() - heard_at);
-  starts_.list_was_current(heard_at);
+  start_times_.set_list_current_until(heard_at);
   listener_.stale(heard_at);
 }
 
 void Discovery::take_object(const std::shared_ptr<Watch>& from, std::string_view object) {
-  Membership update;
+  EndpointList update;
   try {
     rapidjson::Document in;
     in.Parse<rapidjson::kParseIterativeFlag>(object.data(), object.size());
     if (in.HasParseError()) throw std::runtime_error("not valid JSON");
-    update = read_membership(in, directory_, clock_.reading(), starts_);
+    update = read_endpoint_list(in, zone_names_, clock_.reading(), start_times_);
   } catch (const std::exception& problem) {
-    // The old list stays. These changes are missed, so the watch starts again from before them.
-    complain(std::string("discovery: ") + problem.what());
+    // The old list stays. These changes are missed, so the watch start_times again from before them.
+    warn(std::string("discovery: ") + problem.what());
     return from->end("malformed_list");
   }
   // An entry that can't be read is one server's: the others' drains count.
-  if (update.complaint.empty()) {
-    complained_ = false;
+  if (update.problem.empty()) {
+    has_warned_ = false;
   } else {
-    complain("discovery: " + update.complaint);
+    warn("discovery: " + update.problem);
   }
   // Danger: a change that is older than the list in hand would take back what came after it, a drain for one.
   // A whole list is another matter: discovery may have begun to count anew.
-  if (!update.full && index_ && update.index < *index_) return;
-  index_ = update.index;
+  if (!update.is_full && version_ && update.version < *version_) return;
+  version_ = update.version;
   log_info("list_received")
-      .with("index", update.index)
-      .with("full", update.full)
-      .with("entries", std::uint64_t{update.members.size()});
+      .with("index", update.version)
+      .with("full", update.is_full)
+      .with("entries", std::uint64_t{update.endpoints.size()});
   listener_.update(update);
 }
 
@@ -314,8 +314,8 @@
   listener_.failed(failure);
 }
 
-void Discovery::complain(const std::string& text) {
-  if (!std::exchange(complained_, true)) log_warning("list_unreadable").with("problem", text);
+void Discovery::warn(const std::string& text) {
+  if (!std::exchange(has_warned_, true)) log_warning("list_unreadable").with("problem", text);
 }
 
 }  // namespace thymewood::node
--- a/node/discovery.h
+++ b/node/discovery.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "clock.h"
-#include "member_list.h"
+#include "endpoint_list.h"
 #include "thymewood/balancer.h"
 
 namespace thymewood::node {
@@ -23,15 +23,15 @@
  public:
   // None of these is called from within watch().
   struct Listener {
-    std::function<void(const Membership&)> update;  // a list, or a change
-    std::function<void()> current;                  // the watch has said what it had to say
+    std::function<void(const EndpointList&)> update;  // a list, or a change
+    std::function<void()> current;                    // the watch has said what it had to say
     std::function<void(double as_of)> stale;   // no more; `as_of`, s on the clock: when it was last heard
     std::function<void()> moved;               // discovery is called at another address from now on
     std::function<void(WatchFailure)> failed;  // no watch is open, and none will be without watch()
   };
 
-  Discovery(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint where, Directory directory,
-            const Clock& clock, StartTimes starts, Listener listener);
+  Discovery(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint where, ZoneNames zone_names,
+            const Clock& clock, StartTimes start_times, Listener listener);
   ~Discovery();
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
@@ -46,7 +46,7 @@
   // After an exception that got out of a handler, which may have been the watch's: it is opened anew.
   void recover();
   // The version of the list in hand; without one the whole list is asked for.
-  void set_index(std::uint64_t index) { index_ = index; }
+  void set_version(std::uint64_t index) { version_ = index; }
 
  private:
   class Watch;
@@ -58,20 +58,20 @@
   void end(const std::shared_ptr<Watch>& from, End why, WatchFailure failure, double heard_at);
   void open();
   double patience(bool heard) const;  // s; of a watch that has said something, or nothing yet
-  void complain(const std::string& text);
+  void warn(const std::string& text);
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint where_;
-  Directory directory_;
+  ZoneNames zone_names_;
   const Clock& clock_;
   Listener listener_;
-  StartTimes starts_;
-  std::optional<std::uint64_t> index_;
+  StartTimes start_times_;
+  std::optional<std::uint64_t> version_;
   std::shared_ptr<Watch> watch_;
   bool current_ = false;
   int silences_ = 0;      // watches in a row that were given up as silent
   double opened_at_ = 0;  // s on the clock; when the watch in hand was
-  bool complained_ = false;
+  bool has_warned_ = false;
 };
 
 }  // namespace thymewood::node
--- a/node/dispatcher.cpp
+++ b/node/dispatcher.cpp
@@ -93,8 +93,8 @@
   for (const RequestClass& c : settings.classes) effects_.push_back(c.idempotency);
 }
 
-void Dispatcher::start(const Membership& known) {
-  if (!known.members.empty()) members(known);
+void Dispatcher::start(const EndpointList& known) {
+  if (!known.endpoints.empty()) members(known);
   // A change that discovery has from now on counts as notified no sooner than one that an open watch missed.
   list_stale(clock_.now());
   happen(Started{});
@@ -183,17 +183,17 @@
   settle(id);
 }
 
-void Dispatcher::members(const Membership& update) {
+void Dispatcher::members(const EndpointList& update) {
   EndpointUpdate event;
-  event.form = update.full ? EndpointUpdate::Form::kFull : EndpointUpdate::Form::kDelta;
+  event.form = update.is_full ? EndpointUpdate::Form::kFull : EndpointUpdate::Form::kDelta;
   const auto set_ready = [this](bool& held, bool ready) {
     ready_ += ready ? 1 : 0;
     ready_ -= held ? 1 : 0;
     held = ready;
   };
   std::unordered_map<std::string, bool> listed;
-  for (const Member& member : update.members) {
-    const Endpoint& server = member.server;
+  for (const ListedEndpoint& entry : update.endpoints) {
+    const Endpoint& server = entry.endpoint;
     const bool ready = server.state == EndpointState::kReady;
     log_debug("server_listed").with("server", server.address).with("status", name_of(server.state));
     set_ready(ready_by_name_[server.address], ready);
@@ -201,14 +201,14 @@
       upstream_.retire(server.address);
       ready_by_name_.erase(server.address);
     } else {
-      upstream_.place(server.address, member.endpoint, server.started_at, ready);
+      upstream_.place(server.address, entry.socket_address, server.started_at, ready);
     }
     listed[server.address] = true;
     event.endpoints.push_back(server);
   }
   // What a full list lacks is gone.
   for (auto at = ready_by_name_.begin(); at != ready_by_name_.end();) {
-    if (update.full && !listed.contains(at->first)) {
+    if (update.is_full && !listed.contains(at->first)) {
       set_ready(at->second, false);
       upstream_.retire(at->first);
       at = ready_by_name_.erase(at);
--- a/node/dispatcher.h
+++ b/node/dispatcher.h
@@ -49,7 +49,7 @@
 
   // The list that is known from before, if any, then the start. Where lists are pushed, requests wait for the
   // first one, or a moment without it.
-  void start(const Membership& known);
+  void start(const EndpointList& known);
   bool can_serve() const { return ready_ > 0 && !awaits_list_ && !(isolation_ && isolation_->isolated()); }
 
   // While the first pushed list is awaited, whether the node can serve is not known yet; `then` is called
@@ -66,7 +66,7 @@
   // Whether a request of this id is open, or has attempts out.
   bool holds(const std::string& id) const { return held_.contains(id); }
   void client_gone(const std::string& id);
-  void members(const Membership& update);
+  void members(const EndpointList& update);
   // The watch is open and has said what it had to say; or no longer so, since `as_of` (s on the clock).
   void list_current();
   void list_stale(double as_of);
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -143,12 +143,12 @@
   node::Upstream upstream(io, {config.dial_timeout, config.idle_close, shares.upstream}, budget);
   node::Dispatcher* to = nullptr;
   node::Discovery discovery(
-      io, config.discovery, config.directory, clock, config.starts,
-      {[&to](const node::Membership& update) { to->members(update); }, [&to] { to->list_current(); },
+      io, config.discovery, config.zone_names, clock, config.start_times,
+      {[&to](const node::EndpointList& update) { to->members(update); }, [&to] { to->list_current(); },
        [&to](double as_of) { to->list_stale(as_of); }, [&to] { to->discovery_moved(); },
        [&to](const thymewood::WatchFailure& failure) { to->watch_failed(failure); }});
   // Where lists are pushed the whole one costs nothing, and is there whether or not anything has changed.
-  if (settings.uses_watch && !config.known.members.empty()) discovery.set_index(config.known.index);
+  if (settings.uses_watch && !config.known.endpoints.empty()) discovery.set_version(config.known.version);
   try {
     node::Dispatcher dispatcher(io, clock, settings, config.seed, config.max_open, upstream,
                                 {[&discovery] { discovery.watch(); }, [&discovery] { discovery.refresh(); }});
@@ -161,8 +161,8 @@
       std::cerr << "thymewood: listen: " << problem.code().message() << '\n';
       return kBadConfiguration;
     }
-    if (!config.known.complaint.empty())
-      node::log_warning("list_unreadable").with("problem", "known: " + config.known.complaint);
+    if (!config.known.problem.empty())
+      node::log_warning("list_unreadable").with("problem", "known: " + config.known.problem);
     dispatcher.start(config.known);
     frontend.start();
     std::unique_ptr<node::Peers> peers;
--- a/node/start_times.cpp
+++ b/node/start_times.cpp
@@ -9,58 +9,58 @@
 namespace thymewood::node {
 namespace {
 
-constexpr double kMilli = 1000;
-// s; by which discovery may tell of a start late (PROTOCOL, figures: what it has to tell counts 6 s later).
-constexpr double kToldWithin = 6;
-// ms. A Date field has whole seconds, and an answer may lie unread for a while.
-constexpr std::int64_t kDateResolution = 1000, kNotable = 2500;
-constexpr double kLeast = 1e-6;      // s; 0 stands for long ago
-constexpr double kRemembered = 300;  // s; for which a server that has left may come back
+constexpr double kMsPerSecond = 1000;
+constexpr double kMaxNotificationDelay = 6;       // s; by which the protocol lets discovery be late
+constexpr std::int64_t kDateResolutionMs = 1000;  // a Date field has whole seconds
+constexpr std::int64_t kMaxClockDifferenceMs =
+    2500;                                  // that resolution, and a response that waited to be read
+constexpr double kMinStartTime = 1e-6;     // s; 0 stands for long ago
+constexpr double kRemovedRetention = 300;  // s; in which a removed server may return
 
 }  // namespace
 
-void StartTimes::discovery_clock(const ClockReading& now, std::optional<std::int64_t> unix_ms) {
+void StartTimes::set_discovery_time(const ClockReading& now, std::optional<std::int64_t> unix_ms) {
   if (!unix_ms) return;
-  const std::int64_t difference = *unix_ms + kDateResolution / 2 - now.unix_ms;
-  correction_ms_ = std::abs(difference) > kNotable ? difference : 0;
-  // What was read by a clock that turns out to be wrong is read again.
-  if (!std::exchange(has_reference_, true) && correction_ms_ != 0) known_.clear();
+  const std::int64_t difference = *unix_ms + kDateResolutionMs / 2 - now.unix_ms;
+  wall_clock_correction_ms_ = std::abs(difference) > kMaxClockDifferenceMs ? difference : 0;
+  // Starts that were read with a wrong wall clock are read again.
+  if (!std::exchange(has_discovery_time_, true) && wall_clock_correction_ms_ != 0) starts_.clear();
 }
 
-double StartTimes::started(const std::string& server, std::int64_t since_ms, const ClockReading& now) {
+double StartTimes::started_at(const std::string& server, std::int64_t since_ms, const ClockReading& now) {
   if (since_ms == 0) {
-    known_.erase(server);
+    starts_.erase(server);
     return 0;
   }
-  Start& start = known_[server];
-  start.listed = true;
-  if (start.since_ms == since_ms) return start.started;
-  double age = static_cast<double>(now.unix_ms + correction_ms_ - since_ms) / kMilli;
-  if (current_until_ && age > now.clock - *current_until_ + kToldWithin) age = 0;
-  const double started = now.clock - std::max(0.0, age);
-  start = {since_ms, std::abs(started) < kLeast ? kLeast : started, true};
-  return start.started;
+  Start& start = starts_[server];
+  start.is_listed = true;
+  if (start.since_ms == since_ms) return start.started_at;
+  double age = static_cast<double>(now.unix_ms + wall_clock_correction_ms_ - since_ms) / kMsPerSecond;
+  if (list_current_until_ && age > now.steady - *list_current_until_ + kMaxNotificationDelay) age = 0;
+  const double started_at = now.steady - std::max(0.0, age);
+  start = {since_ms, std::abs(started_at) < kMinStartTime ? kMinStartTime : started_at, true};
+  return start.started_at;
 }
 
-void StartTimes::left(const std::string& server, double now) {
-  const auto at = known_.find(server);
-  if (at == known_.end() || !at->second.listed) return;
-  at->second.listed = false;
-  left_.emplace_back(now, server);
-  for (; !left_.empty() && left_.front().first < now - kRemembered; left_.pop_front()) {
-    const auto old = known_.find(left_.front().second);
-    if (old != known_.end() && !old->second.listed) known_.erase(old);
+void StartTimes::on_removed(const std::string& server, double now) {
+  const auto at = starts_.find(server);
+  if (at == starts_.end() || !at->second.is_listed) return;
+  at->second.is_listed = false;
+  removals_.push_back({now, server});
+  for (; !removals_.empty() && removals_.front().at < now - kRemovedRetention; removals_.pop_front()) {
+    const auto old = starts_.find(removals_.front().server);
+    if (old != starts_.end() && !old->second.is_listed) starts_.erase(old);
   }
 }
 
 std::optional<std::int64_t> parse_http_date(std::string_view text) {
-  const std::string copy(text);
+  const std::string terminated(text);
   std::tm parts{};
-  const char* const end = ::strptime(copy.c_str(), "%a, %d %b %Y %H:%M:%S GMT", &parts);
+  const char* const end = ::strptime(terminated.c_str(), "%a, %d %b %Y %H:%M:%S GMT", &parts);
   if (end == nullptr || *end != '\0') return std::nullopt;
   const std::time_t seconds = ::timegm(&parts);
   if (seconds < 0) return std::nullopt;
-  return static_cast<std::int64_t>(seconds) * static_cast<std::int64_t>(kMilli);
+  return static_cast<std::int64_t>(seconds) * static_cast<std::int64_t>(kMsPerSecond);
 }
 
 }  // namespace thymewood::node
--- a/tests/node/wall_clock_test.cpp
+++ b/tests/node/wall_clock_test.cpp
@@ -1,5 +1,5 @@
-// A wall clock that is wrong, or stepped: spans are of real time, and only the starts of servers are read by
-// it.
+// A wall clock that is wrong, or stepped: spans are of real time, and only the start times of servers are
+// read by it.
 #include <ctime>
 
 #include "fault_plan.h"
@@ -13,48 +13,47 @@
 constexpr std::int64_t kHour = 3600 * 1000, kNow = 1'800'000'000'000;  // ms
 
 TEST(StartTimes, AreReadByTheWallClockWhereNothingElseIsKnown) {
-  StartTimes starts;
-  EXPECT_EQ(starts.started("a", 0, {10, kNow}), 0) << "long ago";
-  EXPECT_DOUBLE_EQ(starts.started("b", kNow - 3000, {10, kNow}), 7);
+  StartTimes start_times;
+  EXPECT_EQ(start_times.started_at("a", 0, {10, kNow}), 0) << "long ago";
+  EXPECT_DOUBLE_EQ(start_times.started_at("b", kNow - 3000, {10, kNow}), 7);
 }
 
 TEST(StartTimes, InTheFutureHaveJustHappened) {
-  StartTimes starts;
-  EXPECT_DOUBLE_EQ(starts.started("a", kNow + kHour, {10, kNow}), 10);
+  StartTimes start_times;
+  EXPECT_DOUBLE_EQ(start_times.started_at("a", kNow + kHour, {10, kNow}), 10);
 }
 
-// Guards against a wall clock that is ahead by an hour: a server that started a moment ago would count as
-// warm.
+// A wall clock that is an hour ahead must not make a server that has just started count as warm.
 TEST(StartTimes, ThatNoListHeldAMomentAgoAreNotOld) {
-  StartTimes starts;
-  starts.list_was_current(99);
-  EXPECT_DOUBLE_EQ(starts.started("a", kNow - kHour, {100, kNow}), 100) << "the wall clock is wrong";
-  EXPECT_DOUBLE_EQ(starts.started("b", kNow - 2000, {100, kNow}), 98) << "it may be right";
+  StartTimes start_times;
+  start_times.set_list_current_until(99);
+  EXPECT_DOUBLE_EQ(start_times.started_at("a", kNow - kHour, {100, kNow}), 100) << "the wall clock is wrong";
+  EXPECT_DOUBLE_EQ(start_times.started_at("b", kNow - 2000, {100, kNow}), 98) << "it may be right";
 }
 
 TEST(StartTimes, StayAsTheyAreHoweverTheWallClockIsStepped) {
-  StartTimes starts;
-  const double first = starts.started("a", kNow - 3000, {10, kNow});
-  EXPECT_EQ(starts.started("a", kNow - 3000, {20, kNow + kHour}), first);
-  EXPECT_EQ(starts.started("a", kNow - 3000, {30, kNow - kHour}), first);
-  EXPECT_NE(starts.started("a", kNow + 15000, {30, kNow + 20000}), first) << "another start";
+  StartTimes start_times;
+  const double first = start_times.started_at("a", kNow - 3000, {10, kNow});
+  EXPECT_EQ(start_times.started_at("a", kNow - 3000, {20, kNow + kHour}), first);
+  EXPECT_EQ(start_times.started_at("a", kNow - 3000, {30, kNow - kHour}), first);
+  EXPECT_NE(start_times.started_at("a", kNow + 15000, {30, kNow + 20000}), first) << "another start";
 }
 
 TEST(StartTimes, FollowDiscoverysClockWhereItTellsOne) {
-  StartTimes starts;
-  starts.discovery_clock({10, kNow + kHour}, kNow);
-  EXPECT_NEAR(starts.started("a", kNow - 3000, {10, kNow + kHour}), 7, 1);
+  StartTimes start_times;
+  start_times.set_discovery_time({10, kNow + kHour}, kNow);
+  EXPECT_NEAR(start_times.started_at("a", kNow - 3000, {10, kNow + kHour}), 7, 1);
   StartTimes close;
-  close.discovery_clock({10, kNow}, kNow - 900);
-  EXPECT_DOUBLE_EQ(close.started("a", kNow - 3000, {10, kNow}), 7) << "within the field's resolution";
+  close.set_discovery_time({10, kNow}, kNow - 900);
+  EXPECT_DOUBLE_EQ(close.started_at("a", kNow - 3000, {10, kNow}), 7) << "within the field's resolution";
 }
 
 TEST(StartTimes, AreRememberedForAServerThatLeavesAndComesBack) {
-  StartTimes starts;
-  const double first = starts.started("a", kNow - 3000, {10, kNow});
-  starts.left("a", 20);
-  starts.list_was_current(99);
-  EXPECT_EQ(starts.started("a", kNow - 3000, {100, kNow + 90000}), first);
+  StartTimes start_times;
+  const double first = start_times.started_at("a", kNow - 3000, {10, kNow});
+  start_times.on_removed("a", 20);
+  start_times.set_list_current_until(99);
+  EXPECT_EQ(start_times.started_at("a", kNow - 3000, {100, kNow + 90000}), first);
 }
 
 TEST(HttpDate, IsReadInItsUsualFormAlone) {
