--- a/node/config.h
+++ b/node/config.h
@@ -7,7 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "discovery.h"
+#include "clock.h"
+#include "endpoint_list.h"
 #include "peers.h"
 #include "thymewood/balancer.h"
 
--- a/node/dispatcher.h
+++ b/node/dispatcher.h
@@ -1,9 +1,10 @@
-// Stands between the module and the sockets: turns what happens into events, and actions into calls. It
-// decides nothing; but it alone sees to it that each request it took gets exactly one final answer in time.
+// Connects the policy with the sockets: passes what happens to the balancer as events and performs the
+// actions that it returns. Decides nothing itself.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
-#include <boost/asio/steady_timer.hpp>
+#include <cstddef>
+#include <cstdint>
 #include <deque>
 #include <functional>
 #include <limits>
@@ -15,96 +16,62 @@
 #include <vector>
 
 #include "clock.h"
-#include "discovery.h"
+#include "endpoint_list.h"
+#include "endpoint_watch.h"
 #include "isolation.h"
 #include "message.h"
+#include "pending_requests.h"
 #include "thymewood/balancer.h"
 #include "upstream.h"
 
 namespace thymewood::node {
 
-// A request's final answer.
-struct Answer {
-  enum class Kind { kServed, kRefused, kFailed };
-  Kind kind = Kind::kFailed;
-  double retry_after = 0;  // refused: when to come back; 0: no advice
-  HttpResponse response;   // served: the server's
-};
-
-class Dispatcher {
+class Dispatcher : public EndpointListener {
  public:
-  // Who asked: gets the one answer, and can be asked whether the caller still waits for it.
-  struct Asker {
-    std::function<void(Answer&&)> answer_to;
-    std::function<bool()> still_waits;
-  };
-  // The watch on the list of servers.
-  struct List {
-    std::function<void()> watch;    // asks discovery anew
-    std::function<void()> refresh;  // takes in, now, what discovery has said and nobody has read yet
-  };
-
   Dispatcher(boost::asio::io_context& io, const Clock& clock, const Settings& settings, std::uint64_t seed,
-             std::size_t max_open, Upstream& upstream, List list);
+             std::size_t max_pending_requests, Upstream& upstream, EndpointWatch& endpoint_watch);
 
-  // The list that is known from before, if any, then the start. Where lists are pushed, requests wait for the
-  // first one, or a moment without it.
+  // Starts with the endpoints that are known from before, if any. Where lists are pushed, requests wait for
+  // the first list, or for a moment without one.
   void start(const EndpointList& known);
-  bool can_serve() const { return ready_ > 0 && !awaits_list_ && !(isolation_ && isolation_->isolated()); }
+  bool can_serve() const;
 
-  // While the first pushed list is awaited, whether the node can serve is not known yet; `then` is called
-  // once it is.
-  bool awaits_list() const { return awaits_list_; }
-  void when_listed(std::function<void()> then) { when_listed_.push_back(std::move(then)); }
+  // While the first pushed list is awaited it is not known whether the node can serve; `then` is called once
+  // it is.
+  bool awaits_list() const { return is_awaiting_first_list_; }
+  void when_listed(std::function<void()> then) { first_list_callbacks_.push_back(std::move(then)); }
 
-  // All that is held, and all that is taken from now on, is answered by then (s on the clock).
+  // Every request, pending or to come, gets its final response by then, s on the clock.
   void answer_by(double latest);
 
-  // Takes a request whose client waits until `event.time_left` from now. The answer may come at once. Throws
-  // std::exception, and nothing is held, where the memory does not suffice.
-  void take(Request event, std::shared_ptr<const HttpRequest> message, Asker asker);
-  // Whether a request of this id is open, or has attempts out.
-  bool holds(const std::string& id) const { return held_.contains(id); }
+  // Takes a request whose client waits for `event.time_left` from now. The response may come from within.
+  // Throws std::exception, and takes nothing, when memory does not suffice.
+  void take(Request event, std::shared_ptr<const HttpRequest> message, ResponseHandler handler);
+  // Whether a request of this id is pending.
+  bool holds(const std::string& id) const { return requests_.contains(id); }
   void client_gone(const std::string& id);
-  void members(const EndpointList& update);
-  // The watch is open and has said what it had to say; or no longer so, since `as_of` (s on the clock).
-  void list_current();
-  void list_stale(double as_of);
-  void discovery_moved();
-  void watch_failed(const WatchFailure& failure);
-  // How the fleet is seen from now on.
-  void fleet(const membership::FleetView& view);
-  // From now on callers are refused at once while this node is cut off from nodes and servers alike.
-  void refuse_when_cut_off(const membership::IsolationPlan& plan) { isolation_.emplace(plan); }
+
+  void on_endpoints(const EndpointList& update) override;
+  void on_list_current() override;
+  void on_list_stale(double as_of) override;
+  void on_discovery_moved() override;
+  void on_watch_failed(const WatchFailure& failure) override;
+
+  // The live replicas of this node's set have changed.
+  void on_replica_set(const membership::FleetView& view);
+  // From now on requests are rejected at once while this node is isolated from replicas and servers alike.
+  void reject_when_isolated(const membership::IsolationPlan& plan) { isolation_.emplace(plan); }
 
  private:
-  struct Held {
-    std::shared_ptr<const HttpRequest> message;
-    bool repeatable = true;                   // by its class
-    std::function<void(Answer&&)> answer_to;  // empty once the final answer is out, or nobody waits for it
-    std::shared_ptr<const std::function<bool()>> still_waits;  // shared with its attempts
-    double taken = 0;
-    double deadline = 0;  // when the answer has to be there
-    double until = 0;     // when attempts end, a margin before that
-    std::unique_ptr<boost::asio::steady_timer> guard;
-    std::vector<Upstream::Handle> attempts;
-    std::vector<bool> open;
-    bool over() const { return !answer_to; }
-    bool any_open() const;
-  };
-
-  void hold(const std::string& id, double now, const Request& event,
-            std::shared_ptr<const HttpRequest> message, Asker asker);
-  void happen(Event event);
-  void handle(const Event& event);
-  void attempt_ended(const std::string& id, int attempt, double sent, Upstream::End&& end);
+  void post_event(Event event);
+  void dispatch(const Event& event);
+  void on_first_list();
+  void on_attempt_ended(const std::string& id, int attempt, double sent_at, Upstream::End&& end);
+  void on_deadline(const std::string& id);
+  void set_ready(const std::string& server, bool is_ready);
+  void remove_unlisted(const EndpointList& list);
   bool may_send(const std::string& id);
-  void list_arrived();
-  void keep_to(const std::string& id, Held& held, double deadline);
-  void withdraw(const Held& held);
-  void answer(Held& held, Answer&& answer);
-  void settle(const std::string& id);
-  void overdue(const std::string& id);
+  void refresh_list(double now);
 
   void perform(const Send& action);
   void perform(const Reject& action);
@@ -117,24 +84,27 @@
   boost::asio::io_context& io_;
   const Clock& clock_;
   Balancer balancer_;
-  bool must_watch_;
-  std::minstd_rand jitter_;
-  std::size_t max_open_;
-  double busy_retry_after_;
-  std::vector<Idempotency> effects_;  // by class
-  std::optional<membership::Isolation> isolation_;
   Upstream& upstream_;
-  List list_;
-  bool awaits_list_ = false;       // the first one, where they are pushed
-  std::vector<Request> deferred_;  // until then
-  std::vector<std::function<void()>> when_listed_;
-  double latest_ = std::numeric_limits<double>::infinity();  // see answer_by
-  double list_seen_ = 0;                                     // when the list was last brought up to date
-  std::unordered_map<std::string, Held> held_;
-  std::unordered_map<std::string, bool> ready_by_name_;
-  std::size_t ready_ = 0;
-  std::deque<Event> events_;
-  bool handling_ = false;
+  EndpointWatch& endpoint_watch_;
+  PendingRequests requests_;
+  std::optional<membership::Isolation> isolation_;
+
+  bool uses_watch_;
+  std::size_t max_pending_requests_;
+  double busy_retry_after_;  // s; for requests that are rejected before the balancer sees them
+  std::vector<Idempotency> idempotency_by_class_;
+  std::minstd_rand jitter_;
+
+  bool is_awaiting_first_list_ = false;  // where lists are pushed
+  std::vector<Request> deferred_requests_;
+  std::vector<std::function<void()>> first_list_callbacks_;
+
+  double latest_response_ = std::numeric_limits<double>::infinity();  // s on the clock
+  double list_refreshed_at_ = 0;                                      // s on the clock
+  std::unordered_map<std::string, bool> is_ready_;                    // by server
+  std::size_t ready_servers_ = 0;
+  std::deque<Event> events_;  // that wait for the one being dispatched
+  bool is_dispatching_ = false;
 };
 
 }  // namespace thymewood::node
--- a/node/frontend.cpp
+++ b/node/frontend.cpp
@@ -375,7 +375,7 @@
     const Arrival came = look_at(socket_.native_handle());
     if ((!came.known || came.age >= kLateLook || ahead_.size() > 0) && !look())
       return gone_ ? close("client_gone") : respond(refusal(owner_->limits_.busy_retry_after));
-    // So much of it lies in the margins that every request has (kMargin of the dispatcher).
+    // So much of it lies in the margins that every request has (kResponseMargin).
     event.time_left -= std::max(0.0, came.age - kLateLook);
     const auto message = std::make_shared<Message>(owner_->budget_);
     share_.keep(ahead_.capacity());  // the rest goes with the request
@@ -408,7 +408,7 @@
     const auto weak = weak_from_this();
     try {
       owner_->dispatcher_.take(std::move(event), std::move(request),
-                               {[weak](Answer&& answer) {
+                               {[weak](FinalResponse&& answer) {
                                   if (const auto self = weak.lock()) self->answer(std::move(answer));
                                 },
                                 [weak] {
@@ -446,15 +446,15 @@
     respond(plain(why.status, std::string(why.text) + "\n"));
   }
 
-  void answer(Answer&& answer) {
+  void answer(FinalResponse&& answer) {
     if (state_ != State::kWaiting || owner_ == nullptr) return;
     switch (answer.kind) {
-      case Answer::Kind::kServed:
+      case FinalResponse::Kind::kFromServer:
         drop_hop_by_hop(answer.response);
         return respond(std::move(answer.response));
-      case Answer::Kind::kRefused:
+      case FinalResponse::Kind::kRejected:
         return respond(refusal(answer.retry_after));
-      case Answer::Kind::kFailed:
+      case FinalResponse::Kind::kFailed:
         return respond(plain(http::status::bad_gateway, "failed\n"));
     }
   }
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -17,7 +17,7 @@
 
 #include "budget.h"
 #include "config.h"
-#include "discovery.h"
+#include "discovery_watch.h"
 #include "dispatcher.h"
 #include "event_log.h"
 #include "frontend.h"
@@ -77,7 +77,7 @@
 
 // At each SIGHUP: the file is read again, and discovery followed to where it says. All else stays as it is.
 void reload_on(asio::signal_set& hangups, const char* path, const node::Clock& clock,
-               node::Discovery& discovery) {
+               node::DiscoveryWatch& discovery) {
   hangups.async_wait([&hangups, path, &clock, &discovery](boost::system::error_code bad, int) {
     if (bad) return;
     try {
@@ -106,9 +106,9 @@
                                                  std::chrono::system_clock::now().time_since_epoch())
                                                  .count());
   self.fleet = ms::fleet_of(fleet.name);
-  if (fleet.refuse_when_cut_off) to.refuse_when_cut_off({});
+  if (fleet.refuse_when_cut_off) to.reject_when_isolated({});
   return std::make_unique<node::Peers>(io, clock, *config.peers, self, fleet.plan, fleet.view, config.seed,
-                                       [&to](const ms::FleetView& view) { to.fleet(view); });
+                                       [&to](const ms::FleetView& view) { to.on_replica_set(view); });
 }
 
 // At each SIGUSR1, one line of the log.
@@ -141,18 +141,12 @@
   const thymewood::Settings& settings = config.settings;
   budget.limit(config.memory / kMessagePart);
   node::Upstream upstream(io, {config.dial_timeout, config.idle_close, shares.upstream}, budget);
-  node::Dispatcher* to = nullptr;
-  node::Discovery discovery(
-      io, config.discovery, config.zone_names, clock, config.start_times,
-      {[&to](const node::EndpointList& update) { to->members(update); }, [&to] { to->list_current(); },
-       [&to](double as_of) { to->list_stale(as_of); }, [&to] { to->discovery_moved(); },
-       [&to](const thymewood::WatchFailure& failure) { to->watch_failed(failure); }});
+  node::DiscoveryWatch discovery(io, config.discovery, config.zone_names, clock, config.start_times);
   // Where lists are pushed the whole one costs nothing, and is there whether or not anything has changed.
   if (settings.uses_watch && !config.known.endpoints.empty()) discovery.set_version(config.known.version);
   try {
-    node::Dispatcher dispatcher(io, clock, settings, config.seed, config.max_open, upstream,
-                                {[&discovery] { discovery.watch(); }, [&discovery] { discovery.refresh(); }});
-    to = &dispatcher;
+    node::Dispatcher dispatcher(io, clock, settings, config.seed, config.max_open, upstream, discovery);
+    discovery.set_listener(dispatcher);
     node::Frontend frontend(io, clock, {shares.clients, shares.overflow, settings.max_retry_after / 2},
                             {config.class_names, config.tenant_names, settings.classes}, budget, dispatcher);
     try {
