--- a/node/config.cpp
+++ b/node/config.cpp
@@ -4,8 +4,8 @@
 #include <charconv>
 #include <fstream>
 #include <iterator>
-#include <stdexcept>
 #include <string_view>
+#include <utility>
 
 #include "rapidjson/error/en.h"
 #include "settings_reader.h"
@@ -13,128 +13,177 @@
 namespace thymewood::node {
 namespace {
 
+namespace asio = boost::asio;
+
+constexpr int kDefaultDescriptors = 1024, kMinDescriptors = 64;
+constexpr int kDefaultMemoryMib = 192, kMinMemoryMib = 8;
+constexpr std::size_t kBytesPerMib = std::size_t{1024} * 1024;
+constexpr int kDefaultMaxPendingRequests = 20000;
+constexpr double kDefaultConnectTimeout = 0.25;  // s
+constexpr double kDefaultServerIdleTimeout = 5;  // s
+constexpr double kMaxTimeout = 1e6;              // s
+constexpr std::size_t kMaxPeers = 60000;         // a replica number has 16 bits
+constexpr double kMaxNotificationDelay = 6;      // s; what discovery has counts as notified after this time
+constexpr double kMaxSchedulingDelay = 0.2;      // s; of a process that waits for its core
+constexpr double kMinEndpointLease = 0.25;       // s
+
+rapidjson::Document parse_file(const std::string& path) {
+  std::ifstream file(path, std::ios::binary);
+  if (!file) throw ConfigError(path, "", "RELAY_CONFIG: cannot read " + path);
+  const std::string text{std::istreambuf_iterator<char>(file), {}};
+  rapidjson::Document in;
+  in.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
+  if (in.HasParseError()) {
+    throw ConfigError(path, "",
+                      std::string("RELAY_CONFIG: not valid JSON: ") +
+                          rapidjson::GetParseError_En(in.GetParseError()) + " at byte " +
+                          std::to_string(in.GetErrorOffset()));
+  }
+  return in;
+}
+
 std::uint64_t read_seed(const json::Value& in) {
   const std::string_view digits = json::text(in, "seed");
-  std::uint64_t out = 0;
-  const auto [end, problem] = std::from_chars(digits.data(), digits.data() + digits.size(), out, 16);
+  std::uint64_t seed = 0;
+  const auto [end, problem] = std::from_chars(digits.data(), digits.data() + digits.size(), seed, 16);
   if (problem != std::errc() || end != digits.data() + digits.size()) {
     json::wrong("seed", "a hexadecimal number");
   }
-  return out;
+  return seed;
 }
 
-boost::asio::ip::tcp::endpoint read_endpoint(const json::Value& in, const char* field) {
-  const auto out = parse_socket_address(json::text(in, field));
-  if (!out) json::wrong(field, "an address with a port");
-  return *out;
+asio::ip::tcp::endpoint to_socket_address(std::string_view text, const char* field) {
+  const auto address = parse_socket_address(text);
+  if (!address) json::wrong(field, "an address with a port");
+  return *address;
 }
 
-double positive(const json::Value& in, const char* field, double otherwise) {
-  const double out = json::number_or(in, field, otherwise);
-  if (!(out > 0 && out < 1e6)) json::wrong(field, "a number above 0");
-  return out;
+PeersTold::Endpoint to_peer_address(std::string_view text, const char* field) {
+  const asio::ip::tcp::endpoint address = to_socket_address(text, field);
+  return {address.address(), address.port()};
 }
 
-PeersTold::Endpoint read_peer(std::string_view text, const char* field) {
-  const auto out = parse_socket_address(text);
-  if (!out) json::wrong(field, "an address with a port");
-  return {out->address(), out->port()};
+double read_timeout(const json::Value& in, const char* field, double otherwise) {
+  const double seconds = json::number_or(in, field, otherwise);
+  if (!(seconds > 0 && seconds < kMaxTimeout)) json::wrong(field, "a number above 0");
+  return seconds;
+}
+
+void read_limits(const json::Value& in, Config& config) {
+  const json::Value* const limits = json::find(in, "limits");
+  const int descriptors =
+      limits != nullptr ? json::whole_or(*limits, "sockets", kDefaultDescriptors) : kDefaultDescriptors;
+  if (descriptors < kMinDescriptors) json::wrong("sockets", "at least 64");
+  config.max_descriptors = static_cast<std::size_t>(descriptors);
+  const int memory_mib =
+      limits != nullptr ? json::whole_or(*limits, "memory_mb", kDefaultMemoryMib) : kDefaultMemoryMib;
+  if (memory_mib < kMinMemoryMib) json::wrong("memory_mb", "at least 8");
+  config.memory_bytes = static_cast<std::size_t>(memory_mib) * kBytesPerMib;
+}
+
+std::vector<std::string> names_of(const json::Value& list) {
+  std::vector<std::string> names;
+  for (const json::Value& item : list.GetArray()) names.emplace_back(json::text(item, "name"));
+  return names;
+}
+
+ZoneNames read_zones(const json::Value& settings) {
+  ZoneNames zones;
+  if (json::find(settings, "azs") == nullptr) return zones;
+  for (const json::Value& zone : json::array(settings, "azs").GetArray()) {
+    if (!zone.IsString()) json::wrong("azs", "an array of strings");
+    zones.names.emplace_back(zone.GetString(), zone.GetStringLength());
+  }
+  return zones;
+}
+
+// What discovery has counts as notified after the poll interval, where that is shorter. The lease is shorter
+// still by what may pass between the choice of an endpoint and the first byte to it.
+double endpoint_lease_of(const Settings& settings, double connect_timeout) {
+  const double notified = settings.uses_watch && settings.poll_interval > 0
+                              ? std::min(kMaxNotificationDelay, settings.poll_interval)
+                              : kMaxNotificationDelay;
+  return std::max(kMinEndpointLease, notified - connect_timeout - kMaxSchedulingDelay);
 }
 
-// Talk between nodes needs the platform's word for it, an address of one's own, and those of the others.
-std::optional<PeersTold> read_peers(const json::Value& in, const json::Value& bounds,
-                                    const Settings& settings) {
-  const json::Value* const permitted = json::find(bounds, "peers");
+void read_bounds(const json::Value& bounds, Config& config) {
+  config.connect_timeout = read_timeout(bounds, "dialTimeout", kDefaultConnectTimeout);
+  config.server_idle_timeout = read_timeout(bounds, "idleClose", kDefaultServerIdleTimeout);
+  config.settings.endpoint_lease = endpoint_lease_of(config.settings, config.connect_timeout);
+  const int max_pending = json::whole_or(bounds, "maxOpen", kDefaultMaxPendingRequests);
+  if (max_pending < 1) json::wrong("maxOpen", "at least 1");
+  config.max_pending_requests = static_cast<std::size_t>(max_pending);
+}
+
+void read_settings_section(const json::Value& in, Config& config) {
+  const json::Value& settings = json::need(in, "settings");
+  config.settings = json::read_settings(settings);
+  config.class_names = names_of(json::array(settings, "categories"));
+  if (json::find(settings, "realms") != nullptr)
+    config.tenant_names = names_of(json::array(settings, "realms"));
+  config.zones = read_zones(settings);
+  read_bounds(json::need(settings, "bounds"), config);
+}
+
+// Messages between replicas need the platform's permission, an address to listen at, and those of the peers.
+std::optional<PeersTold> read_peers(const json::Value& in, const Settings& settings) {
+  const json::Value* const permitted = json::find(json::need(json::need(in, "settings"), "bounds"), "peers");
   if (permitted == nullptr || !permitted->IsBool() || !permitted->GetBool()) return std::nullopt;
   if (json::find(in, "peer_listen") == nullptr || json::find(in, "peers") == nullptr) return std::nullopt;
-  PeersTold out;
-  out.listen = read_peer(json::text(in, "peer_listen"), "peer_listen");
+  PeersTold peers;
+  peers.listen = to_peer_address(json::text(in, "peer_listen"), "peer_listen");
   for (const json::Value& peer : json::array(in, "peers").GetArray()) {
     if (!peer.IsString()) json::wrong("peers", "an array of addresses with ports");
-    out.peers.push_back(read_peer({peer.GetString(), peer.GetStringLength()}, "peers"));
+    peers.peers.push_back(to_peer_address({peer.GetString(), peer.GetStringLength()}, "peers"));
   }
-  if (static_cast<std::size_t>(settings.replica_index) >= out.peers.size())
+  if (static_cast<std::size_t>(settings.replica_index) >= peers.peers.size())
     json::wrong("peers", "an address for this node's own position");
-  constexpr std::size_t kMostPeers = 60000;
-  if (out.peers.size() > kMostPeers) json::wrong("peers", "60000 addresses at most");
-  if (json::find(in, "peers_all") != nullptr) out.all = read_peer(json::text(in, "peers_all"), "peers_all");
-  return out;
+  if (peers.peers.size() > kMaxPeers) json::wrong("peers", "60000 addresses at most");
+  if (json::find(in, "peers_all") != nullptr)
+    peers.all = to_peer_address(json::text(in, "peers_all"), "peers_all");
+  return peers;
 }
 
-// s; how long a server is used by a list that nothing confirms. What discovery has counts as notified 6 s
-// later at the latest, or as soon as the settings say for a node that does not ask. From that goes what may
-// lie between the decision for a server and the first byte to it: a dial, and a process that is held up.
-double list_lease_of(const Settings& settings, double dial_timeout) {
-  constexpr double kNotified = 6, kHeldUp = 0.2, kLeast = 0.25;
-  const double notified = settings.uses_watch && settings.poll_interval > 0
-                              ? std::min(kNotified, settings.poll_interval)
-                              : kNotified;
-  return std::max(kLeast, notified - dial_timeout - kHeldUp);
-}
-
-std::vector<std::string> names_of(const json::Value& list) {
-  std::vector<std::string> out;
-  for (const json::Value& item : list.GetArray()) out.emplace_back(json::text(item, "name"));
-  return out;
+void read_known_endpoints(const json::Value& in, const Clock& clock, Config& config) {
+  const json::Value* const known = json::find(in, "known");
+  if (known == nullptr) return;
+  try {
+    config.known_endpoints = read_endpoint_list(*known, config.zones, clock.reading(), config.start_times);
+  } catch (const std::exception& problem) {
+    throw std::runtime_error(std::string("known: ") + problem.what());
+  }
 }
 
 }  // namespace
 
-Config read_config(const std::string& path, const Clock& clock) {
-  std::ifstream file(path, std::ios::binary);
-  if (!file) throw std::runtime_error("RELAY_CONFIG: cannot read " + path);
-  const std::string text{std::istreambuf_iterator<char>(file), {}};
-  rapidjson::Document in;
-  in.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
-  if (in.HasParseError()) {
-    throw std::runtime_error(std::string("RELAY_CONFIG: not valid JSON: ") +
-                             rapidjson::GetParseError_En(in.GetParseError()) + " at byte " +
-                             std::to_string(in.GetErrorOffset()));
-  }
-  Config out;
-  out.name = json::find(in, "name") != nullptr ? std::string(json::text(in, "name")) : "node";
-  out.listen = read_endpoint(in, "listen");
-  out.discovery = read_endpoint(in, "discovery");
-  out.seed = read_seed(in);
-  constexpr int kUsualSockets = 1024, kFewestSockets = 64;
-  const json::Value* limits = json::find(in, "limits");
-  const int sockets = limits != nullptr ? json::whole_or(*limits, "sockets", kUsualSockets) : kUsualSockets;
-  if (sockets < kFewestSockets) json::wrong("sockets", "at least 64");
-  out.sockets = static_cast<std::size_t>(sockets);
-  constexpr int kUsualMemory = 192, kLeastMemory = 8;
-  constexpr std::size_t kMega = std::size_t{1024} * 1024;
-  const int memory = limits != nullptr ? json::whole_or(*limits, "memory_mb", kUsualMemory) : kUsualMemory;
-  if (memory < kLeastMemory) json::wrong("memory_mb", "at least 8");
-  out.memory = static_cast<std::size_t>(memory) * kMega;
+ConfigError::ConfigError(std::string file, std::string key, std::string reason)
+    : std::runtime_error(reason), file_(std::move(file)), key_(std::move(key)), reason_(std::move(reason)) {}
 
-  const json::Value& settings = json::need(in, "settings");
-  out.settings = json::read_settings(settings);
-  out.class_names = names_of(json::array(settings, "categories"));
-  if (json::find(settings, "realms") != nullptr) out.tenant_names = names_of(json::array(settings, "realms"));
-  if (json::find(settings, "azs") != nullptr) {
-    for (const json::Value& zone : json::array(settings, "azs").GetArray()) {
-      if (!zone.IsString()) json::wrong("azs", "an array of strings");
-      out.zone_names.names.emplace_back(zone.GetString(), zone.GetStringLength());
-    }
-  }
-  const json::Value& bounds = json::need(settings, "bounds");
-  constexpr double kUsualDial = 0.25, kUsualIdle = 5;
-  out.dial_timeout = positive(bounds, "dialTimeout", kUsualDial);
-  out.idle_close = positive(bounds, "idleClose", kUsualIdle);
-  out.settings.endpoint_lease = list_lease_of(out.settings, out.dial_timeout);
-  constexpr int kUsualOpen = 20000;
-  const int max_open = json::whole_or(bounds, "maxOpen", kUsualOpen);
-  if (max_open < 1) json::wrong("maxOpen", "at least 1");
-  out.max_open = static_cast<std::size_t>(max_open);
-  out.peers = read_peers(in, bounds, out.settings);
-  if (const json::Value* known = json::find(in, "known")) {
-    try {
-      out.known = read_endpoint_list(*known, out.zone_names, clock.reading(), out.start_times);
-    } catch (const std::exception& problem) {
-      throw std::runtime_error(std::string("known: ") + problem.what());
-    }
+Config read_config(const std::string& path, const Clock& clock) {
+  const rapidjson::Document in = parse_file(path);
+  Config config;
+  const char* key = "";
+  try {
+    key = "name";
+    config.name = json::find(in, key) != nullptr ? std::string(json::text(in, key)) : "node";
+    key = "listen";
+    config.listen_address = to_socket_address(json::text(in, key), key);
+    key = "discovery";
+    config.discovery_address = to_socket_address(json::text(in, key), key);
+    key = "seed";
+    config.seed = read_seed(in);
+    key = "limits";
+    read_limits(in, config);
+    key = "settings";
+    read_settings_section(in, config);
+    key = "peers";
+    config.peers = read_peers(in, config.settings);
+    key = "known";
+    read_known_endpoints(in, clock, config);
+  } catch (const std::exception& problem) {
+    throw ConfigError(path, key, problem.what());
   }
-  return out;
+  return config;
 }
 
 }  // namespace thymewood::node
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -1,196 +1,64 @@
-// thymewood: a load-balancer node. Environment, signals, wiring and exit status; the work is elsewhere.
-#include <sys/resource.h>
-
-#include <algorithm>
+// thymewood: a load-balancer node. Environment, signals and exit status.
 #include <boost/asio/signal_set.hpp>
-#include <chrono>
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
-#include <functional>
 #include <iostream>
-#include <memory>
-#include <sstream>
-#include <string>
-#include <thread>
 #include <utility>
 
 #include "budget.h"
 #include "config.h"
-#include "discovery_watch.h"
-#include "dispatcher.h"
 #include "event_log.h"
-#include "frontend.h"
+#include "event_loop.h"
+#include "load_balancer_node.h"
 #include "operators_file.h"
-#include "peers.h"
-#include "upstream.h"
+#include "process_limits.h"
 
 namespace {
 
 namespace asio = boost::asio;
 namespace node = thymewood::node;
 
-constexpr int kBadConfiguration = 2;
-// Messages may fill this part of the memory: the rest is for the program, what a connection takes by itself
-// and what the allocator does not give back.
-constexpr std::size_t kMessagePart = 3;
+constexpr int kExitBadConfiguration = 2;
 
-std::string text_of(const asio::ip::tcp::endpoint& endpoint) {
-  std::ostringstream out;
-  out << endpoint;
-  return out.str();
+int fail_to_start(const std::exception& problem) {
+  std::cerr << "thymewood: " << problem.what() << '\n';
+  return kExitBadConfiguration;
 }
 
-// How the descriptors are shared out. Danger: a request that was accepted and has no descriptor left for its
-// attempt can only be refused.
-struct Shares {
-  explicit Shares(std::size_t sockets) {
-    rlimit limit{};
-    if (getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur != RLIM_INFINITY) {
-      sockets = std::min<std::size_t>(sockets, limit.rlim_cur);
-    }
-    constexpr std::size_t kReserve = 24;  // the loop's own, discovery, the log, the listener and a spare
-    const std::size_t free = sockets > 2 * kReserve ? sockets - kReserve : kReserve;
-    clients = free / 2;
-    overflow = free / 8;
-    upstream = free - clients - overflow;
-  }
-  std::size_t clients = 0, overflow = 0, upstream = 0;
-};
-
-// Guards against an exception that gets past a handler: it costs what that one was about, not the node. Each
-// request has a timer of its own that answers it in time; `recover` takes up what goes on for good.
-void run_to_end(asio::io_context& io, const std::function<void()>& recover) {
-  constexpr auto kPause = std::chrono::milliseconds(10);
-  for (bool failed = false;;) {
-    try {
-      if (std::exchange(failed, false)) recover();
-      io.run();
-      return;
-    } catch (const std::exception& problem) {
-      failed = true;
-      node::log_warning("handler_failed").with("problem", problem.what());
-      std::this_thread::sleep_for(kPause);  // memory that is short may be short for a while
-    }
-  }
-}
-
-// At each SIGHUP: the file is read again, and discovery followed to where it says. All else stays as it is.
-void reload_on(asio::signal_set& hangups, const char* path, const node::Clock& clock,
-               node::DiscoveryWatch& discovery) {
-  hangups.async_wait([&hangups, path, &clock, &discovery](boost::system::error_code bad, int) {
-    if (bad) return;
-    try {
-      const node::Config config = node::read_config(path, clock);
-      discovery.move_to(config.discovery);
-      node::log_info("reload").with("discovery", text_of(config.discovery));
-    } catch (const std::exception& problem) {
-      // All stays as it was.
-      node::log_warning("reload_failed").with("problem", problem.what());
-    }
-    reload_on(hangups, path, clock, discovery);
-  });
+thymewood::operators::OperatorsFile read_operators_file_from_environment() {
+  const char* const path = std::getenv("THYMEWOOD_OPERATORS");
+  if (path == nullptr || *path == '\0') return {};
+  return thymewood::operators::read_operators_file(path);
 }
 
-// Off unless the platform permits talk between nodes and the operators' file says so.
-std::unique_ptr<node::Peers> make_peers(asio::io_context& io, const node::Clock& clock,
-                                        const node::Config& config,
-                                        const thymewood::operators::FleetFile& fleet, node::Dispatcher& to) {
-  if (!fleet.enabled || !config.peers) return nullptr;
-  namespace ms = thymewood::membership;
-  ms::Self self;
-  self.number = static_cast<ms::Number>(config.settings.replica_index);
-  self.peers = static_cast<std::uint16_t>(config.peers->peers.size());
-  self.zone = static_cast<std::uint8_t>(config.settings.zone);
-  self.start_ms = static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(
-                                                 std::chrono::system_clock::now().time_since_epoch())
-                                                 .count());
-  self.fleet = ms::fleet_of(fleet.name);
-  if (fleet.refuse_when_cut_off) to.reject_when_isolated({});
-  return std::make_unique<node::Peers>(io, clock, *config.peers, self, fleet.plan, fleet.view, config.seed,
-                                       [&to](const ms::FleetView& view) { to.on_replica_set(view); });
-}
-
-// At each SIGUSR1, one line of the log.
-void report_on(asio::signal_set& asked, const node::Peers& peers) {
-  asked.async_wait([&asked, &peers](boost::system::error_code bad, int) {
-    if (bad) return;
-    std::clog << "fleet: " << peers.report() << '\n';
-    report_on(asked, peers);
-  });
-}
-
-int run(const char* path) {
-  // Danger: a signal that comes before these stand would end the process. What comes between here and the
-  // first wait is kept for it.
-  node::Budget budget;  // outlives what is left in the event loop at the end
+int run(const char* config_path) {
+  node::Budget message_budget;  // outlives what is left in the event loop at the end
   asio::io_context io(1);
-  asio::signal_set hangups(io, SIGHUP), signals(io, SIGTERM, SIGINT);
+  // Signals that come before the first wait are kept; without these sets they would end the process.
+  asio::signal_set reload_signals(io, SIGHUP), stop_signals(io, SIGTERM, SIGINT);
   const node::Clock clock;
   node::Config config;
   thymewood::operators::OperatorsFile operators;
   try {
-    config = node::read_config(path, clock);
-    if (const char* file = std::getenv("THYMEWOOD_OPERATORS"); file != nullptr && *file != '\0')
-      operators = thymewood::operators::read_operators_file(file);
+    config = node::read_config(config_path, clock);
+    operators = read_operators_file_from_environment();
   } catch (const std::exception& problem) {
-    std::cerr << "thymewood: " << problem.what() << '\n';
-    return kBadConfiguration;
+    return fail_to_start(problem);
   }
-  const Shares shares(config.sockets);
-  const thymewood::Settings& settings = config.settings;
-  budget.limit(config.memory / kMessagePart);
-  node::Upstream upstream(io, {config.dial_timeout, config.idle_close, shares.upstream}, budget);
-  node::DiscoveryWatch discovery(io, config.discovery, config.zone_names, clock, config.start_times);
-  // Where lists are pushed the whole one costs nothing, and is there whether or not anything has changed.
-  if (settings.uses_watch && !config.known.endpoints.empty()) discovery.set_version(config.known.version);
+  message_budget.limit(node::message_memory(config.memory_bytes));
   try {
-    node::Dispatcher dispatcher(io, clock, settings, config.seed, config.max_open, upstream, discovery);
-    discovery.set_listener(dispatcher);
-    node::Frontend frontend(io, clock, {shares.clients, shares.overflow, settings.max_retry_after / 2},
-                            {config.class_names, config.tenant_names, settings.classes}, budget, dispatcher);
-    try {
-      frontend.listen(config.listen);
-    } catch (const boost::system::system_error& problem) {
-      std::cerr << "thymewood: listen: " << problem.code().message() << '\n';
-      return kBadConfiguration;
-    }
-    if (!config.known.problem.empty())
-      node::log_warning("list_unreadable").with("problem", "known: " + config.known.problem);
-    dispatcher.start(config.known);
-    frontend.start();
-    std::unique_ptr<node::Peers> peers;
-    asio::signal_set asked(io);
-    try {
-      peers = make_peers(io, clock, config, operators.fleet, dispatcher);
-    } catch (const boost::system::system_error& problem) {
-      std::cerr << "thymewood: peer_listen: " << problem.code().message() << '\n';
-      return kBadConfiguration;
-    }
-    if (peers) {
-      asked.add(SIGUSR1);
-      report_on(asked, *peers);
-      peers->start();
-    }
-    node::log_info("listening").with("node", config.name).with("address", text_of(frontend.local()));
-    reload_on(hangups, path, clock, discovery);
-    signals.async_wait([&](boost::system::error_code bad, int) {
-      // It says that it ends when it has ended: until then it sends, and has to be reckoned with.
-      if (bad) return;
-      node::log_info("drain_started");
-      frontend.drain([&io, &peers] {
-        if (peers) peers->leave();
-        node::log_info("drain_ended");
-        io.stop();
-      });
-    });
-    run_to_end(io, [&] {
-      frontend.recover();
-      discovery.recover();
+    node::LoadBalancerNode balancer(io, clock, std::move(config), std::move(operators.fleet), message_budget);
+    balancer.start();
+    node::on_each_signal(reload_signals, [&] { balancer.reload(config_path); });
+    stop_signals.async_wait([&](boost::system::error_code cancelled, int) {
+      if (!cancelled) balancer.shut_down();
     });
+    node::run_until_stopped(io, [&] { balancer.recover(); });
+  } catch (const node::StartupError& problem) {
+    return fail_to_start(problem);
   } catch (const std::invalid_argument& problem) {
-    std::cerr << "thymewood: " << problem.what() << '\n';
-    return kBadConfiguration;
+    return fail_to_start(problem);
   }
   return EXIT_SUCCESS;
 }
@@ -199,15 +67,15 @@
 
 int main() {
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGXFSZ, SIG_IGN);  // a log that may not grow costs its lines, not the node
+  std::signal(SIGXFSZ, SIG_IGN);  // a log that cannot grow loses its lines and nothing else
   try {
     node::configure_log_from_environment();
-    const char* path = std::getenv("RELAY_CONFIG");
-    if (path == nullptr || *path == '\0') {
+    const char* const config_path = std::getenv("RELAY_CONFIG");
+    if (config_path == nullptr || *config_path == '\0') {
       std::cerr << "thymewood: RELAY_CONFIG is not set\n";
-      return kBadConfiguration;
+      return kExitBadConfiguration;
     }
-    return run(path);
+    return run(config_path);
   } catch (const std::exception& problem) {
     std::fprintf(stderr, "thymewood: %s\n", problem.what());
   } catch (...) {
--- a/tests/bench/rig_test.cpp
+++ b/tests/bench/rig_test.cpp
@@ -47,8 +47,8 @@
   EXPECT_EQ(config.settings.classes[1].dedup_scope, DedupScope::kZone);
   EXPECT_DOUBLE_EQ(config.settings.classes[1].dedup_window, 1.5);
   EXPECT_EQ(config.settings.classes[2].idempotency, Idempotency::kNotIdempotent);
-  ASSERT_EQ(config.known.endpoints.size(), 2u);
-  EXPECT_EQ(config.known.endpoints[1].socket_address.port(), 1002);
+  ASSERT_EQ(config.known_endpoints.endpoints.size(), 2u);
+  EXPECT_EQ(config.known_endpoints.endpoints[1].socket_address.port(), 1002);
 }
 
 TEST(Rig, TheStandInWorksAsTheModelSays) {
