--- a/node/event_log.cpp
+++ b/node/event_log.cpp
@@ -35,12 +35,12 @@
   auto out = std::make_shared<spdlog::logger>("thymewood", std::make_shared<spdlog::sinks::stderr_sink_st>());
   out->set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
   out->flush_on(spdlog::level::debug);
-  // A log that can't be written, on a full disk say, costs its lines and nothing else.
+  // A log that cannot be written, on a full disk for example, loses its lines and nothing else.
   out->set_error_handler([](const std::string&) {});
   return out;
 }
 
-// Used by the one thread of the node alone.
+// Not thread-safe: the node has one thread.
 spdlog::logger& logger() {
   static const std::shared_ptr<spdlog::logger> instance = make_logger();
   return *instance;
@@ -76,14 +76,14 @@
 
 bool LogRateLimit::take(double now, LogLevel level) {
   const double factor = level == LogLevel::kDebug ? kDebugFactor : 1;
-  const double earned = lines_ < 0 ? kBurst * factor : (now - at_) * kPerSecond * factor;
-  lines_ = std::min(kBurst * factor, std::max(0.0, lines_) + earned);
-  at_ = now;
-  if (lines_ < 1) {
+  const double earned = tokens_ < 0 ? kBurst * factor : (now - refilled_at_) * kPerSecond * factor;
+  tokens_ = std::min(kBurst * factor, std::max(0.0, tokens_) + earned);
+  refilled_at_ = now;
+  if (tokens_ < 1) {
     ++suppressed_;
     return false;
   }
-  lines_ -= 1;
+  tokens_ -= 1;
   return true;
 }
 
@@ -97,7 +97,8 @@
   if (!enabled_) return;
   line_ = "event=";
   line_ += name;
-  if (const std::uint64_t left_out = limit.take_suppressed(); left_out > 0) with("suppressed", left_out);
+  if (const std::uint64_t suppressed = limit.take_suppressed(); suppressed > 0)
+    with("suppressed", suppressed);
 }
 
 LogEvent::~LogEvent() {
@@ -128,8 +129,8 @@
   return *this;
 }
 
-LogEvent& LogEvent::with(std::string_view key, bool yes) {
-  if (enabled_) line_ += fmt::format(" {}={}", key, yes);
+LogEvent& LogEvent::with(std::string_view key, bool flag) {
+  if (enabled_) line_ += fmt::format(" {}={}", key, flag);
   return *this;
 }
 
--- a/node/object_stream.h
+++ b/node/object_stream.h
@@ -1,7 +1,7 @@
-// Takes a stream of JSON objects apart, whatever white space stands between them or within (RFC 8259, 2): one
-// a line, several on one, or each indented over many lines. It finds where an object ends and checks no more.
+// Splits a stream of bytes into JSON objects, whatever white space stands between them or within (RFC 8259,
+// section 2). Finds where an object ends and validates no more than that.
 //
-// Pure: bytes in, whole objects out.
+// Pure: bytes in, complete objects out.
 #pragma once
 
 #include <cstddef>
@@ -13,54 +13,64 @@
 
 class ObjectStream {
  public:
-  explicit ObjectStream(std::size_t longest) : longest_(longest) {}
+  explicit ObjectStream(std::size_t max_object_bytes) : max_object_bytes_(max_object_bytes) {}
 
-  // Calls `take` with each object that is whole by now, in order; it says whether to go on. The text is valid
-  // for that call alone. False: what came is no object, or one is longer than `longest` bytes; or `take` has
-  // said no. Nothing may be fed after that.
-  template <typename Take>
-  bool feed(std::string_view bytes, const Take& take) {
+  // Calls `on_object` with each object that is complete by now, in order; it returns whether to go on. The
+  // text is valid during that call only. False: the bytes are no object, one is too long, or `on_object` has
+  // returned false. Nothing may be fed after that.
+  template <typename OnObject>
+  [[nodiscard]] bool feed(std::string_view bytes, const OnObject& on_object) {
     for (const char c : bytes) {
-      if (depth_ == 0) {
-        if (c == ' ' || c == '\t' || c == '\r' || c == '\n') continue;
-        if (c != '{') return false;
-      }
-      const bool begins = c == '{' || c == '[' || c == '"';
-      if (begins && !in_text_ && depth_ > 0 && std::string_view(":,[{").find(last_) == std::string_view::npos)
-        return false;
-      object_ += c;
-      if (object_.size() > longest_) return false;
-      if (!in_text_ && c != ' ' && c != '\t' && c != '\r' && c != '\n') last_ = c;
-      if (in_text_) {
-        if (escaped_) {
-          escaped_ = false;
-        } else if (c == '\\') {
-          escaped_ = true;
-        } else if (c == '"') {
-          in_text_ = false;
-          last_ = c;
-        }
-      } else if (c == '"') {
-        in_text_ = true;
-      } else if (c == '{' || c == '[') {
-        ++depth_;
-      } else if ((c == '}' || c == ']') && --depth_ == 0) {
-        const std::string whole = std::exchange(object_, {});
-        if (!take(std::string_view(whole))) return false;
-      }
+      if (depth_ == 0 && is_space(c)) continue;
+      if (!append(c)) return false;
+      if (depth_ > 0) continue;
+      const std::string object = std::exchange(object_, {});
+      if (!on_object(std::string_view(object))) return false;
     }
     return true;
   }
 
-  // An object has begun and not ended.
+  // Whether an object has begun and not ended.
   bool pending() const { return depth_ > 0; }
 
  private:
-  std::size_t longest_;
-  std::string object_;  // what has come of the next one
+  static bool is_space(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
+  static bool starts_value(char c) { return c == '{' || c == '[' || c == '"'; }
+  static bool may_precede_value(char c) { return c == ':' || c == ',' || c == '[' || c == '{'; }
+
+  // False: the byte cannot be the next one of an object.
+  bool append(char c) {
+    if (depth_ == 0 && c != '{') return false;
+    if (depth_ > 0 && !in_string_ && starts_value(c) && !may_precede_value(previous_)) return false;
+    object_ += c;
+    if (object_.size() > max_object_bytes_) return false;
+    if (in_string_) {
+      append_to_string(c);
+      return true;
+    }
+    if (!is_space(c)) previous_ = c;
+    if (c == '"') in_string_ = true;
+    if (c == '{' || c == '[') ++depth_;
+    if (c == '}' || c == ']') --depth_;
+    return true;
+  }
+
+  void append_to_string(char c) {
+    if (is_escaped_) {
+      is_escaped_ = false;
+    } else if (c == '\\') {
+      is_escaped_ = true;
+    } else if (c == '"') {
+      in_string_ = false;
+      previous_ = c;
+    }
+  }
+
+  std::size_t max_object_bytes_;
+  std::string object_;  // the part of the next object that has come
   std::size_t depth_ = 0;
-  char last_ = 0;  // outside of texts, other than white space
-  bool in_text_ = false, escaped_ = false;
+  char previous_ = 0;  // outside of strings, other than white space
+  bool in_string_ = false, is_escaped_ = false;
 };
 
 }  // namespace thymewood::node
--- a/tests/node/deployments_test.cpp
+++ b/tests/node/deployments_test.cpp
@@ -1,12 +1,11 @@
-// Other customers' settings: classes, effects, deadlines and limits come from there alone, and what can't be
-// used is said with its field.
+// Settings of other customers: request classes, idempotency, timeouts and limits come from there alone, and
+// what cannot be used is rejected with its field.
 #include "node_harness.h"
 
 namespace thymewood::node {
 namespace {
 
-// Three customers who have nothing in common: short and strict, long and forgiving, and one with a single
-// class.
+// Three customers that have nothing in common: short timeouts, long ones, and a single class.
 const Customer kCustomers[] = {
     {"Short",
      R"({"name":"peek","aim":0.1,"giveUp":0.3,"effect":"safe"},)"
@@ -22,12 +21,12 @@
      R"("askWithin":0.0)"},
 };
 
-struct Class {
+struct ClassUnderTest {
   std::string name, idempotency;
 };
 
-std::vector<Class> classes_of(const Customer& customer) {
-  std::vector<Class> out;
+std::vector<ClassUnderTest> classes_of(const Customer& customer) {
+  std::vector<ClassUnderTest> out;
   const std::string text = customer.categories;
   const auto value = [&](std::size_t from, const std::string& field) {
     const std::size_t at = text.find("\"" + field + "\":\"", from) + field.size() + 4;
@@ -38,14 +37,14 @@
   return out;
 }
 
-Ask ask_of(const Class& c, const std::string& id) {
+Ask ask_of(const ClassUnderTest& c, const std::string& id) {
   Ask out{.kind = c.name, .id = id, .timeout = ""};
   if (c.idempotency == "safe") out.method = "GET", out.body = "";
   if (c.idempotency == "keyed") out.key = "k-" + id;
   return out;
 }
 
-class EachCustomer : public testing::TestWithParam<Customer> {
+class CustomerSettings : public testing::TestWithParam<Customer> {
  protected:
   static ConfigText config() {
     ConfigText out;
@@ -55,17 +54,17 @@
   }
 };
 
-TEST_P(EachCustomer, IsServedByItsOwnClassesAndNoOthers) {
+TEST_P(CustomerSettings, OnlyTheirOwnClassesAreServed) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server}, config());
   Wire client = d.client();
-  for (const Class& c : classes_of(GetParam())) {
+  for (const ClassUnderTest& c : classes_of(GetParam())) {
     client.write(ask_of(c, "r-" + c.name).text());
     EXPECT_EQ(status_of(client.read_message()), 200) << c.name;
-    // An effect that is not the class's own is turned down.
-    Ask wrong = ask_of(c, "w-" + c.name);
-    wrong.key = wrong.key.empty() ? "k" : "";
-    client.write(wrong.text());
+    // A key where the class has none, or none where it needs one, is an error.
+    Ask invalid = ask_of(c, "w-" + c.name);
+    invalid.key = invalid.key.empty() ? "k" : "";
+    client.write(invalid.text());
     EXPECT_EQ(status_of(client.read_message()), 400) << c.name;
   }
   for (const char* foreign : {"look", "close", "dance"}) {
@@ -74,9 +73,9 @@
   }
 }
 
-// What an error means follows from the effect: an unsafe request goes out once, a keyed one within its group
-// and window, a safe one as often as there are attempts; and only what is harmless to repeat is refused.
-TEST_P(EachCustomer, IsResentAsItsEffectsPermit) {
+// A request that is not idempotent is sent once, one with an idempotency key within its scope and window, an
+// idempotent one as often as there are attempts; and only what may be repeated is rejected with a 503.
+TEST_P(CustomerSettings, RetriesFollowTheIdempotencyOfTheClass) {
   FakeServer one(replies(500, "no")), two(replies(500, "no"));
   ConfigText text = config();
   text.known =
@@ -88,26 +87,26 @@
       for (const std::string& request : server->requests()) out += field_of(request, "X-Request-ID") == id;
     return out;
   };
-  for (const Class& c : classes_of(GetParam())) {
+  for (const ClassUnderTest& c : classes_of(GetParam())) {
     Wire client = d.client();
     const std::string id = "r-" + c.name;
     client.write(ask_of(c, id).text());
     const int status = status_of(client.read_message());
-    const bool elsewhere = c.idempotency == "safe" || c.name == "note" || c.name == "seal";
+    const bool can_retry = c.idempotency == "safe" || c.name == "note" || c.name == "seal";
     EXPECT_GE(sent(id), 1U) << c.name;
-    EXPECT_LE(sent(id), elsewhere ? 3U : 1U)
-        << c.name << ": the other server is of another cell, or it is unsafe";
+    EXPECT_LE(sent(id), can_retry ? 3U : 1U)
+        << c.name << ": the other server is in another cell, or the request is not idempotent";
     EXPECT_EQ(status, c.idempotency == "safe" || c.name == "note" ? 503 : 502) << c.name;
   }
 }
 
-// A request without a word of its time has the class's; whoever hangs, it is answered. Where the class's is
-// an hour, it says what it waits.
-TEST_P(EachCustomer, IsAnsweredWhateverHangs) {
-  FakeServer hangs([](Wire&, const std::string&) { return true; });
-  Deployment d({&hangs}, config());
+// A request that names no timeout has that of its class. That of the class "only" is too long for a
+// test, so its request names one.
+TEST_P(CustomerSettings, EveryRequestIsAnsweredWhenTheServerHangs) {
+  FakeServer hanging([](Wire&, const std::string&) { return true; });
+  Deployment d({&hanging}, config());
   std::vector<Wire> clients;
-  for (const Class& c : classes_of(GetParam())) {
+  for (const ClassUnderTest& c : classes_of(GetParam())) {
     clients.push_back(d.client());
     Ask ask = ask_of(c, "r-" + c.name);
     if (c.name == "only") ask.timeout = "700";
@@ -119,11 +118,11 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(All, EachCustomer, testing::ValuesIn(kCustomers),
+INSTANTIATE_TEST_SUITE_P(All, CustomerSettings, testing::ValuesIn(kCustomers),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// A short time is not eaten up by the node's margins: most of it is the server's.
-TEST(ShortDeadlines, AreMostlyTheServers) {
+// The margins of the node leave most of a short timeout to the server.
+TEST(ShortTimeouts, AreMostlyLeftToTheServer) {
   FakeServer server(replies(200, "ok"));
   ConfigText config;
   config.categories = kCustomers[0].categories;
@@ -131,18 +130,18 @@
   Wire client = d.client();
   client.write(Ask{.kind = "fire", .timeout = "80"}.text());
   ASSERT_EQ(status_of(client.read_message()), 200);
-  EXPECT_GE(std::stoi(field_of(server.requests()[0], "X-Timeout-Ms")), 50) << "40 ms were cut off";
+  EXPECT_GE(std::stoi(field_of(server.requests()[0], "X-Timeout-Ms")), 50) << "the server gets most of the 80 ms";
 }
 
-struct Bad {
-  const char* what;
+struct SettingsCase {
+  const char* name;
   const char* categories;
   const char* bounds;
-  const char* field;  // named in the error; nullptr: it is used
+  const char* field;  // named in the error; null where the settings can be used
 };
 constexpr const char* kGoodBounds = R"("maxAttempts":2)";
 constexpr const char* kGoodClass = R"({"name":"a","aim":1,"giveUp":2,"effect":"safe"})";
-const Bad kSettings[] = {
+const SettingsCase kSettings[] = {
     {"NoDeadline", R"({"name":"a","aim":1,"effect":"safe"})", kGoodBounds, "giveUp"},
     {"NoAim", R"({"name":"a","giveUp":1,"effect":"safe"})", kGoodBounds, "aim"},
     {"NegativeDeadline", R"({"name":"a","aim":1,"giveUp":-2,"effect":"safe"})", kGoodBounds,
@@ -168,9 +167,9 @@
     {"AdviceNegative", kGoodClass, R"("retryAfter":true,"maxRetryAfter":-1)", "max_retry_after"},
 };
 
-class Settled : public testing::TestWithParam<Bad> {};
+class UnusualSettings : public testing::TestWithParam<SettingsCase> {};
 
-TEST_P(Settled, IsUsedOrSaidWithItsField) {
+TEST_P(UnusualSettings, AreUsedOrRejectedWithTheirField) {
   FakeServer server(replies(200, "ok"));
   ConfigText config;
   config.categories = GetParam().categories;
@@ -185,18 +184,18 @@
   Program program(config.text());
   for (int i = 0; i < 3; ++i) {
     Wire client = Wire::to(program.port());
-    const std::string key = std::string(GetParam().what) == "WindowZero" ? "k" : "";
+    const std::string key = std::string(GetParam().name) == "WindowZero" ? "k" : "";
     Ask ask{.kind = "a", .id = "r" + std::to_string(i), .timeout = "", .key = key};
     if (key.empty()) ask.method = "GET", ask.body = "";
     client.write(ask.text());
     const int status = status_of(client.read_message());
-    const std::string what = GetParam().what;
+    const std::string what = GetParam().name;
     EXPECT_EQ(status, what == "DeadlineZero" ? 503 : what == "NoClass" ? 400 : 200) << what;
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Settled, testing::ValuesIn(kSettings),
-                         [](const auto& info) { return std::string(info.param.what); });
+INSTANTIATE_TEST_SUITE_P(All, UnusualSettings, testing::ValuesIn(kSettings),
+                         [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
 }  // namespace thymewood::node
--- a/tests/node/reload_test.cpp
+++ b/tests/node/reload_test.cpp
@@ -1,27 +1,26 @@
-// SIGHUP: the file is read again, and discovery followed to its new address.
-#include "node_harness.h"
+// SIGHUP: the configuration file is read again, and discovery followed to its new address.
+#include "scripted_discovery.h"
 
 namespace thymewood::node {
 namespace {
 
-std::string watch_head() { return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"; }
-
+// Whether the node comes to respond with this body.
 bool serves(const Deployment& d, const std::string& body) {
-  static std::atomic<int> n = 0;
+  static std::atomic<int> requests = 0;
   return eventually([&] {
     Wire client = d.client();
-    client.write(Ask{.id = "reload" + std::to_string(++n)}.text());
+    client.write(Ask{.id = "reload" + std::to_string(++requests)}.text());
     return body_of(client.read_message()) == body;
   });
 }
 
-// Guards against a node that ends on SIGHUP, stays with the old address, or trusts the old one's versions.
-TEST(Reload, FollowsDiscoveryAndAsksForTheWholeList) {
+// The addresses may count versions differently, so the full list is requested.
+TEST(Reload, FollowsDiscoveryToItsNewAddressAndRequestsTheFullList) {
   FakeServer old_server(replies(200, "old")), new_server(replies(200, "new"));
   Deployment d({&old_server});
   ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() == 1; }));
   FakeDiscovery moved;
-  moved.answer_with(watch_head() + chunk(list(3, true, member("n0", new_server.address())) + "\n"));
+  moved.answer_with(kWatchResponseHead + chunk(list(3, true, member("n0", new_server.address())) + "\n"));
   ConfigText config = d.told;
   config.discovery = moved.address();
   d.program->reload(config.text());
@@ -32,7 +31,7 @@
   EXPECT_EQ(d.discovery.calls().size(), 1U);
 }
 
-TEST(Reload, ABadFileIsOneLineAndChangesNothing) {
+TEST(Reload, InvalidFileIsLoggedAndChangesNothing) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() == 1; }));
@@ -44,7 +43,7 @@
     })) << d.program->log();
   }
   EXPECT_TRUE(serves(d, "ok"));
-  // The watch goes on: what it tells is still heard.
+  // The watch is still open.
   d.discovery.say(list(8, false, member("s0", server.address(), "draining")));
   EXPECT_TRUE(eventually([&] {
     Wire client = d.client();
@@ -53,8 +52,8 @@
   }));
 }
 
-// The file is gone, or half of it is written, as the signal comes; the next signal finds it whole.
-TEST(Reload, AnAbsentOrHalfWrittenFileChangesNothing) {
+// The file is missing or truncated at the signal, and complete at the next one.
+TEST(Reload, MissingOrTruncatedFileChangesNothing) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() == 1; }));
@@ -64,19 +63,19 @@
   d.program->remove_config();
   d.program->signal(SIGHUP);
   ASSERT_TRUE(eventually([&] { return d.program->logged("event=reload_failed") == 1; })) << d.program->log();
-  const std::string whole = config.text();
-  for (const std::size_t part : {std::size_t{0}, whole.size() / 2, whole.size() - 1}) {
-    d.program->reload(whole.substr(0, part));
+  const std::string complete = config.text();
+  for (const std::size_t part : {std::size_t{0}, complete.size() / 2, complete.size() - 1}) {
+    d.program->reload(complete.substr(0, part));
     EXPECT_TRUE(serves(d, "ok"));
   }
   ASSERT_TRUE(eventually([&] { return d.program->logged("event=reload_failed") >= 2; })) << d.program->log();
   EXPECT_EQ(moved.calls().size(), 0U);
-  d.program->reload(whole);
+  d.program->reload(complete);
   EXPECT_TRUE(eventually([&] { return moved.calls().size() == 1; })) << d.program->log();
 }
 
-// The node keeps nothing on a disk; what it writes there is its log, and that may fail.
-TEST(Reload, AFullDiskUnderTheLogChangesNothingForClients) {
+// The log is the only file that a node writes.
+TEST(Reload, FullDiskUnderTheLogDoesNotAffectClients) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   FakeDiscovery moved;
@@ -90,7 +89,7 @@
   EXPECT_TRUE(serves(d, "ok"));
 }
 
-TEST(Reload, RepeatsLeaveOneWatchAtTheLastAddress) {
+TEST(Reload, RepeatedReloadsLeaveOneWatchAtTheLastAddress) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   FakeDiscovery one, two;
@@ -106,8 +105,8 @@
   EXPECT_TRUE(serves(d, "ok"));
 }
 
-// Guards against waiting out the pause that has grown with the failures at the old address.
-TEST(Reload, AFirstDialThatFailsIsTriedAgain) {
+// The backoff that has grown with the failures at the old address does not apply to the new one.
+TEST(Reload, RetriesAFailedFirstConnection) {
   FakeServer old_server(replies(200, "old")), new_server(replies(200, "new"));
   Deployment d({&old_server});
   int port = 0;
@@ -120,11 +119,11 @@
   d.program->reload(config.text());
   ASSERT_TRUE(eventually([&] { return d.program->logged("event=reload ") == 1; }));
   FakeDiscovery moved(port);
-  moved.answer_with(watch_head() + chunk(list(3, true, member("n0", new_server.address())) + "\n"));
+  moved.answer_with(kWatchResponseHead + chunk(list(3, true, member("n0", new_server.address())) + "\n"));
   EXPECT_TRUE(serves(d, "new"));
 }
 
-TEST(Reload, WhileDrainingItIsNoEnd) {
+TEST(Reload, DoesNotInterruptGracefulShutdown) {
   Gate gate;
   FakeServer server([&](Wire& wire, const std::string&) {
     gate.wait();
--- a/tests/node/scripted_discovery.h
+++ b/tests/node/scripted_discovery.h
@@ -1,4 +1,4 @@
-// Discovery as the tests play it, and a node that follows it.
+// Stand-ins for discovery whose behaviour a test scripts, and a node that follows one.
 #pragma once
 
 #include <algorithm>
@@ -13,15 +13,37 @@
   return std::chrono::duration<double>(Steady::now() - start).count();
 }
 
-inline const std::string kHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+inline double seconds_between(Steady::time_point from, Steady::time_point to) {
+  return std::chrono::duration<double>(to - from).count();
+}
+
+// Sends requests to a node, each with its own id on a connection of its own.
+class RequestSender {
+ public:
+  explicit RequestSender(Program& program) : program_(program) {}
+  // The response to the next request.
+  std::string response() {
+    Wire client = Wire::to(program_.port());
+    client.write(Ask{.id = "w" + std::to_string(++requests_)}.text());
+    return client.read_message();
+  }
+  int status() { return status_of(response()); }
+
+ private:
+  Program& program_;
+  int requests_ = 0;
+};
+
+inline const std::string kWatchResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-// Discovery whose every call is played by the test, in turn.
+// Discovery whose calls are handled by the test, one by one.
 class ScriptedDiscovery {
  public:
-  using Play = std::function<void(Wire&, int call)>;  // call: counted from 0; the connection ends with it
-  explicit ScriptedDiscovery(Play play, int port = 0)
+  // `call` is counted from 0; the connection is closed when the handler returns.
+  using Handler = std::function<void(Wire&, int call)>;
+  explicit ScriptedDiscovery(Handler handler, int port = 0)
       : listener_(
-            [this, play = std::move(play)](Wire& wire) {
+            [this, handler = std::move(handler)](Wire& wire) {
               const std::string call = wire.read_message();
               if (call.empty()) return;
               int number = 0;
@@ -30,7 +52,7 @@
                 number = static_cast<int>(calls_.size());
                 calls_.push_back({call, Steady::now()});
               }
-              play(wire, number);
+              handler(wire, number);
             },
             port) {}
   struct Call {
@@ -50,26 +72,26 @@
   Listener listener_;
 };
 
-struct Node {
-  Node(ScriptedDiscovery& discovery, const std::string& known, const std::string& mode = "subscribe") {
+// A node that follows a scripted discovery.
+struct WatchingNode {
+  WatchingNode(ScriptedDiscovery& discovery, const std::string& known,
+               const std::string& mode = "subscribe") {
     text.known = known;
     text.mode = mode;
     text.discovery = discovery.address();
     program = std::make_unique<Program>(text.text());
+    requests = std::make_unique<RequestSender>(*program);
   }
-  int status() {
-    Wire client = Wire::to(program->port());
-    client.write(Ask{.id = "w" + std::to_string(++asked)}.text());
-    return status_of(client.read_message());
-  }
+  // The status that the next request gets.
+  int status() { return requests->status(); }
   ConfigText text;
   std::unique_ptr<Program> program;
-  int asked = 0;
+  std::unique_ptr<RequestSender> requests;
 };
 
-// Discovery that is shared by many nodes: it works through calls in turn, each takes `cost`, and one that
-// would wait for more than `longest_wait` is held for that time and then answered 503. Its work is done all
-// the same, as that of a service which does not notice that a caller has given up.
+// Discovery that many nodes share. It serves calls from a queue, each in `cost`; a call that would wait for
+// more than `longest_wait` gets a 503 after that time, and still costs its work, as in a service that does
+// not notice that its client has timed out.
 class QueueingDiscovery {
  public:
   QueueingDiscovery(std::chrono::milliseconds cost, std::chrono::milliseconds longest_wait)
@@ -80,9 +102,9 @@
   }
   std::string address() const { return listener_.address(); }
 
-  // All watches end, and calls are held and answered 503 until it is up again.
+  // All watches end, and calls get a 503 after `longest_wait` until it is up again.
   void go_down() { down_ = true; }
-  // The list that calls are answered with from now on; from now on each call costs its work.
+  // From now on each call gets this list and costs its work.
   void come_up(const std::string& list) {
     const std::lock_guard lock(mutex_);
     list_ = list;
@@ -90,9 +112,9 @@
     down_ = false;
     ++generation_;
   }
-  // How many nodes hold the list now.
+  // How many watches are open.
   int watches() const { return watches_; }
-  int turned_away() const { return turned_away_; }
+  int rejected_calls() const { return rejected_calls_; }
 
  private:
   void serve(Wire& wire) {
@@ -101,20 +123,21 @@
     const int generation = generation_;
     Steady::time_point done = now;
     std::string list;
-    bool late = down_;
-    if (!late) {
+    bool is_rejected = down_;
+    if (!is_rejected) {
       const std::lock_guard lock(mutex_);
       if (generation > 0) free_at_ = std::max(free_at_, now) + cost_;
       done = std::max(free_at_, now);
-      late = done - now > longest_wait_;
+      is_rejected = done - now > longest_wait_;
       list = list_;
     }
-    if (late) {
-      if (generation > 0 && !down_) ++turned_away_;
+    if (is_rejected) {
+      if (generation > 0 && !down_) ++rejected_calls_;
       if (sleep_until(now + longest_wait_)) wire.write(http_answer(503, ""));
       return;
     }
-    if (!sleep_until(done) || !wire.write(kHead + chunk(list.empty() ? "\n" : list + "\n"))) return;
+    if (!sleep_until(done) || !wire.write(kWatchResponseHead + chunk(list.empty() ? "\n" : list + "\n")))
+      return;
     ++watches_;
     while (!over_ && !down_ && wire.write(chunk("\n"))) {
       for (int i = 0; i < 50 && !over_ && !down_; ++i) std::this_thread::sleep_for(20ms);
@@ -131,7 +154,7 @@
   std::string list_;
   Steady::time_point free_at_;
   std::atomic<bool> down_ = false, over_ = false;
-  std::atomic<int> generation_ = 0, watches_ = 0, turned_away_ = 0;
+  std::atomic<int> generation_ = 0, watches_ = 0, rejected_calls_ = 0;
   Listener listener_;
 };
 
--- a/tests/node/system_calls_test.cpp
+++ b/tests/node/system_calls_test.cpp
@@ -1,6 +1,6 @@
 // System calls that fail as Linux documents: for each call and each error, the first, the second, the third
-// one fails while a request is taken, sent on and answered. Whatever fails, the request gets one final
-// answer, runs once at most, and the node serves the next one.
+// call fails while a request is received, forwarded and answered. The request gets one final response and is
+// executed once at most, and the node serves the next one.
 #include <sys/mman.h>
 
 #include "call_plan.h"
@@ -12,9 +12,9 @@
 using fleet::CallPlan;
 using fleet::FaultyCall;
 
-constexpr int kMostCalls = 12;  // of one kind, that a request can bring about
+constexpr int kMaxCallsPerRequest = 12;  // of one kind
 
-// The plan, in a file that the node maps.
+// The plan of which call fails, in a file that the node maps.
 class PlanFile {
  public:
   PlanFile() : path_(testing::TempDir() + "/calls_" + std::to_string(::getpid()) + ".plan") {
@@ -57,8 +57,8 @@
   const char* name;
   FaultyCall call;
   std::vector<int> errors;
-  // The node may take what it can't read from, or write to, for gone: an end in place of an answer is right
-  // there.
+  // The node may treat a connection that it cannot read or write as closed: an end in place of a response is
+  // correct there.
   bool breaks_connections = false;
 };
 
@@ -80,9 +80,9 @@
   return faults;
 }
 
-class SystemCalls : public testing::TestWithParam<std::size_t> {};
+class SystemCallFailures : public testing::TestWithParam<std::size_t> {};
 
-TEST_P(SystemCalls, NoneThatFailsCostsAnAnswerOrRunsARequestTwice) {
+TEST_P(SystemCallFailures, CostNoResponseAndRepeatNoRequest) {
   const Fault& fault = all_faults()[GetParam()];
   FakeServer one(replies(200, "ok")), two(replies(200, "ok"));
   const PlanFile plan;
@@ -92,10 +92,10 @@
   Deployment d({&one, &two}, text, 0, load_shim);
   ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() == 1; }));
   const std::string body(3000, 'b');
-  int asked = 0, fired = 0;
+  int requests = 0, fired = 0;
   for (const int error : fault.errors) {
-    for (std::uint64_t nth = 1; nth <= kMostCalls; ++nth) {
-      const std::string id = "f" + std::to_string(++asked);
+    for (std::uint64_t nth = 1; nth <= kMaxCallsPerRequest; ++nth) {
+      const std::string id = "f" + std::to_string(++requests);
       const std::string what =
           std::string(fault.name) + " " + std::to_string(nth) + " fails with " + std::to_string(error);
       plan.set(fault.call, error, nth);
@@ -109,29 +109,31 @@
         const int status = status_of(answer);
         EXPECT_TRUE(status == 200 || status == 502 || status == 503) << what << ": " << answer;
       }
-      int ran = 0;
+      int executions = 0;
       for (FakeServer* server : {&one, &two}) {
-        for (const std::string& request : server->requests()) ran += field_of(request, "X-Request-ID") == id;
+        for (const std::string& request : server->requests())
+          executions += field_of(request, "X-Request-ID") == id;
       }
-      EXPECT_LE(ran, 1) << what;
+      EXPECT_LE(executions, 1) << what;
       if (status_of(answer) == 503) {
-        EXPECT_EQ(ran, 0) << what << ": refused, and yet it ran";
+        EXPECT_EQ(executions, 0) << what << ": rejected, but it was executed";
       }
-      // All is as before: the next one is served, on a connection of its own.
+      // The next request is served, on a connection of its own.
       Wire next = d.client();
-      next.write(Ask{.id = "n" + std::to_string(asked), .body = body}.text());
+      next.write(Ask{.id = "n" + std::to_string(requests), .body = body}.text());
       EXPECT_EQ(status_of(next.read_message()), 200) << "after " << what << '\n' << d.program->log();
-      if (!plan.fired()) break;  // a request brings about no more of these calls
+      if (!plan.fired()) break;  // a request makes no more of these calls
     }
   }
-  EXPECT_GT(fired, 0) << fault.name << ": the shim met no call";
+  EXPECT_GT(fired, 0) << fault.name << ": the shim saw no call";
 }
 
 std::string name_of(const testing::TestParamInfo<std::size_t>& info) {
   const Fault& fault = all_faults()[info.param];
   return std::string(fault.name) + std::to_string(info.param);
 }
-INSTANTIATE_TEST_SUITE_P(Each, SystemCalls, testing::Range(std::size_t{0}, all_faults().size()), name_of);
+INSTANTIATE_TEST_SUITE_P(Each, SystemCallFailures, testing::Range(std::size_t{0}, all_faults().size()),
+                         name_of);
 
 }  // namespace
 }  // namespace thymewood::node
--- a/tests/node/wall_clock_test.cpp
+++ b/tests/node/wall_clock_test.cpp
@@ -1,5 +1,5 @@
-// A wall clock that is wrong, or stepped: spans are of real time, and only the start times of servers are
-// read by it.
+// A wall clock that is wrong or stepped. Durations follow the steady clock; only the start times of servers
+// depend on the wall clock.
 #include <ctime>
 
 #include "fault_plan.h"
@@ -10,28 +10,28 @@
 namespace thymewood::node {
 namespace {
 
-constexpr std::int64_t kHour = 3600 * 1000, kNow = 1'800'000'000'000;  // ms
+constexpr std::int64_t kHour = 3600 * 1000, kNow = 1'800'000'000'000;  // ms of Unix time
 
-TEST(StartTimes, AreReadByTheWallClockWhereNothingElseIsKnown) {
+TEST(StartTimes, UseTheWallClockByDefault) {
   StartTimes start_times;
   EXPECT_EQ(start_times.started_at("a", 0, {10, kNow}), 0) << "long ago";
   EXPECT_DOUBLE_EQ(start_times.started_at("b", kNow - 3000, {10, kNow}), 7);
 }
 
-TEST(StartTimes, InTheFutureHaveJustHappened) {
+TEST(StartTimes, FutureStartCountsAsNow) {
   StartTimes start_times;
   EXPECT_DOUBLE_EQ(start_times.started_at("a", kNow + kHour, {10, kNow}), 10);
 }
 
 // A wall clock that is an hour ahead must not make a server that has just started count as warm.
-TEST(StartTimes, ThatNoListHeldAMomentAgoAreNotOld) {
+TEST(StartTimes, StartMissingFromACurrentListIsRecent) {
   StartTimes start_times;
   start_times.set_list_current_until(99);
   EXPECT_DOUBLE_EQ(start_times.started_at("a", kNow - kHour, {100, kNow}), 100) << "the wall clock is wrong";
   EXPECT_DOUBLE_EQ(start_times.started_at("b", kNow - 2000, {100, kNow}), 98) << "it may be right";
 }
 
-TEST(StartTimes, StayAsTheyAreHoweverTheWallClockIsStepped) {
+TEST(StartTimes, DoNotChangeWhenTheWallClockIsStepped) {
   StartTimes start_times;
   const double first = start_times.started_at("a", kNow - 3000, {10, kNow});
   EXPECT_EQ(start_times.started_at("a", kNow - 3000, {20, kNow + kHour}), first);
@@ -39,7 +39,7 @@
   EXPECT_NE(start_times.started_at("a", kNow + 15000, {30, kNow + 20000}), first) << "another start";
 }
 
-TEST(StartTimes, FollowDiscoverysClockWhereItTellsOne) {
+TEST(StartTimes, FollowTheClockOfDiscovery) {
   StartTimes start_times;
   start_times.set_discovery_time({10, kNow + kHour}, kNow);
   EXPECT_NEAR(start_times.started_at("a", kNow - 3000, {10, kNow + kHour}), 7, 1);
@@ -48,7 +48,7 @@
   EXPECT_DOUBLE_EQ(close.started_at("a", kNow - 3000, {10, kNow}), 7) << "within the field's resolution";
 }
 
-TEST(StartTimes, AreRememberedForAServerThatLeavesAndComesBack) {
+TEST(StartTimes, AreRetainedForARemovedServerThatReturns) {
   StartTimes start_times;
   const double first = start_times.started_at("a", kNow - 3000, {10, kNow});
   start_times.on_removed("a", 20);
@@ -56,16 +56,16 @@
   EXPECT_EQ(start_times.started_at("a", kNow - 3000, {100, kNow + 90000}), first);
 }
 
-TEST(HttpDate, IsReadInItsUsualFormAlone) {
+TEST(HttpDate, IsParsedInItsPreferredFormOnly) {
   EXPECT_EQ(parse_http_date("Sun, 06 Nov 1994 08:49:37 GMT"), 784111777000);
   EXPECT_FALSE(parse_http_date("Sunday, 06-Nov-94 08:49:37 GMT"));
   EXPECT_FALSE(parse_http_date(""));
 }
 
-// A node whose wall clock is off by `shift` from its start on.
-class ShiftedNode : public testing::TestWithParam<int> {
+// A node whose wall clock is off by GetParam() seconds from its start.
+class WrongWallClock : public testing::TestWithParam<int> {
  protected:
-  ShiftedNode() : faults_(testing::TempDir() + "/wall_" + std::to_string(::getpid()) + ".faults") {
+  WrongWallClock() : faults_(testing::TempDir() + "/wall_" + std::to_string(::getpid()) + ".faults") {
     for (const std::string& variable : faults_.environment(FLEET_SHIM)) {
       const std::size_t at = variable.find('=');
       ::setenv(("CHILD_" + variable.substr(0, at)).c_str(), variable.substr(at + 1).c_str(), 1);
@@ -83,7 +83,7 @@
   fleet::FaultsFile faults_;
 };
 
-std::string started_now(const std::string& name, const std::string& address) {
+std::string endpoint_started_now(const std::string& name, const std::string& address) {
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
                        std::chrono::system_clock::now().time_since_epoch())
                        .count();
@@ -91,32 +91,31 @@
   return out.replace(out.find("\"since_ms\":0"), 12, "\"since_ms\":" + std::to_string(now));
 }
 
-// A server that has just started gets little at first, whatever the node's wall clock says.
-TEST_P(ShiftedNode, TakesAServerThatHasJustStartedForCold) {
-  FakeServer warm(replies(200, "ok")), fresh(replies(200, "ok"));
+// A server that has just started gets few requests at first, whatever the node's wall clock says.
+TEST_P(WrongWallClock, LeavesANewServerWarmingUp) {
+  FakeServer warm(replies(200, "ok")), warming_up(replies(200, "ok"));
   ConfigText text;
   text.rules = R"("askWithin":10.0,"startCapacity":0.1,"rampTime":60.0)";
   Deployment d({&warm}, text, 0, in_child);
-  int asked = 0;
-  const auto ask = [&] {
+  int requests = 0;
+  const auto status = [&] {
     Wire client = d.client();
     client.write(
-        Ask{.kind = "look", .id = "c" + std::to_string(++asked), .method = "GET", .body = ""}.text());
+        Ask{.kind = "look", .id = "c" + std::to_string(++requests), .method = "GET", .body = ""}.text());
     return status_of(client.read_message());
   };
-  for (int i = 0; i < 50; ++i) ASSERT_EQ(ask(), 200);
-  d.discovery.say(list(8, false, started_now("s1", fresh.address())));
-  ASSERT_TRUE(eventually([&] { return ask() == 200 && d.program->logged("list_received") > 0; }));
+  for (int i = 0; i < 50; ++i) ASSERT_EQ(status(), 200);
+  d.discovery.say(list(8, false, endpoint_started_now("s1", warming_up.address())));
+  ASSERT_TRUE(eventually([&] { return status() == 200 && d.program->logged("list_received") > 0; }));
   const std::size_t before = warm.requests().size();
-  for (int i = 0; i < 200; ++i) EXPECT_EQ(ask(), 200);
+  for (int i = 0; i < 200; ++i) EXPECT_EQ(status(), 200);
   const std::size_t to_warm = warm.requests().size() - before;
-  EXPECT_EQ(fresh.requests().size() + to_warm, 200U);
-  EXPECT_LE(fresh.requests().size(), 10U) << "taken for warm it got 47 in this time";
+  EXPECT_EQ(warming_up.requests().size() + to_warm, 200U);
+  EXPECT_LE(warming_up.requests().size(), 10U) << "it is warming up";
 }
 
-// Deadlines, the end of idle connections, the drain: all are spans of real time, over a step of the wall
-// clock.
-TEST_P(ShiftedNode, MeasuresSpansByRealTime) {
+// Deadlines and the graceful shutdown, over a step of the wall clock.
+TEST_P(WrongWallClock, DoesNotAffectDurations) {
   step(0);
   FakeServer hangs([](Wire&, const std::string&) { return true; });
   Deployment d({&hangs}, {}, 0, in_child);
@@ -135,7 +134,7 @@
   EXPECT_LT(seconds_since(end), 4.5);
 }
 
-INSTANTIATE_TEST_SUITE_P(Steps, ShiftedNode, testing::Values(-3600, -5, 5, 3600),
+INSTANTIATE_TEST_SUITE_P(Steps, WrongWallClock, testing::Values(-3600, -5, 5, 3600),
                          [](const testing::TestParamInfo<int>& info) {
                            return (info.param < 0 ? "Back" : "On") + std::to_string(std::abs(info.param));
                          });
