--- a/node/dispatcher.cpp
+++ b/node/dispatcher.cpp
@@ -6,8 +6,8 @@
 #include <utility>
 #include <variant>
 
-#include "arrival.h"
 #include "event_log.h"
+#include "socket_arrival.h"
 
 namespace thymewood::node {
 namespace {
--- a/node/frontend.cpp
+++ b/node/frontend.cpp
@@ -15,8 +15,8 @@
 #include <string_view>
 #include <utility>
 
-#include "arrival.h"
 #include "event_log.h"
+#include "socket_arrival.h"
 
 namespace thymewood::node {
 
--- a/node/frontend.h
+++ b/node/frontend.h
@@ -12,8 +12,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "budget.h"
 #include "dispatcher.h"
+#include "memory_budget.h"
 #include "validation.h"
 
 namespace thymewood::node {
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -15,12 +15,12 @@
 #include <thread>
 #include <utility>
 
-#include "budget.h"
 #include "config.h"
 #include "discovery.h"
 #include "dispatcher.h"
 #include "event_log.h"
 #include "frontend.h"
+#include "memory_budget.h"
 #include "operators_file.h"
 #include "peers.h"
 #include "upstream.h"
--- a/node/upstream.cpp
+++ b/node/upstream.cpp
@@ -15,8 +15,8 @@
 #include <utility>
 #include <vector>
 
-#include "arrival.h"
 #include "event_log.h"
+#include "socket_arrival.h"
 
 namespace thymewood::node {
 
--- a/node/upstream.h
+++ b/node/upstream.h
@@ -9,11 +9,11 @@
 #include <memory>
 #include <string>
 
-#include "budget.h"
 #include "clock.h"
-#include "idle_trust.h"
+#include "idle_lifetime.h"
+#include "memory_budget.h"
 #include "message.h"
-#include "spare_dials.h"
+#include "preconnect.h"
 #include "thymewood/balancer.h"
 
 namespace thymewood::node {
--- a/tests/node/idle_trust_test.cpp
+++ b/tests/node/idle_lifetime_test.cpp
@@ -1,5 +1,5 @@
 // Connections that were dropped while they stood idle, and what is still sent on those that may have been.
-#include "idle_trust.h"
+#include "idle_lifetime.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/node/pause_test.cpp
+++ b/tests/node/pause_test.cpp
@@ -2,7 +2,7 @@
 // back is as old as the kernel says, not as new as the node's first look at it.
 #include <optional>
 
-#include "budget.h"
+#include "memory_budget.h"
 #include "node_harness.h"
 #include "upstream.h"
 
--- a/tests/node/spare_dials_test.cpp
+++ b/tests/node/preconnect_test.cpp
@@ -1,5 +1,5 @@
 // Connections that rest after an answer, and how many more are dialled so that nobody waits for them.
-#include "spare_dials.h"
+#include "preconnect.h"
 
 #include <gtest/gtest.h>
 
