--- a/node/dispatcher.cpp
+++ b/node/dispatcher.cpp
@@ -386,7 +386,7 @@
   }
   const auto at = held_.find(id);
   if (at == held_.end() || at->second.over()) return false;
-  if (now - at->second.taken < kLateLook) return true;
+  if (now - at->second.taken < kLateRead) return true;
   const auto still_waits = at->second.still_waits;
   return (*still_waits)();
 }
--- a/node/frontend.cpp
+++ b/node/frontend.cpp
@@ -84,9 +84,9 @@
 
 // A request on its way, with what it holds of the memory.
 struct Message {
-  explicit Message(Budget& budget) : share(budget) {}
+  explicit Message(MemoryBudget& budget) : share(budget) {}
   HttpRequest request;
-  Budget::Share share;
+  MemoryBudget::Reservation share;
 };
 
 }  // namespace
@@ -198,7 +198,7 @@
     begun_ = false;
     parser_.emplace();
     parser_->header_limit(kHeaderLimit);
-    parser_->body_limit(kBodyLimit);
+    parser_->body_limit(kRequestBodyLimit);
     // Danger: when eager, this parser passes over its own body limit if the head and a part of the body come
     // together, and a length of gigabytes is then taken in.
     parser_->eager(false);
@@ -220,7 +220,7 @@
   // Guards against buffers that stay as large as the largest request that a connection has ever carried.
   void trim() {
     if (ahead_.capacity() > kKeptAhead) ahead_.shrink_to_fit();
-    share_.keep(ahead_.capacity());
+    share_.resize(ahead_.capacity());
   }
 
   void read() {
@@ -249,7 +249,8 @@
     }
     keep(scratch_.data(), n);
     if (state_ == State::kReading) parse();
-    if (state_ == State::kReading && !share_.hold(ahead_.capacity() + parser_->get().body().capacity())) {
+    if (state_ == State::kReading &&
+        !share_.try_resize(ahead_.capacity() + parser_->get().body().capacity())) {
       keep_alive_ = false;
       return respond(refusal(owner_->limits_.busy_retry_after));
     }
@@ -304,7 +305,7 @@
       const std::size_t used = parser_->put(ahead_.data(), bad);
       ahead_.consume(used);
       if (bad == http::error::need_more) bad = {};
-      if (bad == http::error::body_limit || parser_->get().body().size() > kBodyLimit)
+      if (bad == http::error::body_limit || parser_->get().body().size() > kRequestBodyLimit)
         return reject({http::status::payload_too_large, "body too large"});
       if (bad == http::error::header_limit) {
         return reject({http::status::request_header_fields_too_large, "header too large"});
@@ -372,18 +373,18 @@
     proven_ = true;
     // Danger: a request's time counts from its last byte. While the node was away, or its connection lay in
     // the listener's queue, that time went by, and a caller that has given up must not make a server work.
-    const Arrival came = look_at(socket_.native_handle());
-    if ((!came.known || came.age >= kLateLook || ahead_.size() > 0) && !look())
+    const SocketArrival came = read_socket_arrival(socket_.native_handle());
+    if ((!came.known || came.age >= kLateRead || ahead_.size() > 0) && !look())
       return gone_ ? close("client_gone") : respond(refusal(owner_->limits_.busy_retry_after));
     // So much of it lies in the margins that every request has (kMargin of the dispatcher).
-    event.time_left -= std::max(0.0, came.age - kLateLook);
+    event.time_left -= std::max(0.0, came.age - kLateRead);
     const auto message = std::make_shared<Message>(owner_->budget_);
-    share_.keep(ahead_.capacity());  // the rest goes with the request
-    if (!message->share.hold(kHeadCost + request_->body().capacity()))
+    share_.resize(ahead_.capacity());  // the rest goes with the request
+    if (!message->share.try_resize(kHeadCost + request_->body().capacity()))
       return respond(refusal(owner_->limits_.busy_retry_after));
     if (turned_away_ || event.time_left <= 0) return respond(refusal(owner_->limits_.busy_retry_after));
     id_ = event.id;
-    drop_hop_by_hop(*request_);
+    remove_hop_by_hop_fields(*request_);
     request_->erase("X-Timeout-Ms");
     request_->prepare_payload();
     request_->version(11);
@@ -450,7 +451,7 @@
     if (state_ != State::kWaiting || owner_ == nullptr) return;
     switch (answer.kind) {
       case Answer::Kind::kServed:
-        drop_hop_by_hop(answer.response);
+        remove_hop_by_hop_fields(answer.response);
         return respond(std::move(answer.response));
       case Answer::Kind::kRefused:
         return respond(refusal(answer.retry_after));
@@ -462,7 +463,7 @@
   void respond(HttpResponse&& response) {
     if (proven_) unlist();
     state_ = State::kWriting;
-    share_.keep(ahead_.capacity() + response.body().size());
+    share_.resize(ahead_.capacity() + response.body().size());
     if (owner_->closing_ || turned_away_) keep_alive_ = false;
     response_ = std::move(response);
     response_.version(11);
@@ -478,7 +479,7 @@
     if (owner_ == nullptr || state_ != State::kWriting) return;
     if (bad) return close("write_failed");
     response_ = {};
-    share_.keep(ahead_.capacity());
+    share_.resize(ahead_.capacity());
     // What he has sent ahead is nobody's any more.
     if (gone_) return close("client_gone");
     if (!keep_alive_) return linger();
@@ -519,7 +520,8 @@
   bool keep_alive_ = true, continue_sent_ = false;
   std::array<char, kReadSize> scratch_{};
   boost::beast::flat_buffer ahead_;
-  Budget::Share share_;  // of read-ahead, and of the body that is coming or the answer that is going
+  MemoryBudget::Reservation
+      share_;  // of read-ahead, and of the body that is coming or the answer that is going
   std::list<Session*>* list_ = nullptr;
   std::list<Session*>::iterator listed_at_;
   std::size_t lingered_ = 0;
@@ -530,7 +532,7 @@
 };
 
 Frontend::Frontend(asio::io_context& io, const Clock& clock, const Limits& limits, Catalog catalog,
-                   Budget& budget, Dispatcher& dispatcher)
+                   MemoryBudget& budget, Dispatcher& dispatcher)
     : io_(io),
       clock_(clock),
       acceptor_(io),
--- a/node/frontend.h
+++ b/node/frontend.h
@@ -27,7 +27,7 @@
   };
 
   Frontend(boost::asio::io_context& io, const Clock& clock, const Limits& limits, Catalog catalog,
-           Budget& budget, Dispatcher& dispatcher);
+           MemoryBudget& budget, Dispatcher& dispatcher);
   ~Frontend();
   Frontend(const Frontend&) = delete;
   Frontend& operator=(const Frontend&) = delete;
@@ -67,7 +67,7 @@
   boost::asio::steady_timer timer_;  // a pause after a failed accept; then for the drain
   Limits limits_;
   Catalog catalog_;
-  Budget& budget_;
+  MemoryBudget& budget_;
   Dispatcher& dispatcher_;
   std::list<std::shared_ptr<Session>> sessions_;
   // Those that may be closed for others, the one that has waited the longest first: callers that never asked
--- a/node/idle_lifetime.h
+++ b/node/idle_lifetime.h
@@ -1,13 +1,13 @@
-// How long a kept connection may have stood idle and still be trusted with a request that may not be sent
+// Estimates how long a pooled connection may have been idle and still carry a request that must not be sent
 // twice.
 //
-// What lies between a node and its servers may forget a connection that is idle, and servers may close it
-// sooner than they say: neither is seen before the next request is written, and that one is reset. It may
-// have run (RFC 9110, 9.2.2, lets only what is idempotent be sent again), so a request of an unsafe class is
-// lost with it. Where such resets come often, those requests go on connections that were in use a moment ago,
-// or on new ones, which cost the servers some work; requests that may be repeated go on using the others.
+// Middleboxes drop the state of idle connections, and servers may close them sooner than their settings say.
+// Neither shows before the next request is written, and that request is reset. It may have been processed
+// (RFC 9110, 9.2.2, allows only idempotent requests to be sent again), so a request that is not idempotent is
+// lost. While such resets are frequent, these requests use recently active connections or new ones, which
+// cost the server some work; idempotent requests go on using the rest of the pool.
 //
-// Pure: times are seconds on any steady clock, given with each call.
+// Free of I/O and clocks: times are seconds on any steady clock, passed with each call.
 #pragma once
 
 #include <algorithm>
@@ -16,36 +16,40 @@
 
 namespace thymewood::node {
 
-class IdleTrust {
+class IdleLifetimeEstimate {
  public:
-  // A request was written to a connection that had been idle for `idle` s, and has ended; `dropped`: by a
-  // reset, too soon for an answer.
-  void used(double now, double idle, bool dropped) {
-    dropped_ += kGain * ((dropped ? 1 : 0) - dropped_);
-    if (!dropped) return;
+  // A reset later than this after the request was written is not attributed to the idle time.
+  static constexpr double kMaxResetDelay = 0.02;  // s
+
+  // A request on a connection that had been idle for `idle` seconds has ended; `was_reset`: by a reset within
+  // kMaxResetDelay.
+  void record_use(double now, double idle, bool was_reset) {
+    reset_ratio_ += kSmoothing * ((was_reset ? 1 : 0) - reset_ratio_);
+    if (!was_reset) return;
     shortest_ = std::min(shortest(now), idle);
-    at_ = now;
+    shortest_at_ = now;
   }
 
-  // s; infinite where few connections are dropped.
-  double longest(double now) const {
-    return dropped_ < kOften ? std::numeric_limits<double>::infinity() : kPart * shortest(now);
+  // In seconds; infinite while few connections are reset.
+  [[nodiscard]] double max_idle(double now) const {
+    return reset_ratio_ < kFrequentResets ? std::numeric_limits<double>::infinity()
+                                          : kSafetyFactor * shortest(now);
   }
 
-  // s; a reset later than this after the request says nothing of the idling.
-  static constexpr double kSoon = 0.02;
-
  private:
-  static constexpr double kGain = 0.02;  // weight of one use: about the last fifty count
-  static constexpr double kOften =
-      0.03;  // of the uses. Two in a row do, as when a server dies; they fade with use
-  static constexpr double kPart = 0.5;   // x the shortest idling after which one was dropped
-  static constexpr double kDouble = 10;  // s; in which that doubles again
-
-  double shortest(double now) const { return shortest_ * std::exp2((now - at_) / kDouble); }
+  static constexpr double kSmoothing = 0.02;  // weight of one use: about the last fifty count
+  // Reset ratio; two resets in a row reach it, as when a server fails, and decay with further use.
+  static constexpr double kFrequentResets = 0.03;
+  static constexpr double kSafetyFactor = 0.5;  // of the shortest idle time that ended in a reset
+  static constexpr double kDoublingTime = 10;   // s; in which that shortest idle time doubles again
+
+  [[nodiscard]] double shortest(double now) const {
+    return shortest_ * std::exp2((now - shortest_at_) / kDoublingTime);
+  }
 
-  double dropped_ = 0;  // part of the uses
-  double shortest_ = std::numeric_limits<double>::infinity(), at_ = 0;
+  double reset_ratio_ = 0;                                     // of the uses
+  double shortest_ = std::numeric_limits<double>::infinity();  // s
+  double shortest_at_ = 0;
 };
 
 }  // namespace thymewood::node
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -123,7 +123,7 @@
 int run(const char* path) {
   // Danger: a signal that comes before these stand would end the process. What comes between here and the
   // first wait is kept for it.
-  node::Budget budget;  // outlives what is left in the event loop at the end
+  node::MemoryBudget budget;  // outlives what is left in the event loop at the end
   asio::io_context io(1);
   asio::signal_set hangups(io, SIGHUP), signals(io, SIGTERM, SIGINT);
   const node::Clock clock;
@@ -139,7 +139,7 @@
   }
   const Shares shares(config.sockets);
   const thymewood::Settings& settings = config.settings;
-  budget.limit(config.memory / kMessagePart);
+  budget.set_limit(config.memory / kMessagePart);
   node::Upstream upstream(io, {config.dial_timeout, config.idle_close, shares.upstream}, budget);
   node::Dispatcher* to = nullptr;
   node::Discovery discovery(
--- a/node/memory_budget.h
+++ b/node/memory_budget.h
@@ -1,4 +1,4 @@
-// Bounds the bytes of messages that a node holds, over all its connections.
+// Limits the bytes of messages that a node buffers, over all of its connections.
 #pragma once
 
 #include <algorithm>
@@ -6,40 +6,46 @@
 
 namespace thymewood::node {
 
-class Budget {
+class MemoryBudget {
  public:
-  Budget() = default;
-  Budget(const Budget&) = delete;
-  Budget& operator=(const Budget&) = delete;
-  void limit(std::size_t most) { most_ = most; }
-  std::size_t used() const { return used_; }
-
-  // What one holder has of it.
-  class Share {
+  MemoryBudget() = default;
+  MemoryBudget(const MemoryBudget&) = delete;
+  MemoryBudget& operator=(const MemoryBudget&) = delete;
+
+  void set_limit(std::size_t bytes) { limit_ = bytes; }
+  [[nodiscard]] std::size_t used() const { return used_; }
+
+  // The bytes that one message or connection has reserved; released with it.
+  class Reservation {
    public:
-    explicit Share(Budget& of) : of_(of) {}
-    ~Share() { of_.used_ -= bytes_; }
-    Share(const Share&) = delete;
-    Share& operator=(const Share&) = delete;
-    // Now holds so many bytes; false, and nothing is changed, if that is more than there is room for.
-    bool hold(std::size_t bytes) {
-      if (bytes > bytes_ && bytes - bytes_ > of_.most_ - std::min(of_.used_, of_.most_)) return false;
-      keep(bytes);
+    explicit Reservation(MemoryBudget& budget) : budget_(budget) {}
+    ~Reservation() { budget_.used_ -= bytes_; }
+    Reservation(const Reservation&) = delete;
+    Reservation& operator=(const Reservation&) = delete;
+
+    // Resizes the reservation; false, and nothing has changed, where it would exceed the limit.
+    [[nodiscard]] bool try_resize(std::size_t bytes) {
+      const std::size_t available = budget_.limit_ - std::min(budget_.used_, budget_.limit_);
+      if (bytes > bytes_ && bytes - bytes_ > available) return false;
+      resize(bytes);
       return true;
     }
-    // The same where the bytes are there already, as with an answer that goes from server to client.
-    void keep(std::size_t bytes) {
-      of_.used_ = of_.used_ - bytes_ + bytes;
+
+    // Resizes it whatever the limit is: for memory that is allocated already, such as that of a response
+    // which moves from the server's connection to the client's.
+    void resize(std::size_t bytes) {
+      budget_.used_ = budget_.used_ - bytes_ + bytes;
       bytes_ = bytes;
     }
 
    private:
-    Budget& of_;
+    MemoryBudget& budget_;
     std::size_t bytes_ = 0;
   };
 
  private:
-  std::size_t most_ = 0, used_ = 0;
+  std::size_t limit_ = 0;
+  std::size_t used_ = 0;
 };
 
 }  // namespace thymewood::node
--- a/node/preconnect.h
+++ b/node/preconnect.h
@@ -1,38 +1,42 @@
-// Whether one more connection is worth dialling while all that are idle at a server rest.
+// Decides when one more connection to an endpoint is opened ahead of need, while all of its idle connections
+// are in their cool-down.
 //
-// A connection rests for a moment after each answer (see upstream.cpp), so that a server takes as many as
-// requests come in that moment, beside those in flight. One caller that asks again at once would otherwise
-// wait out the rest each time. But a connection costs the server a handshake, and it holds only so many: a
-// request in kUses may have one dialled, and a dial that fails takes that away for a while. Where requests
-// come far apart, as they do at most servers, they find rested connections and nothing is dialled; where they
-// come densely, connections grow to what is needed within some hundred requests and are kept in use by them.
+// A connection cools down for a moment after each response (see connection_pool.cpp), so an endpoint needs as
+// many connections as requests arrive within that moment, beside those in flight. A client that sends its
+// next request at once would otherwise wait for the cool-down each time. But a connection costs the server a
+// handshake, and a server accepts only so many: each request earns a fraction of a connect, and a failed
+// connect suspends pre-connecting for a while. Where requests are far apart they find connections past their
+// cool-down and nothing is opened; where they are dense, the pool grows to the size that the load needs and
+// the load keeps it in use.
 //
-// Pure: counts only.
+// Free of I/O and clocks: it counts requests only.
 #pragma once
 
 #include <algorithm>
 
 namespace thymewood::node {
 
-class SpareDials {
+class PreconnectPolicy {
  public:
-  // A request goes to the server, by whichever connection.
-  void request() { saved_ = std::min(kMost, saved_ + 1 / kUses); }
-  // A request would have to wait for a rest to end; true: dial for it as well.
-  bool take() {
-    if (saved_ < 1) return false;
-    saved_ -= 1;
+  // A request goes to the endpoint, over whichever connection.
+  void on_request() { credit_ = std::min(kMaxCredit, credit_ + 1 / kRequestsPerConnect); }
+
+  // Spends the credit of one connect, where there is that much; true: open one more connection.
+  [[nodiscard]] bool try_preconnect() {
+    if (credit_ < 1) return false;
+    credit_ -= 1;
     return true;
   }
-  // No connection came about: the server may hold no more.
-  void failed() { saved_ = -kPenalty; }
+
+  // The endpoint may have reached its own connection limit.
+  void on_connect_failed() { credit_ = -kFailurePenalty; }
 
  private:
-  static constexpr double kUses = 16;    // requests for a dial
-  static constexpr double kMost = 2;     // dials saved up
-  static constexpr double kPenalty = 8;  // dials forgone after one that failed
+  static constexpr double kRequestsPerConnect = 16;
+  static constexpr double kMaxCredit = 2;       // connects
+  static constexpr double kFailurePenalty = 8;  // connects
 
-  double saved_ = 0;
+  double credit_ = 0;  // connects
 };
 
 }  // namespace thymewood::node
--- a/node/socket_arrival.h
+++ b/node/socket_arrival.h
@@ -1,10 +1,9 @@
-// What the kernel knows of a connection that the node has not looked at for a while. A process may be
-// stopped, or starved of its core, at any point; what it reads when it runs again is as old as it is, not as
-// new as the look. No clock of the node's own can tell, for the time lies between two of its readings; the
-// kernel notes when data came in.
+// Reads from the kernel when data last arrived on a TCP connection. A process may be suspended or starved of
+// CPU time at any point, and what it reads afterwards is older than the read. The process's own clock cannot
+// measure that delay, which lies between two of its readings; the kernel records when data arrived.
 //
-// tcp(7), TCP_INFO: tcpi_last_data_recv, in ms since data last came (exact to a tick of the kernel, 1 to 10
-// ms), and tcpi_state, which is past ESTABLISHED once the peer has closed, whatever is still to be read.
+// tcp(7), TCP_INFO: tcpi_last_data_recv is the time in ms since data last arrived (in steps of a kernel tick,
+// 1 to 10 ms); tcpi_state is past ESTABLISHED once the peer has closed, whatever is still unread.
 #pragma once
 
 #include <netinet/in.h>
@@ -13,35 +12,36 @@
 
 namespace thymewood::node {
 
-struct Arrival {
-  double age = 0;            // s since the peer last sent something; 0 where the kernel does not tell
-  bool peer_closed = false;  // it sends nothing more: it has closed, or reset the connection
-  bool known = false;        // false: the kernel does not tell, and the two above say nothing
+struct SocketArrival {
+  double age = 0;            // s since data last arrived; 0 where the kernel does not report it
+  bool peer_closed = false;  // the peer has closed or reset the connection
+  bool known = false;        // false: the kernel does not report it, and the two above say nothing
 };
 
-// s. Younger than this, all is as usual: the loop was busy for a moment. From here on the node was late, and
-// what it holds may be over: it looks whether the peer still waits.
-constexpr double kLateLook = 0.020;
-// s. An answer that lay unread for longer was found by a node that had been stopped. Danger: a node that is
-// merely short of its core has to learn how long answers take it, its own stalls included, for its time-outs
-// stall with it.
-constexpr double kAway = 0.25;
+// A request that has waited for longer may have been abandoned by its client, which is checked before it is
+// forwarded. Shorter delays are those of a busy event loop.
+constexpr double kLateRead = 0.020;  // s
 
-// One system call. Of data that came in several pieces, the age is the last one's.
-inline Arrival look_at(int socket) {
+// A response that was unread for longer was read by a process that had been suspended, and the delay is not
+// counted as the server's. Shorter delays count: a node that is short of CPU time has to include its own
+// stalls in the response times that its timeouts derive from.
+constexpr double kSuspendedProcess = 0.25;  // s
+
+// One system call. For data that arrived in several segments, the age is that of the last.
+[[nodiscard]] inline SocketArrival read_socket_arrival(int socket) {
+  SocketArrival arrival;
   tcp_info info{};
   socklen_t size = sizeof info;
-  Arrival out;
-  if (::getsockopt(socket, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return out;
-  constexpr socklen_t kNeeded = offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv;
-  if (size < kNeeded) return out;
-  if (info.tcpi_state == 0) return out;  // no state of tcp(7)
-  out.known = true;
-  constexpr double kMilli = 1e-3;
-  out.age = kMilli * static_cast<double>(info.tcpi_last_data_recv);
-  out.peer_closed =
+  if (::getsockopt(socket, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return arrival;
+  constexpr socklen_t kNeededSize = offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv;
+  if (size < kNeededSize) return arrival;
+  if (info.tcpi_state == 0) return arrival;  // not a state of tcp(7)
+  arrival.known = true;
+  constexpr double kSecondsPerMillisecond = 1e-3;
+  arrival.age = kSecondsPerMillisecond * static_cast<double>(info.tcpi_last_data_recv);
+  arrival.peer_closed =
       info.tcpi_state == TCP_CLOSE_WAIT || info.tcpi_state == TCP_LAST_ACK || info.tcpi_state == TCP_CLOSE;
-  return out;
+  return arrival;
 }
 
 }  // namespace thymewood::node
--- a/node/upstream.cpp
+++ b/node/upstream.cpp
@@ -95,12 +95,12 @@
   std::vector<std::shared_ptr<Attempt>> half_written;  // the server takes no more of them for now
   std::size_t dialling = 0;
   std::size_t rests = 0;  // waits for a connection to have rested
-  SpareDials spare;
+  PreconnectPolicy preconnect;
 };
 
 class Upstream::Attempt {
  public:
-  Attempt(asio::io_context& io, Budget& budget, Sender from)
+  Attempt(asio::io_context& io, MemoryBudget& budget, Sender from)
       : timer(io), sender(std::move(from)), share(budget) {}
   asio::steady_timer timer;
   Sender sender;
@@ -115,7 +115,7 @@
   std::optional<http::response_parser<http::string_body>> parser;
   std::shared_ptr<Connection> connection;
   std::shared_ptr<Pool> pool;
-  Budget::Share share;  // of the request as it is sent, then of the answer as it comes
+  MemoryBudget::Reservation share;  // of the request as it is sent, then of the answer as it comes
   int interim = 0;
   std::optional<Outcome> ending;  // how it will be reported: decided, but not done yet
   bool ended = false;
@@ -128,7 +128,7 @@
   void answered(Upstream& owner, const std::shared_ptr<Attempt>& self);
 };
 
-Upstream::Upstream(asio::io_context& io, const Limits& limits, Budget& budget)
+Upstream::Upstream(asio::io_context& io, const Limits& limits, MemoryBudget& budget)
     : io_(io), limits_(limits), budget_(budget) {}
 
 Upstream::~Upstream() {
@@ -187,7 +187,7 @@
   attempt->pool = at->second;
   attempt->request = request;
   attempt->repeatable = repeatable;
-  attempt->pool->spare.request();
+  attempt->pool->preconnect.on_request();
   const Clock::Steady::time_point now = Clock::Steady::now();
   attempt->until = now + Clock::span(time.timeout);
   attempt->send_by = now + Clock::span(std::min(time.timeout, time.send_by));
@@ -197,7 +197,8 @@
   } else if (is_resting(*attempt->pool)) {
     // Whichever is free first; often one that rests is, sooner than a new one is up.
     attempt->pool->waiting.push_back(attempt);
-    if (connections_ < limits_.max_connections && attempt->pool->spare.take()) dial(attempt->pool);
+    if (connections_ < limits_.max_connections && attempt->pool->preconnect.try_preconnect())
+      dial(attempt->pool);
     serve_rested(attempt->pool);
   } else if (make_room()) {
     attempt->pool->waiting.push_back(attempt);
@@ -281,7 +282,7 @@
     return release(connection, true, Clock::Steady::now());
   }
   drop(connection, "connect_failed");
-  pool->spare.failed();
+  pool->preconnect.on_connect_failed();
   // Each that waits has a dial; one whose place was taken over by a freed connection leaves a spare.
   if (pool->rests == 0 && pool->waiting.size() > pool->dialling)
     finish(pool->waiting.front(), Outcome::kConnectFailed, false);
@@ -306,7 +307,7 @@
 std::shared_ptr<Upstream::Connection> Upstream::take_idle(Pool& pool, bool repeatable) {
   const Clock::Steady::time_point now = Clock::Steady::now();
   const double longest =
-      repeatable ? std::numeric_limits<double>::infinity() : idle_trust_.longest(seconds_of(now));
+      repeatable ? std::numeric_limits<double>::infinity() : idle_lifetime_.max_idle(seconds_of(now));
   std::size_t at = pool.idle.size();
   while (at-- > 0) {
     std::shared_ptr<Connection> connection = pool.idle[at];
@@ -459,7 +460,7 @@
   text << head.base();
   wire = std::move(text).str() + request->body();
   request.reset();
-  if (!share.hold(wire.size())) return owner.end_later(self, Outcome::kNotSent);
+  if (!share.try_resize(wire.size())) return owner.end_later(self, Outcome::kNotSent);
   write(owner, self);
 }
 
@@ -502,14 +503,14 @@
   sent = true;
   if (send_by < until) owner.arm(self);
   wire = {};
-  share.keep(0);
+  share.resize(0);
   read(owner, self);
 }
 
 void Upstream::Attempt::read(Upstream& owner, const std::shared_ptr<Attempt>& self) {
   parser.emplace();
   parser->header_limit(kHeaderLimit);
-  parser->body_limit(kAnswerLimit);
+  parser->body_limit(kResponseBodyLimit);
   // Danger: a parser that is eager (as the whole-message read makes it) passes over its body limit if the
   // head and a part of the body come together: an answer of gigabytes would be taken in. Hence piece by
   // piece.
@@ -533,8 +534,8 @@
           // have run too.
           return owner.finish(self, broken ? Outcome::kReset : Outcome::kUnknown, false);
         }
-        if (self->parser->get().body().size() > kAnswerLimit ||
-            !self->share.hold(held->buffer.capacity() + self->parser->get().body().capacity())) {
+        if (self->parser->get().body().size() > kResponseBodyLimit ||
+            !self->share.try_resize(held->buffer.capacity() + self->parser->get().body().capacity())) {
           return owner.finish(self, Outcome::kUnknown, false);
         }
         if (self->parser->is_done()) return self->answered(owner, self);
@@ -563,8 +564,9 @@
   halt(attempt->timer);
   if (attempt->sent && attempt->idle >= 0) {
     const Clock::Steady::time_point now = Clock::Steady::now();
-    const bool dropped = outcome == Outcome::kReset && seconds_of(now - attempt->begun) < IdleTrust::kSoon;
-    idle_trust_.used(seconds_of(now), attempt->idle, dropped);
+    const bool dropped =
+        outcome == Outcome::kReset && seconds_of(now - attempt->begun) < IdleLifetimeEstimate::kMaxResetDelay;
+    idle_lifetime_.record_use(seconds_of(now), attempt->idle, dropped);
   }
   if (attempt->pool) {
     std::deque<std::shared_ptr<Attempt>>& waiting = attempt->pool->waiting;
@@ -578,9 +580,9 @@
     // An answer that came soon can't have lain there for long: most are spared the look.
     const Clock::Steady::time_point now = Clock::Steady::now();
     double age = 0;
-    if (seconds_of(now - attempt->begun) >= kLateLook && attempt->parser && attempt->parser->is_done())
-      age = look_at(connection->socket.native_handle()).age;
-    end.unread = age >= kAway ? age : 0;
+    if (seconds_of(now - attempt->begun) >= kLateRead && attempt->parser && attempt->parser->is_done())
+      age = read_socket_arrival(connection->socket.native_handle()).age;
+    end.unread = age >= kSuspendedProcess ? age : 0;
     if (keep) {
       release(connection, false, now - Clock::span(age));
     } else {
--- a/node/upstream.h
+++ b/node/upstream.h
@@ -41,7 +41,7 @@
   class Attempt;
   using Handle = std::weak_ptr<Attempt>;
 
-  Upstream(boost::asio::io_context& io, const Limits& limits, Budget& budget);
+  Upstream(boost::asio::io_context& io, const Limits& limits, MemoryBudget& budget);
   ~Upstream();
   Upstream(const Upstream&) = delete;
   Upstream& operator=(const Upstream&) = delete;
@@ -98,9 +98,9 @@
 
   boost::asio::io_context& io_;
   Limits limits_;
-  Budget& budget_;
+  MemoryBudget& budget_;
   std::map<std::string, std::shared_ptr<Pool>> pools_;
-  IdleTrust idle_trust_;
+  IdleLifetimeEstimate idle_lifetime_;
   std::size_t connections_ = 0;  // dialling ones too
   // Outlived by no handler that looks at it: what is left in the event loop at the end sees that we are gone.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/tests/node/idle_lifetime_test.cpp
+++ b/tests/node/idle_lifetime_test.cpp
@@ -1,4 +1,4 @@
-// Connections that were dropped while they stood idle, and what is still sent on those that may have been.
+// The idle lifetime estimate, and requests on connections that may have been dropped while idle.
 #include "idle_lifetime.h"
 
 #include <gtest/gtest.h>
@@ -11,36 +11,37 @@
 namespace thymewood::node {
 namespace {
 
-TEST(IdleTrust, FewDropsChangeNothing) {
-  IdleTrust trust;
-  for (int i = 0; i < 1000; ++i) trust.used(i * 0.1, 0.3, i % 100 == 0);
-  EXPECT_TRUE(std::isinf(trust.longest(100)));
+TEST(IdleLifetime, IsUnlimitedWhileFewConnectionsAreReset) {
+  IdleLifetimeEstimate estimate;
+  for (int i = 0; i < 1000; ++i) estimate.record_use(i * 0.1, 0.3, i % 100 == 0);
+  EXPECT_TRUE(std::isinf(estimate.max_idle(100)));
 }
 
-TEST(IdleTrust, ManyDropsBoundTheIdlingByTheShortestThatWasDropped) {
-  IdleTrust trust;
-  for (int i = 0; i < 200; ++i) trust.used(i * 0.01, i % 10 == 0 ? 0.2 + i * 0.01 : 0.01, i % 10 == 0);
-  EXPECT_GT(trust.longest(2), 0.09);
-  EXPECT_LT(trust.longest(2), 0.13) << "half of it, drifting up a little";
+TEST(IdleLifetime, FrequentResetsLimitItToHalfTheShortestIdleTimeThatWasReset) {
+  IdleLifetimeEstimate estimate;
+  for (int i = 0; i < 200; ++i)
+    estimate.record_use(i * 0.01, i % 10 == 0 ? 0.2 + i * 0.01 : 0.01, i % 10 == 0);
+  EXPECT_GT(estimate.max_idle(2), 0.09);
+  EXPECT_LT(estimate.max_idle(2), 0.13) << "half of it, increased a little by time";
 }
 
-TEST(IdleTrust, TrustReturnsByTimeAndByUse) {
-  IdleTrust trust;
-  trust.used(0, 0.2, true);
-  trust.used(0, 0.2, true);
-  EXPECT_NEAR(trust.longest(0), 0.1, 1e-9);
-  EXPECT_NEAR(trust.longest(10), 0.2, 1e-9);
-  for (int i = 0; i < 40; ++i) trust.used(10, 0.05, false);
-  EXPECT_TRUE(std::isinf(trust.longest(10)));
+TEST(IdleLifetime, RecoversByTimeAndByUse) {
+  IdleLifetimeEstimate estimate;
+  estimate.record_use(0, 0.2, true);
+  estimate.record_use(0, 0.2, true);
+  EXPECT_NEAR(estimate.max_idle(0), 0.1, 1e-9);
+  EXPECT_NEAR(estimate.max_idle(10), 0.2, 1e-9);
+  for (int i = 0; i < 40; ++i) estimate.record_use(10, 0.05, false);
+  EXPECT_TRUE(std::isinf(estimate.max_idle(10)));
 }
 
-// A server that resets each connection on which it has answered once, at the next request: as one does that
-// sits behind something which forgets idle connections.
-FakeServer::Reply forgetful() {
-  return [answered = std::make_shared<std::map<int, int>>()](Wire& wire, const std::string&) {
+// A server that resets each connection at its second request, as one does behind a middlebox that drops the
+// state of idle connections.
+FakeServer::Reply resets_second_requests() {
+  return [requests = std::make_shared<std::map<int, int>>()](Wire& wire, const std::string&) {
     static std::mutex guard;
     const std::lock_guard lock(guard);
-    if ((*answered)[wire.fd()]++ % 2 == 1) {
+    if ((*requests)[wire.fd()]++ % 2 == 1) {
       const linger hard{1, 0};
       ::setsockopt(wire.fd(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
       return false;
@@ -49,25 +50,22 @@
   };
 }
 
-// Danger: each of these resets loses a request that may not be sent twice.
-TEST(IdleTrust, UnsafeRequestsLeaveConnectionsThatAreDroppedWhileIdle) {
-  FakeServer server(forgetful());
+TEST(IdleLifetime, NonIdempotentRequestsAvoidConnectionsThatAreDroppedWhileIdle) {
+  FakeServer server(resets_second_requests());
   Deployment d({&server});
   Wire client = d.client();
   int failed = 0;
   for (int i = 0; i < 40; ++i) {
     client.write(Ask{.id = "r" + std::to_string(i)}.text());
     failed += status_of(client.read_message()) != 200;
-    std::this_thread::sleep_for(10ms);  // idling is what this is about
+    std::this_thread::sleep_for(10ms);  // the idle time under test
   }
   EXPECT_GE(failed, 1);
-  EXPECT_LE(failed, 8) << "every second one would be lost";
+  EXPECT_LE(failed, 8) << "without the estimate every second one is lost";
 }
 
-// Danger: a new connection that counts as too old leaves its request to wait for nothing until its time is
-// up.
-TEST(IdleTrust, ANewConnectionIsTakenHoweverShortIdlingIsTrusted) {
-  FakeServer server(forgetful());
+TEST(IdleLifetime, NewConnectionIsUsedHoweverShortTheEstimateIs) {
+  FakeServer server(resets_second_requests());
   Deployment d({&server});
   Wire client = d.client();
   for (int i = 0; i < 200; ++i) {
--- a/tests/node/pause_test.cpp
+++ b/tests/node/pause_test.cpp
@@ -161,8 +161,8 @@
 TEST(StarvedLoop, CountsForAnAnswerOnlyTheTimeUntilItCame) {
   FakeServer server(replies(200, "ok"));
   boost::asio::io_context io(1);
-  Budget budget;
-  budget.limit(1 << 20);
+  MemoryBudget budget;
+  budget.set_limit(1 << 20);
   Upstream upstream(io, {0.5, 60, 10}, budget);
   upstream.place(
       "s0", {boost::asio::ip::address_v4::loopback(), static_cast<unsigned short>(server.listener().port())},
@@ -192,8 +192,8 @@
 TEST(StarvedLoop, EndsUnsentWhatMayNotBeSentAnyMore) {
   FakeServer server(replies(200, "ok"));
   boost::asio::io_context io(1);
-  Budget budget;
-  budget.limit(1 << 20);
+  MemoryBudget budget;
+  budget.set_limit(1 << 20);
   Upstream upstream(io, {0.5, 60, 10}, budget);
   const boost::asio::ip::tcp::endpoint where{boost::asio::ip::address_v4::loopback(),
                                              static_cast<unsigned short>(server.listener().port())};
--- a/tests/node/preconnect_test.cpp
+++ b/tests/node/preconnect_test.cpp
@@ -1,4 +1,4 @@
-// Connections that rest after an answer, and how many more are dialled so that nobody waits for them.
+// The pre-connect policy, and the connections that it opens.
 #include "preconnect.h"
 
 #include <gtest/gtest.h>
@@ -8,52 +8,51 @@
 namespace thymewood::node {
 namespace {
 
-TEST(SpareDials, OneRequestInSixteenPaysForADial) {
-  SpareDials spare;
-  int dials = 0;
+TEST(Preconnect, SixteenRequestsEarnOneConnect) {
+  PreconnectPolicy policy;
+  int connects = 0;
   for (int i = 0; i < 1600; ++i) {
-    spare.request();
-    dials += spare.take() ? 1 : 0;
+    policy.on_request();
+    connects += policy.try_preconnect() ? 1 : 0;
   }
-  EXPECT_GE(dials, 99);
-  EXPECT_LE(dials, 100);
+  EXPECT_GE(connects, 99);
+  EXPECT_LE(connects, 100);
 }
 
-TEST(SpareDials, LittleIsSavedUp) {
-  SpareDials spare;
-  for (int i = 0; i < 1000; ++i) spare.request();
-  EXPECT_TRUE(spare.take());
-  EXPECT_TRUE(spare.take());
-  EXPECT_FALSE(spare.take());
+TEST(Preconnect, CreditIsLimitedToTwoConnects) {
+  PreconnectPolicy policy;
+  for (int i = 0; i < 1000; ++i) policy.on_request();
+  EXPECT_TRUE(policy.try_preconnect());
+  EXPECT_TRUE(policy.try_preconnect());
+  EXPECT_FALSE(policy.try_preconnect());
 }
 
-TEST(SpareDials, AFailedDialCostsEight) {
-  SpareDials spare;
-  for (int i = 0; i < 1000; ++i) spare.request();
-  spare.failed();
-  int until = 0;
+TEST(Preconnect, AFailedConnectCostsEight) {
+  PreconnectPolicy policy;
+  for (int i = 0; i < 1000; ++i) policy.on_request();
+  policy.on_connect_failed();
+  int requests = 0;
   do {
-    spare.request();
-    ++until;
-  } while (!spare.take() && until < 1000);
-  EXPECT_GE(until, 16 * 9);
-  EXPECT_LE(until, 16 * 9 + 1);
+    policy.on_request();
+    ++requests;
+  } while (!policy.try_preconnect() && requests < 1000);
+  EXPECT_GE(requests, 16 * 9);
+  EXPECT_LE(requests, 16 * 9 + 1);
 }
 
-// Guards against a caller in a closed loop that is served once a rest: it used to get 250 requests a second
-// of a server that could answer tens of thousands.
-TEST(SpareDials, ACallerThatAsksAgainAtOnceGetsMoreConnections) {
+// A client in a closed loop is not limited to one request per cool-down.
+TEST(Preconnect, ClientThatSendsItsNextRequestAtOnceGetsMoreConnections) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   Wire client = d.client();
-  int asked = 0;
-  // A slow machine comes back at once only now and then.
-  while (asked < 5000 && server.listener().accepted() < 3) {
-    client.write(Ask{.id = "r" + std::to_string(++asked)}.text());
+  int requests = 0;
+  // A slow machine sends the next one at once only now and then.
+  while (requests < 5000 && server.listener().accepted() < 3) {
+    client.write(Ask{.id = "r" + std::to_string(++requests)}.text());
     ASSERT_EQ(status_of(client.read_message()), 200);
   }
   EXPECT_GE(server.listener().accepted(), 3);
-  EXPECT_LE(server.listener().accepted(), 1 + asked / 16);
+  EXPECT_LE(server.listener().accepted(), 1 + requests / 16);
 }
 
 }  // namespace
