--- a/node/frontend.h
+++ b/node/frontend.h
@@ -1,84 +1,65 @@
-// The callers' side: their connections, what they may ask, and the answers.
+// The HTTP server side of a node: accepts the connections of clients, limits how many are open, and ends them
+// in a graceful shutdown.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
-#include <boost/asio/steady_timer.hpp>
-#include <cstdint>
+#include <cstddef>
 #include <functional>
-#include <list>
-#include <memory>
-#include <string>
-#include <unordered_map>
-#include <vector>
 
+#include "client_listener.h"
+#include "client_session.h"
+#include "clock.h"
 #include "dispatcher.h"
+#include "graceful_shutdown.h"
 #include "memory_budget.h"
+#include "session_table.h"
 #include "validation.h"
 
 namespace thymewood::node {
 
-class Frontend {
+// Owns the listener and the sessions.
+class Frontend : private ConnectionAdmission, private SessionOwner {
  public:
   struct Limits {
-    std::size_t most = 0;      // connections; beyond it, idle ones are closed and new ones turned away
-    std::size_t overflow = 0;  // how many of these may be open besides; beyond, nothing is accepted
-    double busy_retry_after = 0;
+    std::size_t max_connections = 0;  // beyond it, idle ones are closed, and new ones are rejected
+    std::size_t max_rejected = 0;     // connections open for rejection; beyond it, none are accepted
+    double overload_retry_after = 0;  // s
   };
 
   Frontend(boost::asio::io_context& io, const Clock& clock, const Limits& limits, Catalog catalog,
-           MemoryBudget& budget, Dispatcher& dispatcher);
+           MemoryBudget& memory_budget, Dispatcher& dispatcher);
   ~Frontend();
   Frontend(const Frontend&) = delete;
   Frontend& operator=(const Frontend&) = delete;
 
-  // Throws boost::system::system_error when the address can't be listened on.
-  void listen(const boost::asio::ip::tcp::endpoint& where);
-  void start();
-  boost::asio::ip::tcp::endpoint local() const { return acceptor_.local_endpoint(); }
+  // Throws boost::system::system_error when the address cannot be listened on.
+  void listen(const boost::asio::ip::tcp::endpoint& endpoint) { listener_.listen(endpoint); }
+  void start() { listener_.accept(); }
+  [[nodiscard]] boost::asio::ip::tcp::endpoint local() const { return listener_.local_endpoint(); }
 
-  // After an exception that got out of a handler: takes up what that handler may have left undone.
-  void recover();
+  // After an exception that left a handler: resumes what that handler may have left undone.
+  void recover() { listener_.recover(); }
 
-  // Goes on accepting for a while and serving for a while longer, sees to it that all that was taken is
-  // answered before the node is killed, and calls `done` when no connection is left.
-  void drain(std::function<void()> done);
+  // Begins the graceful shutdown; calls `done` when no connection is left.
+  void drain(std::function<void()> done) { shutdown_.start(catalog_.classes, std::move(done)); }
 
  private:
-  class Session;
-  friend class Session;
+  [[nodiscard]] bool can_accept() const override;
+  void admit(boost::asio::ip::tcp::socket socket) override;
+  void admit_on_reserve(boost::asio::ip::tcp::socket socket) override;
+  void free_descriptor() override;
+  void on_session_ended(ClientSession& session) override;
 
-  void accept();
-  void accept_failed(boost::system::error_code bad);
-  void admit(boost::asio::ip::tcp::socket socket);
-  void admit(boost::asio::ip::tcp::socket socket, bool full, double patience);
-  void keep_spare();
-  // Closes one that waits for its caller; not one that has come within the last `spared` seconds.
-  bool evict(double spared);
-  void ended(Session& session);
-  void stop_accepting();
-  bool accept_with_spare();
-  void close_idle();
-  void end_if_drained();
+  void start_session(boost::asio::ip::tcp::socket socket, ClientSession::Mode mode,
+                     double first_request_timeout);
 
-  boost::asio::io_context& io_;
-  const Clock& clock_;
-  boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer timer_;  // a pause after a failed accept; then for the drain
   Limits limits_;
   Catalog catalog_;
-  MemoryBudget& budget_;
-  Dispatcher& dispatcher_;
-  std::list<std::shared_ptr<Session>> sessions_;
-  // Those that may be closed for others, the one that has waited the longest first: callers that never asked
-  // for anything that can be served, and those between two requests.
-  std::list<Session*> strangers_, idle_;
-  int spare_ = -1;                 // a descriptor in reserve
-  std::uint64_t accept_turn_ = 0;  // tells the accept that is out from one that was given up
-  bool accepting_ = false, pausing_ = false, draining_ = false, closing_ = false;
-  Clock::Steady::time_point last_answer_;  // of a drain
-  Clock::Steady::time_point last_accept_;  // of a drain, where descriptors are short
-  std::function<void()> drained_;
+  ClientListener listener_;
+  SessionTable sessions_;
+  GracefulShutdown shutdown_;
+  SessionContext session_context_;
 };
 
 }  // namespace thymewood::node
--- a/node/validation.h
+++ b/node/validation.h
@@ -1,4 +1,4 @@
-// What callers may ask: pure functions on one request.
+// Validates requests of clients against the protocol and the settings: pure functions on one request.
 #pragma once
 
 #include <optional>
@@ -11,25 +11,26 @@
 
 namespace thymewood::node {
 
-// What a request may name, from the settings.
+// The classes and tenants that a request may name, from the settings.
 struct Catalog {
   std::vector<std::string> class_names, tenant_names;
   std::vector<RequestClass> classes;
 };
 
-// Why a request is turned down.
-struct Rejected {
+// The response to an invalid request.
+struct Rejection {
   boost::beast::http::status status;
   const char* text;
 };
 
 // The path without its query.
-std::string_view path_of(const HttpRequest& request);
+[[nodiscard]] std::string_view path_of(const HttpRequest& request);
 
-// Whether the head leaves open where the body ends.
-bool is_length_ambiguous(const HttpRequest& request);
+// Whether the head does not define the end of the body, or defines it twice.
+[[nodiscard]] bool is_length_ambiguous(const HttpRequest& request);
 
-// Fills in the event, or says what is wrong with the request.
-std::optional<Rejected> read_request(const HttpRequest& request, const Catalog& catalog, Request& event);
+// Fills in `event` from a valid request; else says what is wrong with the request.
+[[nodiscard]] std::optional<Rejection> read_request_event(const HttpRequest& request, const Catalog& catalog,
+                                                          Request& event);
 
 }  // namespace thymewood::node
