--- a/node/dispatcher.cpp
+++ b/node/dispatcher.cpp
@@ -7,9 +7,9 @@
 #include <utility>
 #include <variant>
 
-#include "arrival.h"
 #include "event_log.h"
 #include "log_names.h"
+#include "socket_arrival.h"
 
 namespace thymewood::node {
 namespace {
@@ -296,7 +296,7 @@
   refresh_list(now);
   const PendingRequest* const request = requests_.find_unanswered(id);
   if (request == nullptr) return false;
-  if (now - request->received_at < kLateLook) return true;
+  if (now - request->received_at < kLateRead) return true;
   const auto is_client_waiting = request->is_client_waiting;
   return (*is_client_waiting)();
 }
--- a/node/load_balancer_node.cpp
+++ b/node/load_balancer_node.cpp
@@ -40,7 +40,7 @@
 }  // namespace
 
 LoadBalancerNode::LoadBalancerNode(asio::io_context& io, const Clock& clock, Config config,
-                                   operators::FleetFile replica_set, Budget& message_budget)
+                                   operators::FleetFile replica_set, MemoryBudget& message_budget)
     : io_(io),
       clock_(clock),
       config_(std::move(config)),
--- a/node/load_balancer_node.h
+++ b/node/load_balancer_node.h
@@ -8,12 +8,12 @@
 #include <stdexcept>
 #include <string>
 
-#include "budget.h"
 #include "clock.h"
 #include "config.h"
 #include "discovery_watch.h"
 #include "dispatcher.h"
 #include "frontend.h"
+#include "memory_budget.h"
 #include "operators_file.h"
 #include "peers.h"
 #include "process_limits.h"
@@ -31,7 +31,7 @@
  public:
   // Throws std::invalid_argument when no balancer can work with the settings.
   LoadBalancerNode(boost::asio::io_context& io, const Clock& clock, Config config,
-                   operators::FleetFile replica_set, Budget& message_budget);
+                   operators::FleetFile replica_set, MemoryBudget& message_budget);
 
   // Throws StartupError when an address cannot be listened at.
   void start();
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -6,11 +6,11 @@
 #include <iostream>
 #include <utility>
 
-#include "budget.h"
 #include "config.h"
 #include "event_log.h"
 #include "event_loop.h"
 #include "load_balancer_node.h"
+#include "memory_budget.h"
 #include "operators_file.h"
 #include "process_limits.h"
 
@@ -33,7 +33,7 @@
 }
 
 int run(const char* config_path) {
-  node::Budget message_budget;  // outlives what is left in the event loop at the end
+  node::MemoryBudget message_budget;  // outlives what is left in the event loop at the end
   asio::io_context io(1);
   // Signals that come before the first wait are kept; without these sets they would end the process.
   asio::signal_set reload_signals(io, SIGHUP), stop_signals(io, SIGTERM, SIGINT);
@@ -46,7 +46,7 @@
   } catch (const std::exception& problem) {
     return fail_to_start(problem);
   }
-  message_budget.limit(node::message_memory(config.memory_bytes));
+  message_budget.set_limit(node::message_memory(config.memory_bytes));
   try {
     node::LoadBalancerNode balancer(io, clock, std::move(config), std::move(operators.fleet), message_budget);
     balancer.start();
--- /dev/null
+++ b/node/memory_budget.h
@@ -0,0 +1,51 @@
+// Limits the bytes of messages that a node buffers, over all of its connections.
+#pragma once
+
+#include <algorithm>
+#include <cstddef>
+
+namespace thymewood::node {
+
+class MemoryBudget {
+ public:
+  MemoryBudget() = default;
+  MemoryBudget(const MemoryBudget&) = delete;
+  MemoryBudget& operator=(const MemoryBudget&) = delete;
+
+  void set_limit(std::size_t bytes) { limit_ = bytes; }
+  [[nodiscard]] std::size_t used() const { return used_; }
+
+  // The bytes that one message or connection has reserved; released with it.
+  class Reservation {
+   public:
+    explicit Reservation(MemoryBudget& budget) : budget_(budget) {}
+    ~Reservation() { budget_.used_ -= bytes_; }
+    Reservation(const Reservation&) = delete;
+    Reservation& operator=(const Reservation&) = delete;
+
+    // Resizes the reservation; false, and nothing has changed, where it would exceed the limit.
+    [[nodiscard]] bool try_resize(std::size_t bytes) {
+      const std::size_t available = budget_.limit_ - std::min(budget_.used_, budget_.limit_);
+      if (bytes > bytes_ && bytes - bytes_ > available) return false;
+      resize(bytes);
+      return true;
+    }
+
+    // Resizes it whatever the limit is: for memory that is allocated already, such as that of a response
+    // which moves from the server's connection to the client's.
+    void resize(std::size_t bytes) {
+      budget_.used_ = budget_.used_ - bytes_ + bytes;
+      bytes_ = bytes;
+    }
+
+   private:
+    MemoryBudget& budget_;
+    std::size_t bytes_ = 0;
+  };
+
+ private:
+  std::size_t limit_ = 0;
+  std::size_t used_ = 0;
+};
+
+}  // namespace thymewood::node
--- /dev/null
+++ b/tests/node/preconnect_test.cpp
@@ -0,0 +1,59 @@
+// The pre-connect policy, and the connections that it opens.
+#include "preconnect.h"
+
+#include <gtest/gtest.h>
+
+#include "node_harness.h"
+
+namespace thymewood::node {
+namespace {
+
+TEST(Preconnect, SixteenRequestsEarnOneConnect) {
+  PreconnectPolicy policy;
+  int connects = 0;
+  for (int i = 0; i < 1600; ++i) {
+    policy.on_request();
+    connects += policy.try_preconnect() ? 1 : 0;
+  }
+  EXPECT_GE(connects, 99);
+  EXPECT_LE(connects, 100);
+}
+
+TEST(Preconnect, CreditIsLimitedToTwoConnects) {
+  PreconnectPolicy policy;
+  for (int i = 0; i < 1000; ++i) policy.on_request();
+  EXPECT_TRUE(policy.try_preconnect());
+  EXPECT_TRUE(policy.try_preconnect());
+  EXPECT_FALSE(policy.try_preconnect());
+}
+
+TEST(Preconnect, AFailedConnectCostsEight) {
+  PreconnectPolicy policy;
+  for (int i = 0; i < 1000; ++i) policy.on_request();
+  policy.on_connect_failed();
+  int requests = 0;
+  do {
+    policy.on_request();
+    ++requests;
+  } while (!policy.try_preconnect() && requests < 1000);
+  EXPECT_GE(requests, 16 * 9);
+  EXPECT_LE(requests, 16 * 9 + 1);
+}
+
+// A client in a closed loop is not limited to one request per cool-down.
+TEST(Preconnect, ClientThatSendsItsNextRequestAtOnceGetsMoreConnections) {
+  FakeServer server(replies(200, "ok"));
+  Deployment d({&server});
+  Wire client = d.client();
+  int requests = 0;
+  // A slow machine sends the next one at once only now and then.
+  while (requests < 5000 && server.listener().accepted() < 3) {
+    client.write(Ask{.id = "r" + std::to_string(++requests)}.text());
+    ASSERT_EQ(status_of(client.read_message()), 200);
+  }
+  EXPECT_GE(server.listener().accepted(), 3);
+  EXPECT_LE(server.listener().accepted(), 1 + requests / 16);
+}
+
+}  // namespace
+}  // namespace thymewood::node
