--- a/include/thymewood/actions.h
+++ b/include/thymewood/actions.h
@@ -13,8 +13,8 @@
   std::string id;
   std::string server;
   double timeout = 0;
-  // When its last byte has to be out: servers deduplicate it until then. A host that can't send it by then ends
-  // it as kNotSent or kConnectFailed.
+  // When its last byte has to be out: servers deduplicate it until then. A host that can't send it by then
+  // ends it as kNotSent or kConnectFailed.
   double send_by = std::numeric_limits<double>::infinity();
 };
 
--- a/include/thymewood/events.h
+++ b/include/thymewood/events.h
@@ -100,9 +100,9 @@
 // The live replicas of the load balancer and this one's place among them, where that is known better than by
 // the settings. It spreads work and tightens limits; it never makes an endpoint usable.
 struct ReplicaSetChanged {
-  int rank = 0;             // this replica's place among the live ones, 0 .. live_count - 1
-  int live_count = 1;       // live replicas
-  int max_count = 1;        // replicas that may be running, at least live_count: a shared limit is split by it
+  int rank = 0;        // this replica's place among the live ones, 0 .. live_count - 1
+  int live_count = 1;  // live replicas
+  int max_count = 1;   // replicas that may be running, at least live_count: a shared limit is split by it
   bool is_settling = false;  // replicas may see different sets for now: their subsets overlap more
 };
 
