--- a/node/main.cpp
+++ b/node/main.cpp
@@ -3,7 +3,9 @@
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
+#include <exception>
 #include <iostream>
+#include <stdexcept>
 #include <utility>
 
 #include "budget.h"
--- a/tests/node/deployments_test.cpp
+++ b/tests/node/deployments_test.cpp
@@ -130,7 +130,8 @@
   Wire client = d.client();
   client.write(Ask{.kind = "fire", .timeout = "80"}.text());
   ASSERT_EQ(status_of(client.read_message()), 200);
-  EXPECT_GE(std::stoi(field_of(server.requests()[0], "X-Timeout-Ms")), 50) << "the server gets most of the 80 ms";
+  EXPECT_GE(std::stoi(field_of(server.requests()[0], "X-Timeout-Ms")), 50)
+      << "the server gets most of the 80 ms";
 }
 
 struct SettingsCase {
