--- a/bench/discovery/main.cpp
+++ b/bench/discovery/main.cpp
@@ -4,7 +4,7 @@
 #include <memory>
 #include <string>
 
-#include "crowd.h"
+#include "reconnect_herd.h"
 #include "watch_backoff.h"
 
 namespace {
--- a/bench/model/parties.cpp
+++ b/bench/model/actors.cpp
@@ -1,4 +1,4 @@
-#include "parties.h"
+#include "actors.h"
 
 #include <algorithm>
 #include <array>
--- a/bench/model/fleet_tables.h
+++ b/bench/model/fleet_tables.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "capacity.h"
-#include "parties.h"
+#include "actors.h"
+#include "server_model.h"
 
 namespace thymewood::bench {
 
--- a/bench/model/rules.cpp
+++ b/bench/model/rule_monitor.cpp
@@ -1,4 +1,4 @@
-#include "rules.h"
+#include "rule_monitor.h"
 
 #include <algorithm>
 #include <utility>
--- a/bench/model/scenario.h
+++ b/bench/model/scenario.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "capacity.h"
 #include "fleet_tables.h"
 #include "random.h"
+#include "server_model.h"
 #include "thymewood/balancer.h"
 
 namespace thymewood::bench {
--- a/bench/model/capacity.cpp
+++ b/bench/model/server_model.cpp
@@ -1,4 +1,4 @@
-#include "capacity.h"
+#include "server_model.h"
 
 #include <algorithm>
 
--- a/bench/rig/load.cpp
+++ b/bench/rig/load_generator.cpp
@@ -1,4 +1,4 @@
-#include "load.h"
+#include "load_generator.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
--- a/bench/rig/load.h
+++ b/bench/rig/load_generator.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "rules.h"
+#include "rule_monitor.h"
 #include "scenario.h"
 
 namespace thymewood::bench {
--- a/bench/rig/stand_in.cpp
+++ b/bench/rig/model_server.cpp
@@ -1,4 +1,4 @@
-#include "stand_in.h"
+#include "model_server.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
--- a/bench/rig/stand_in.h
+++ b/bench/rig/model_server.h
@@ -1,6 +1,6 @@
-// A server on a loopback socket that can do what a capacity model says (model/capacity.h), in real time. It
-// speaks as much HTTP/1.1 as a node needs (RFC 9112): requests with Content-Length on kept connections, and
-// answers with the request's id as the body, or 503 with X-Not-Processed when its queue is full.
+// A server on a loopback socket that can do what a capacity model says (model/server_model.h), in real time.
+// It speaks as much HTTP/1.1 as a node needs (RFC 9112): requests with Content-Length on kept connections,
+// and answers with the request's id as the body, or 503 with X-Not-Processed when its queue is full.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,8 +13,8 @@
 #include <memory>
 #include <string>
 
-#include "capacity.h"
 #include "scenario.h"
+#include "server_model.h"
 
 namespace thymewood::bench {
 
--- a/bench/rig/run.h
+++ b/bench/rig/run.h
@@ -5,10 +5,10 @@
 #include <string>
 #include <vector>
 
-#include "load.h"
-#include "rules.h"
+#include "load_generator.h"
+#include "model_server.h"
+#include "rule_monitor.h"
 #include "scenario.h"
-#include "stand_in.h"
 
 namespace thymewood::bench {
 
--- a/bench/virtual/session.h
+++ b/bench/virtual/session.h
@@ -15,7 +15,7 @@
 
 #include "player.h"
 #include "records.h"
-#include "rules.h"
+#include "rule_monitor.h"
 #include "thymewood/balancer.h"
 
 namespace thymewood::bench {
--- a/fleet_rig/cast/callers.cpp
+++ b/fleet_rig/actors/client_pool.cpp
@@ -1,4 +1,4 @@
-#include "callers.h"
+#include "client_pool.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
--- a/fleet_rig/cast/callers.h
+++ b/fleet_rig/actors/client_pool.h
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
-#include "asker.h"
-#include "historian.h"
+#include "history_writer.h"
+#include "http_client.h"
 #include "scenario.h"
 
 namespace thymewood::fleet {
--- a/fleet_rig/cast/discovery.cpp
+++ b/fleet_rig/actors/discovery_stand_in.cpp
@@ -1,4 +1,4 @@
-#include "discovery.h"
+#include "discovery_stand_in.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
--- a/fleet_rig/cast/discovery.h
+++ b/fleet_rig/actors/discovery_stand_in.h
@@ -15,7 +15,7 @@
 #include <string>
 #include <vector>
 
-#include "historian.h"
+#include "history_writer.h"
 #include "scenario.h"
 #include "tcp_relay.h"
 
--- a/fleet_rig/cast/asker.cpp
+++ b/fleet_rig/actors/http_client.cpp
@@ -1,4 +1,4 @@
-#include "asker.h"
+#include "http_client.h"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/steady_timer.hpp>
--- a/fleet_rig/cast/asker.h
+++ b/fleet_rig/actors/http_client.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "historian.h"
+#include "history_writer.h"
 
 namespace thymewood::fleet {
 
--- a/fleet_rig/cast/server.cpp
+++ b/fleet_rig/actors/server_stand_in.cpp
@@ -1,4 +1,4 @@
-#include "server.h"
+#include "server_stand_in.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
--- a/fleet_rig/cast/server.h
+++ b/fleet_rig/actors/server_stand_in.h
@@ -1,6 +1,6 @@
 // A server of a fleet on a socket of its own: it can do what its capacity model says
-// (bench/model/capacity.h), in real time, speaks PROTOCOL's side of HTTP, and in the first of two tiers makes
-// its calls to the second through a node of its own, holding its slot while it waits.
+// (bench/model/server_model.h), in real time, speaks PROTOCOL's side of HTTP, and in the first of two tiers
+// makes its calls to the second through a node of its own, holding its slot while it waits.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -15,10 +15,10 @@
 #include <optional>
 #include <string>
 
-#include "asker.h"
-#include "capacity.h"
-#include "historian.h"
+#include "history_writer.h"
+#include "http_client.h"
 #include "scenario.h"
+#include "server_model.h"
 #include "tcp_relay.h"
 
 namespace thymewood::fleet {
--- a/fleet_rig/history/judges.cpp
+++ b/fleet_rig/history/checkers.cpp
@@ -1,4 +1,4 @@
-#include "judges.h"
+#include "checkers.h"
 
 #include <algorithm>
 #include <cstdint>
--- a/fleet_rig/history/historian.cpp
+++ b/fleet_rig/history/history_writer.cpp
@@ -1,4 +1,4 @@
-#include "historian.h"
+#include "history_writer.h"
 
 #include <stdexcept>
 
--- a/fleet_rig/history/record.h
+++ b/fleet_rig/history/record.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "parties.h"
+#include "actors.h"
 
 namespace thymewood::fleet {
 
--- a/fleet_rig/history/levels.cpp
+++ b/fleet_rig/history/usage_checker.cpp
@@ -3,7 +3,7 @@
 #include <limits>
 #include <map>
 
-#include "judges.h"
+#include "checkers.h"
 
 namespace thymewood::fleet {
 namespace {
--- a/fleet_rig/history/views.cpp
+++ b/fleet_rig/history/views.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <set>
 
-#include "judges.h"
+#include "checkers.h"
 
 namespace thymewood::fleet {
 namespace {
--- a/fleet_rig/planted.py
+++ b/fleet_rig/mutations.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
 """Plants one fault at a time in the node and plays a day on which a judge has to see it.
 
-    fleet_rig/planted.py BUILD [NAME ...]
+    fleet_rig/mutations.py BUILD [NAME ...]
 
 BUILD holds thymewood_fleet (cmake -DTHYMEWOOD_BUILD_BENCH=ON). Each fault is a replacement of a text that stands in its file
 once, so that it fails loudly when the code moves on. The node is built in a clone under a temporary folder; the
@@ -134,7 +134,7 @@
                 print(f'| {name} | {day} | {rule} | {why} |', flush=True)
                 missed += 1
             else:
-                out = run([build / 'fleet_rig/thymewood_fleet', 'run', top / f'fleet_rig/days/{day}.toml', '--node',
+                out = run([build / 'fleet_rig/thymewood_fleet', 'run', top / f'fleet_rig/scenarios/{day}.toml', '--node',
                            scratch / 'build/thymewood', '--logs', scratch / 'logs', '--quiet']).stdout
                 row = [line for line in out.splitlines() if line.startswith(day + ' ')]
                 if '>' in rule:
--- a/fleet_rig/net/link_table.h
+++ b/fleet_rig/net/link_table.h
@@ -11,8 +11,8 @@
 #include <utility>
 #include <vector>
 
+#include "actors.h"
 #include "fleet_tables.h"
-#include "parties.h"
 #include "random.h"
 
 namespace thymewood::fleet {
--- a/fleet_rig/run/fleet.h
+++ b/fleet_rig/run/fleet.h
@@ -15,13 +15,13 @@
 #include <vector>
 
 #include "address_block.h"
-#include "callers.h"
-#include "discovery.h"
-#include "historian.h"
+#include "client_pool.h"
+#include "discovery_stand_in.h"
+#include "history_writer.h"
 #include "link_table.h"
 #include "machine.h"
 #include "planner.h"
-#include "server.h"
+#include "server_stand_in.h"
 #include "tcp_relay.h"
 #include "udp_hub.h"
 
--- a/fleet_rig/run/main.cpp
+++ b/fleet_rig/run/main.cpp
@@ -13,10 +13,10 @@
 #include <string>
 #include <vector>
 
-#include "day.h"
 #include "fleet.h"
 #include "relay_cost.h"
-#include "soak_day.h"
+#include "scenario_run.h"
+#include "soak_scenario.h"
 
 namespace {
 
--- a/fleet_rig/run/day.cpp
+++ b/fleet_rig/run/scenario_run.cpp
@@ -1,4 +1,4 @@
-#include "day.h"
+#include "scenario_run.h"
 
 #include <cmath>
 #include <cstdlib>
--- a/fleet_rig/run/day.h
+++ b/fleet_rig/run/scenario_run.h
@@ -5,8 +5,8 @@
 #include <functional>
 #include <string>
 
+#include "checkers.h"
 #include "figures.h"
-#include "judges.h"
 #include "scenario.h"
 
 namespace thymewood::fleet {
--- a/fleet_rig/soak/soak_day.cpp
+++ b/fleet_rig/soak/soak_scenario.cpp
@@ -1,4 +1,4 @@
-#include "soak_day.h"
+#include "soak_scenario.h"
 
 #include <algorithm>
 #include <cmath>
--- a/tests/bench/model_test.cpp
+++ b/tests/bench/model_test.cpp
@@ -10,10 +10,10 @@
 #include <vector>
 
 #include "balancer_harness.h"
-#include "capacity.h"
 #include "histogram.h"
-#include "rules.h"
+#include "rule_monitor.h"
 #include "scenario.h"
+#include "server_model.h"
 
 namespace thymewood::bench {
 namespace {
--- a/tests/fleet_rig/judges_test.cpp
+++ b/tests/fleet_rig/checkers_test.cpp
@@ -1,5 +1,5 @@
 // Each judge on histories that are planted: what it has to see, and what it must not blame.
-#include "judges.h"
+#include "checkers.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 #include <fstream>
 
 #include "figures.h"
-#include "historian.h"
+#include "history_writer.h"
 
 namespace thymewood::fleet {
 namespace {
--- a/tests/fleet_rig/membership_test.cpp
+++ b/tests/fleet_rig/membership_test.cpp
@@ -2,7 +2,7 @@
 // the rules alike. Their times are a fifth of the usual, so that a day is short.
 #include <algorithm>
 
-#include "fleet_day.h"
+#include "scenario_fixture.h"
 #include "views.h"
 
 namespace thymewood::fleet {
--- a/tests/fleet_rig/model_test.cpp
+++ b/tests/fleet_rig/model_test.cpp
@@ -5,8 +5,8 @@
 #include <filesystem>
 #include <set>
 
+#include "actors.h"
 #include "link_table.h"
-#include "parties.h"
 #include "planner.h"
 #include "player.h"
 #include "scenario.h"
@@ -130,7 +130,7 @@
 
 TEST(FleetTables, AllDaysCanBeReadAndPlanned) {
   int days = 0;
-  for (const auto& entry : std::filesystem::directory_iterator(FLEET_DAYS)) {
+  for (const auto& entry : std::filesystem::directory_iterator(FLEET_SCENARIOS)) {
     const Scenario s = bench::read_scenario(entry.path());
     const std::vector<Step> steps = plan(s, 1);
     for (const Step& step : steps) {
--- a/tests/fleet_rig/report_test.cpp
+++ b/tests/fleet_rig/report_test.cpp
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <iterator>
 
-#include "day.h"
+#include "scenario_run.h"
 
 namespace thymewood::fleet {
 namespace {
--- a/tests/fleet_rig/fleet_day.h
+++ b/tests/fleet_rig/scenario_fixture.h
@@ -9,7 +9,7 @@
 #include <filesystem>
 #include <string>
 
-#include "day.h"
+#include "scenario_run.h"
 
 namespace thymewood::fleet {
 
--- a/tests/fleet_rig/days_test.cpp
+++ b/tests/fleet_rig/scenarios_test.cpp
@@ -3,7 +3,7 @@
 // show that its fault was there. Shares served are no subject here: this machine may be slow.
 #include <algorithm>
 
-#include "fleet_day.h"
+#include "scenario_fixture.h"
 
 namespace thymewood::fleet {
 namespace {
--- a/tests/fleet_rig/views_test.cpp
+++ b/tests/fleet_rig/views_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "judges.h"
+#include "checkers.h"
 
 namespace thymewood::fleet {
 namespace {
--- a/tests/policy/endpoint_lease_test.cpp
+++ b/tests/policy/endpoint_lease_test.cpp
@@ -7,7 +7,7 @@
 #include <set>
 
 #include "balancer_harness.h"
-#include "crowd.h"
+#include "reconnect_herd.h"
 #include "watch_backoff.h"
 
 namespace thymewood {
