--- a/bench/discovery/main.cpp
+++ b/bench/discovery/main.cpp
@@ -12,33 +12,33 @@
 namespace tb = thymewood::bench;
 
 constexpr int kSeeds = 20;
-constexpr double kAskWithin = 10;  // s
+constexpr double kPollInterval = 10;  // s
 
 // Exponential from half a second to half of the time that a list may be used, as before the incident.
 struct Exponential {
   double next = 0.5;
   double operator()(const std::optional<thymewood::WatchFailure>&, thymewood::Random& random) {
     const double pause = next * (0.5 + random.unit() / 2);
-    next = std::min(next * 2, kAskWithin / 2);
+    next = std::min(next * 2, kPollInterval / 2);
     return pause;
   }
 };
 
 template <typename MakePolicy>
-void print_row(const tb::CrowdPlan& plan, const char* name, const MakePolicy& make_policy) {
-  double within_2 = 0, within_4 = 0, within_6 = 0, within_12 = 0, last = 0, turned_away = 0;
+void print_row(const tb::HerdPlan& plan, const char* name, const MakePolicy& make_policy) {
+  double within_2 = 0, within_4 = 0, within_6 = 0, within_12 = 0, last = 0, rejected = 0;
   for (int seed = 1; seed <= kSeeds; ++seed) {
-    const tb::CrowdResult r = tb::play_crowd(plan, make_policy, static_cast<std::uint64_t>(seed));
-    within_2 += r.part_within(2) / kSeeds;
-    within_4 += r.part_within(4) / kSeeds;
-    within_6 += r.part_within(6) / kSeeds;
-    within_12 += r.part_within(12) / kSeeds;
+    const tb::HerdResult r = tb::simulate_herd(plan, make_policy, static_cast<std::uint64_t>(seed));
+    within_2 += r.share_within(2) / kSeeds;
+    within_4 += r.share_within(4) / kSeeds;
+    within_6 += r.share_within(6) / kSeeds;
+    within_12 += r.share_within(12) / kSeeds;
     last = std::max(last, r.last());
-    turned_away += static_cast<double>(r.turned_away) / plan.nodes / kSeeds;
+    rejected += static_cast<double>(r.rejected) / plan.nodes / kSeeds;
   }
   std::printf("| %d | %.0f | %.1f | %.0f | %.1f | %s | %.2f | %.2f | %.2f | %.2f | %.1f | %.2f |\n",
-              plan.nodes, plan.all_calls, plan.longest_wait, plan.outage, plan.lost_work, name, within_2,
-              within_4, within_6, within_12, last, turned_away);
+              plan.nodes, plan.work_of_all, plan.max_wait, plan.outage, plan.lost_work, name, within_2,
+              within_4, within_6, within_12, last, rejected);
 }
 
 }  // namespace
@@ -50,19 +50,19 @@
       "last, s | turned away a node |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | "
       "--- |");
   for (const int nodes : {50, 300, 900}) {
-    for (const double all_calls : {2.0, 8.0}) {
+    for (const double work_of_all : {2.0, 8.0}) {
       for (const double outage : {8.0, 60.0}) {
         for (const double lost_work : {1.0, 2.0}) {
-          tb::CrowdPlan plan;
+          tb::HerdPlan plan;
           plan.nodes = nodes;
-          plan.all_calls = all_calls;
+          plan.work_of_all = work_of_all;
           plan.outage = outage;
           plan.lost_work = lost_work;
           plan.restarted_part = 0.1;
-          print_row(plan, "0.5 to 5 s", [] { return tb::PausePolicy(Exponential{}); });
+          print_row(plan, "0.5 to 5 s", [] { return tb::BackoffPolicy(Exponential{}); });
           print_row(plan, "WatchRetry", [] {
-            const auto retry = std::make_shared<thymewood::WatchBackoff>(kAskWithin);
-            return tb::PausePolicy(
+            const auto retry = std::make_shared<thymewood::WatchBackoff>(kPollInterval);
+            return tb::BackoffPolicy(
                 [retry](const auto& failure, auto& random) { return retry->pause_after(failure, random); });
           });
         }
--- a/bench/model/actors.cpp
+++ b/bench/model/actors.cpp
@@ -9,25 +9,25 @@
 namespace thymewood::bench {
 namespace {
 
-constexpr std::array<std::pair<const char*, PartyKind>, 6> kNames{{{"callers", PartyKind::kCallers},
-                                                                   {"node", PartyKind::kNode},
-                                                                   {"server", PartyKind::kServer},
-                                                                   {"discovery", PartyKind::kDiscovery},
-                                                                   {"inner", PartyKind::kInner},
-                                                                   {"backend", PartyKind::kBackend}}};
+constexpr std::array<std::pair<const char*, ActorKind>, 6> kNames{{{"callers", ActorKind::kClients},
+                                                                   {"node", ActorKind::kNode},
+                                                                   {"server", ActorKind::kServer},
+                                                                   {"discovery", ActorKind::kDiscovery},
+                                                                   {"inner", ActorKind::kSidecar},
+                                                                   {"backend", ActorKind::kBackend}}};
 
-bool is_alone(PartyKind kind) { return kind == PartyKind::kCallers || kind == PartyKind::kDiscovery; }
+bool is_alone(ActorKind kind) { return kind == ActorKind::kClients || kind == ActorKind::kDiscovery; }
 
-int count_of(const Cast& cast, PartyKind kind) {
+int count_of(const Topology& topology, ActorKind kind) {
   switch (kind) {
-    case PartyKind::kNode:
-      return static_cast<int>(cast.node_zones.size());
-    case PartyKind::kServer:
-      return static_cast<int>(cast.server_zones.size());
-    case PartyKind::kBackend:
-      return static_cast<int>(cast.backend_zones.size());
-    case PartyKind::kInner:
-      return cast.inner;
+    case ActorKind::kNode:
+      return static_cast<int>(topology.node_zones.size());
+    case ActorKind::kServer:
+      return static_cast<int>(topology.server_zones.size());
+    case ActorKind::kBackend:
+      return static_cast<int>(topology.backend_zones.size());
+    case ActorKind::kSidecar:
+      return topology.sidecar;
     default:
       return 1;
   }
@@ -42,31 +42,31 @@
 
 }  // namespace
 
-std::string name_of(const Party& party) {
+std::string name_of(const Actor& actor) {
   for (const auto& [name, kind] : kNames) {
-    if (kind == party.kind)
-      return is_alone(kind) ? std::string(name) : std::string(name) + std::to_string(party.number);
+    if (kind == actor.kind)
+      return is_alone(kind) ? std::string(name) : std::string(name) + std::to_string(actor.number);
   }
   return "?";
 }
 
-std::vector<Party> Cast::everyone() const {
-  std::vector<Party> out;
+std::vector<Actor> Topology::everyone() const {
+  std::vector<Actor> out;
   for (const auto& [name, kind] : kNames) {
     for (int i = 0; i < count_of(*this, kind); ++i) out.push_back({kind, i});
   }
   return out;
 }
 
-int Cast::zone_of(const Party& party) const {
-  const auto at = static_cast<std::size_t>(party.number);
-  switch (party.kind) {
-    case PartyKind::kNode:
+int Topology::zone_of(const Actor& actor) const {
+  const auto at = static_cast<std::size_t>(actor.number);
+  switch (actor.kind) {
+    case ActorKind::kNode:
       return node_zones.at(at);
-    case PartyKind::kServer:
-    case PartyKind::kInner:  // beside its server
+    case ActorKind::kServer:
+    case ActorKind::kSidecar:  // beside its server
       return server_zones.at(at);
-    case PartyKind::kBackend:
+    case ActorKind::kBackend:
       return backend_zones.at(at);
     default:
       return -1;
@@ -119,30 +119,30 @@
   return out;
 }
 
-std::string Selector::misfit(const Cast& cast) const {
+std::string Selector::misfit(const Topology& topology) const {
   if (kind == Kind::kNobody) return "";
   if (kind == Kind::kZone) {
-    for (const Party& party : cast.everyone()) {
-      if (cast.zone_of(party) == first) return "";
+    for (const Actor& actor : topology.everyone()) {
+      if (topology.zone_of(actor) == first) return "";
     }
     return "nobody stands in zone " + std::to_string(first);
   }
-  const int count = count_of(cast, of);
+  const int count = count_of(topology, of);
   if ((kind == Kind::kOne || kind == Kind::kRange) && last >= count)
     return "there are " + std::to_string(count) + " of these, counted from 0";
   return count == 0 ? "there is none of these" : "";
 }
 
-std::vector<Party> Selector::pick(const Cast& cast, Random& random) const {
-  std::vector<Party> out;
+std::vector<Actor> Selector::pick(const Topology& topology, Random& random) const {
+  std::vector<Actor> out;
   if (kind == Kind::kNobody) return out;
   if (kind == Kind::kZone) {
-    for (const Party& party : cast.everyone()) {
-      if (cast.zone_of(party) == first) out.push_back(party);
+    for (const Actor& actor : topology.everyone()) {
+      if (topology.zone_of(actor) == first) out.push_back(actor);
     }
     return out;
   }
-  const int count = count_of(cast, of);
+  const int count = count_of(topology, of);
   for (int i = 0; i < count; ++i) out.push_back({of, i});
   if (kind == Kind::kAll) return out;
   if (kind == Kind::kPart) {
--- a/bench/model/actors.h
+++ b/bench/model/actors.h
@@ -1,5 +1,5 @@
-// Who takes part in a fleet's day, and how a scenario file names them: 'node:3', 'node:0-6', 'server:*',
-// 'node:70%' (so many, drawn by the day's seed), 'zone:1' (nodes and servers of it), 'discovery', 'callers'.
+// Who takes part in a fleet's run, and how a scenario file names them: 'node:3', 'node:0-6', 'server:*',
+// 'node:70%' (so many, drawn by the run's seed), 'zone:1' (nodes and servers of it), 'discovery', 'callers'.
 #pragma once
 
 #include <compare>
@@ -13,39 +13,39 @@
 
 // `kInner` is the node of a first-tier server of the same number, by which it calls the second tier's
 // servers, which are `kBackend`.
-enum class PartyKind { kCallers, kNode, kServer, kDiscovery, kInner, kBackend };
+enum class ActorKind { kClients, kNode, kServer, kDiscovery, kSidecar, kBackend };
 
-struct Party {
-  PartyKind kind = PartyKind::kNode;
+struct Actor {
+  ActorKind kind = ActorKind::kNode;
   int number = 0;
-  auto operator<=>(const Party&) const =
+  auto operator<=>(const Actor&) const =
       default;  // NOLINT(modernize-use-nullptr): a false alarm of the check
 };
 
-std::string name_of(const Party& party);  // "node3"
+std::string name_of(const Actor& actor);  // "node3"
 
 // How many of each there are, and in which zone they stand.
-struct Cast {
+struct Topology {
   std::vector<int> node_zones, server_zones, backend_zones;  // by number
-  int inner = 0;  // as many as servers where there is a second tier
-  std::vector<Party> everyone() const;
-  int zone_of(const Party& party) const;  // -1: callers and discovery stand in none
+  int sidecar = 0;  // as many as servers where there is a second tier
+  std::vector<Actor> everyone() const;
+  int zone_of(const Actor& actor) const;  // -1: clients and discovery stand in none
 };
 
 // A few of the cast. Empty text stands for nobody.
 struct Selector {
   enum class Kind { kNobody, kOne, kRange, kAll, kPart, kZone };
   Kind kind = Kind::kNobody;
-  PartyKind of = PartyKind::kNode;
+  ActorKind of = ActorKind::kNode;
   int first = 0, last = 0;
   double part = 0;
 
   // Nothing, with `why` set, where the text is not one.
   static std::optional<Selector> parse(const std::string& text, std::string& why);
   // Why it can't be met by this cast; empty where it can.
-  std::string misfit(const Cast& cast) const;
+  std::string misfit(const Topology& topology) const;
   // In the order of their numbers. Takes of `random` with kPart alone.
-  std::vector<Party> pick(const Cast& cast, Random& random) const;
+  std::vector<Actor> pick(const Topology& topology, Random& random) const;
 };
 
 }  // namespace thymewood::bench
--- a/bench/model/fleet_tables.h
+++ b/bench/model/fleet_tables.h
@@ -1,4 +1,4 @@
-// The tables of a scenario file that are about a fleet: callers who come again and a second tier, and, played
+// The tables of a scenario file that are about a fleet: clients who come again and a second tier, and, played
 // by a fleet of processes alone, machines, links, faults and a discovery that is late. All times are seconds,
 // all rates a second.
 #pragma once
@@ -12,7 +12,7 @@
 
 namespace thymewood::bench {
 
-// What happens to what passes one way between two parties.
+// What happens to what passes one way between two actors.
 struct Shape {
   double delay = 0;      // s, one way
   double jitter = 0;     // s; up to so much more, drawn for each piece; a stream stays in order
@@ -70,14 +70,15 @@
   std::string text;    // as the file has it, for reports
 };
 
-// Callers who come again by themselves. Without them each asks once.
-struct Clients {
-  int retries = 0;       // further tries at most
-  double try_share = 1;  // a try is given up after this part of the class's time
-  double wait = 0;       // s; before a further try
-  bool honour = false;   // waits as a refusal advises, if that is longer
-  double impatient = 0;  // part of the tries that are given up, and closed, after half of what was said
-  double notice = 1;     // s; how much later their front learns that a node has died
+// Clients who come again by themselves. Without them each asks once.
+struct ClientBehavior {
+  int retries = 0;                  // further attempts at most
+  double attempt_share = 1;         // an attempt is given up after this part of the class's time
+  double wait = 0;                  // s; before a further attempt
+  bool honors_retry_after = false;  // waits as a refusal advises, if that is longer
+  double impatient_share =
+      0;  // part of the attempts that are given up, and closed, after half of what was said
+  double failure_detection = 1;  // s; how much later their front learns that a node has died
 };
 
 // A second tier: each first-tier server calls it by a node of its own.
@@ -86,7 +87,7 @@
   double share = 0.36;  // of the work, done there, all calls together
 };
 
-struct DiscoveryTold {
+struct DiscoveryDelays {
   double lag = 0, spread = 0;  // s; each node hears of a change after `lag` and its own part of `spread`
 };
 
--- a/bench/model/rule_monitor.cpp
+++ b/bench/model/rule_monitor.cpp
@@ -8,8 +8,8 @@
 
 constexpr double kRounding = 1e-9;  // s; sums of doubles that should be equal
 
-std::uint64_t pair_of(int copy, std::size_t server) {
-  return (static_cast<std::uint64_t>(copy) << 32) | static_cast<std::uint64_t>(server);
+std::uint64_t pair_of(int replica, std::size_t server) {
+  return (static_cast<std::uint64_t>(replica) << 32) | static_cast<std::uint64_t>(server);
 }
 
 }  // namespace
@@ -17,11 +17,11 @@
 RuleMonitor::RuleMonitor(const Limits& limits, std::vector<RequestClass> classes, std::vector<Place> servers)
     : limits_(limits), classes_(std::move(classes)), places_(std::move(servers)), arrivals_(places_.size()) {}
 
-void RuleMonitor::told(double now, int copy, std::size_t server, bool wanted) {
+void RuleMonitor::endpoint_notified(double now, int replica, std::size_t server, bool wanted) {
   if (wanted) {
-    unwanted_.erase(pair_of(copy, server));
+    not_ready_since_.erase(pair_of(replica, server));
   } else {
-    unwanted_.try_emplace(pair_of(copy, server), now);  // told twice counts from the first time
+    not_ready_since_.try_emplace(pair_of(replica, server), now);  // told twice counts from the first time
   }
 }
 
@@ -31,19 +31,19 @@
 
 void RuleMonitor::answered(double now, const std::string& id, Final how) {
   const auto at = open_.find(id);
-  if (at == open_.end() || !at->second.owed) return broke(now, "one-final-answer", id + " has two answers");
+  if (at == open_.end() || !at->second.owed) return report(now, "one-final-answer", id + " has two answers");
   Taken& request = at->second;
   request.owed = false;
   if (now > request.deadline + limits_.slack + kRounding)
-    broke(now, "one-final-answer", id + " was answered after its client had left");
+    report(now, "one-final-answer", id + " was answered after its client had left");
   const RequestClass& c = classes_[request.request_class];
   const bool harmless =
       c.idempotency == Idempotency::kIdempotent ||
       (c.idempotency == Idempotency::kIdempotentWithKey && c.dedup_scope == DedupScope::kAll);
   const bool may_have_run =
       std::any_of(request.sends.begin(), request.sends.end(), [](const Sent& s) { return s.may_have_run; });
-  if (how == Final::kRefused && !harmless && may_have_run)
-    broke(now, "no-double-effect", id + " was refused though it may have run");
+  if (how == Final::kRejected && !harmless && may_have_run)
+    report(now, "no-double-effect", id + " was refused though it may have run");
   forget_if_over(id);
 }
 
@@ -54,13 +54,14 @@
   forget_if_over(id);
 }
 
-void RuleMonitor::sent(double now, const std::string& id, int copy, std::size_t server) {
-  const auto unwanted = unwanted_.find(pair_of(copy, server));
-  if (unwanted != unwanted_.end() && now > unwanted->second + limits_.drain_grace + limits_.slack)
-    broke(now, "drains-kept", id + " went to server " + std::to_string(server) + ", which wants nothing new");
+void RuleMonitor::sent(double now, const std::string& id, int replica, std::size_t server) {
+  const auto unwanted = not_ready_since_.find(pair_of(replica, server));
+  if (unwanted != not_ready_since_.end() && now > unwanted->second + limits_.drain_grace + limits_.slack)
+    report(now, "drains-kept",
+           id + " went to server " + std::to_string(server) + ", which wants nothing new");
   const auto at = open_.find(id);
-  if (at == open_.end()) return broke(now, "one-final-answer", id + " was sent after all was over");
-  if (!at->second.owed) broke(now, "one-final-answer", id + " was sent after its answer");
+  if (at == open_.end()) return report(now, "one-final-answer", id + " was sent after all was over");
+  if (!at->second.owed) report(now, "one-final-answer", id + " was sent after its answer");
   check_repeat(now, id, at->second, server);
   at->second.sends.push_back({server, now});
 }
@@ -71,12 +72,12 @@
   for (const Sent& s : request.sends) {
     if (!s.may_have_run) continue;
     if (c.idempotency == Idempotency::kNotIdempotent) {
-      broke(now, "no-double-effect", id + " was sent again and may have run before");
+      report(now, "no-double-effect", id + " was sent again and may have run before");
     } else if (now > s.at + c.dedup_window + limits_.slack + kRounding) {
-      broke(now, "no-double-effect", id + " was sent again when its key may be forgotten");
+      report(now, "no-double-effect", id + " was sent again when its key may be forgotten");
     } else if ((c.dedup_scope == DedupScope::kZone && places_[s.server].zone != places_[server].zone) ||
                (c.dedup_scope == DedupScope::kCell && places_[s.server].cell != places_[server].cell)) {
-      broke(now, "no-double-effect", id + " was sent again to where its key is not known");
+      report(now, "no-double-effect", id + " was sent again to where its key is not known");
     }
   }
 }
@@ -103,14 +104,14 @@
   }
   // One request may be larger than a cold server's second: with it alone there is nothing to blame.
   const bool over = a.late.size() > 1 && a.sum > limits_.fall_multiple * rate * limits_.fall_s;
-  if (over && !a.fallen) broke(now, "cold-servers", "server " + std::to_string(server) + " was pushed over");
+  if (over && !a.fallen) report(now, "cold-servers", "server " + std::to_string(server) + " was pushed over");
   a.fallen = a.fallen || over;
 }
 
 void RuleMonitor::finish(double now) {
   for (const auto& [id, request] : open_) {
     if (request.owed && now > request.deadline + limits_.slack)
-      broke(now, "one-final-answer", id + " was never answered");
+      report(now, "one-final-answer", id + " was never answered");
   }
 }
 
@@ -122,9 +123,9 @@
   open_.erase(at);
 }
 
-void RuleMonitor::broke(double now, const char* rule, const std::string& what) {
+void RuleMonitor::report(double now, const char* rule, const std::string& what) {
   ++count_;
-  if (breaks_.size() >= limits_.most_kept) return;
+  if (breaks_.size() >= limits_.max_texts) return;
   breaks_.push_back(std::string(rule) + ": " + what + ", at " + std::to_string(now) + " s");
 }
 
--- a/bench/model/rule_monitor.h
+++ b/bench/model/rule_monitor.h
@@ -14,7 +14,7 @@
 
 namespace thymewood::bench {
 
-enum class Final { kServed, kRefused, kFailed };
+enum class Final { kServed, kRejected, kFailed };
 
 class RuleMonitor {
  public:
@@ -23,7 +23,7 @@
     double fall_multiple = 4;     // x what a cold server can do at that moment ...
     double fall_s = 1;            // ... sent to it for this long pushes it over
     double slack = 0;             // s; what times measured on sockets may be off
-    std::size_t most_kept = 100;  // breaks that are kept as text; all are counted
+    std::size_t max_texts = 100;  // breaks that are kept as text; all are counted
   };
   struct Place {  // what decides where a keyed request may go again
     int zone = 0, cell = 0;
@@ -31,10 +31,10 @@
 
   RuleMonitor(const Limits& limits, std::vector<RequestClass> classes, std::vector<Place> servers);
 
-  // drains-kept: a copy was told that a server may have new work, or may not (draining or gone).
-  void told(double now, int copy, std::size_t server, bool wanted);
+  // drains-kept: a replica was told that a server may have new work, or may not (draining or gone).
+  void endpoint_notified(double now, int replica, std::size_t server, bool wanted);
 
-  // one-final-answer: a copy took a request whose client waits until `deadline`.
+  // one-final-answer: a replica took a request whose client waits until `deadline`.
   void taken(double now, const std::string& id, std::size_t request_class, double deadline);
   void answered(double now, const std::string& id, Final how);
   // The client left by itself: nothing is owed any more.
@@ -42,7 +42,7 @@
 
   // no-double-effect: the attempts of a request, numbered in the order of their sends. `may_run`: what the
   // outcome says at the latest; until `ended` an attempt may run.
-  void sent(double now, const std::string& id, int copy, std::size_t server);
+  void sent(double now, const std::string& id, int replica, std::size_t server);
   void ended(const std::string& id, std::size_t attempt, bool may_have_run);
 
   // cold-servers: work of so many seconds has come to a server that can do `rate` seconds of it a second;
@@ -73,7 +73,7 @@
     bool fallen = false;
   };
 
-  void broke(double now, const char* rule, const std::string& what);
+  void report(double now, const char* rule, const std::string& what);
   void check_repeat(double now, const std::string& id, const Taken& request, std::size_t server);
   void forget_if_over(const std::string& id);
 
@@ -81,7 +81,7 @@
   std::vector<RequestClass> classes_;
   std::vector<Place> places_;
   std::vector<Arrivals> arrivals_;
-  std::unordered_map<std::uint64_t, double> unwanted_;  // by copy and server: since when
+  std::unordered_map<std::uint64_t, double> not_ready_since_;  // by replica and server: since when
   std::unordered_map<std::string, Taken> open_;
   std::uint64_t count_ = 0;
   std::vector<std::string> breaks_;
--- a/bench/model/scenario.cpp
+++ b/bench/model/scenario.cpp
@@ -55,11 +55,11 @@
                       [&](double at) { return t >= at && t < at + settle; });
 }
 
-Settings Scenario::settings(int copy) const {
+Settings Scenario::settings(int replica) const {
   Settings s;
-  s.replica_index = copy;
-  s.replica_count = copies;
-  for (const LoadClass& c : classes) s.classes.push_back(c.told);
+  s.replica_index = replica;
+  s.replica_count = replicas;
+  for (const LoadClass& c : classes) s.classes.push_back(c.settings);
   for (const LoadTenant& t : tenants) s.tenants.push_back({t.quota});
   s.over_quota_weight = over_quota_weight;
   s.max_attempts = max_attempts;
@@ -69,20 +69,20 @@
   return s;
 }
 
-Settings Scenario::inner_settings(int server) const {
+Settings Scenario::sidecar_settings(int server) const {
   Settings s = settings(server);
   s.replica_count = static_cast<int>(servers.size());
   s.tier = 1;
   return s;
 }
 
-Cast Scenario::cast() const {
-  Cast out;
+Topology Scenario::topology() const {
+  Topology out;
   out.node_zones = node_zones;
-  out.node_zones.resize(static_cast<std::size_t>(copies));
+  out.node_zones.resize(static_cast<std::size_t>(replicas));
   for (const ScenarioServer& s : servers) out.server_zones.push_back(s.zone);
   for (const ScenarioServer& s : backends) out.backend_zones.push_back(s.zone);
-  if (chain.calls > 0) out.inner = static_cast<int>(servers.size());
+  if (chain.calls > 0) out.sidecar = static_cast<int>(servers.size());
   return out;
 }
 
--- a/bench/model/scenario.h
+++ b/bench/model/scenario.h
@@ -1,7 +1,7 @@
 // A scenario: what comes, what serves it, and what changes meanwhile, as a file describes it. The player in
 // virtual time and the rig on sockets read the same files; bench/scenarios/README.md lists every key.
 //
-// All times are seconds since the scenario began. Rates are requests a second over all copies.
+// All times are seconds since the scenario began. Rates are requests a second over all replicas.
 #pragma once
 
 #include <limits>
@@ -31,8 +31,8 @@
 
 struct LoadClass {
   std::string name;
-  double share = 1;  // of the requests, against the others' shares
-  RequestClass told;
+  double share = 1;       // of the requests, against the others' shares
+  RequestClass settings;  // as the node is configured with it
   Service service;
 };
 
@@ -48,9 +48,9 @@
   bool ramp = false;
 };
 
-// Callers in a closed loop: each asks again at once, or after `think`, when it has its answer. Each belongs
-// to one copy.
-struct Callers {
+// Clients in a closed loop: each asks again at once, or after `think`, when it has its answer. Each belongs
+// to one replica.
+struct ClosedLoop {
   int count = 0;
   double from = 0, to = std::numeric_limits<double>::infinity();
   double think = 0;
@@ -65,16 +65,16 @@
     kStart,
     kFail,    // `part` of the calls end in an error at once, without work
     kMute,    // `part` of the calls are taken in and never answered; connections stay open
-    kRestart  // a copy of the node ends and starts again from nothing after `down`
+    kRestart  // a replica of the node ends and starts again from nothing after `down`
   };
   double at = 0;
   What what = What::kSlow;
   std::size_t first = 0, last = 0;  // servers, both included
   double factor = 1;                // kSlow: x the service time from now on
-  double told_after = 0;            // s; how much later the copies hear of it
+  double notify_delay = 0;          // s; how much later the replicas hear of it
   double part = 1;                  // kFail, kMute: of the calls; 0 ends it
   bool backends = false;            // `first` and `last` count those of the second tier
-  int copy = 0;                     // kRestart
+  int replica = 0;                  // kRestart
   double down = 0;                  // s; kRestart
 };
 
@@ -83,7 +83,7 @@
   std::size_t tenant = 0;
   double at = 0, lasts = std::numeric_limits<double>::infinity();
   double rate = 0;
-  int copy = -1;  // all of it through this one; -1: as all others come
+  int replica = -1;  // all of it through this one; -1: as all others come
 };
 
 struct ScenarioServer {
@@ -97,27 +97,27 @@
   std::string name, title;
   double seconds = 30;
   double settle = 5;  // s left out of the figures, at the beginning and after each change
-  int copies = 1;
-  double net = 0.0002;  // s; one way between a copy and a server, and between a caller and its copy
+  int replicas = 1;
+  double net = 0.0002;  // s; one way between a replica and a server, and between a client and its replica
   int max_attempts = 3;
   double max_retry_after = 1;
-  double slow_start_min_capacity = 0.3, slow_start_window = 0;  // told to the copies
+  double slow_start_min_capacity = 0.3, slow_start_window = 0;  // told to the replicas
   double over_quota_weight = 1;
   std::vector<LoadClass> classes;
   std::vector<LoadTenant> tenants;  // empty: none are told apart
   std::vector<ScenarioServer> servers;
   std::vector<LoadStep> load;
-  std::vector<Callers> callers;
+  std::vector<ClosedLoop> closed_loops;
   std::vector<Change> changes;
   std::vector<Flood> floods;
-  Clients clients;
+  ClientBehavior client_behavior;
   Chain chain;
   std::vector<ScenarioServer> backends;  // the second tier
   // Only a fleet of processes can play these.
-  std::vector<int> node_zones;  // by copy; all 0 without [[node]]
+  std::vector<int> node_zones;  // by replica; all 0 without [[node]]
   std::vector<LinkRule> links;
   std::vector<Fault> faults;
-  DiscoveryTold discovery;
+  DiscoveryDelays discovery;
   bool peers = false;       // nodes may send each other datagrams
   std::string operators;    // the operators' file of each node; empty: none
   double views_within = 0;  // s after the last change by which nodes see the fleet as it is; 0: not judged
@@ -131,9 +131,9 @@
   double full_rate() const;        // requests a second of all servers that are up from the beginning
   double load_at(double t) const;  // of the open loop
   bool counts_at(double t) const;  // whether `settle` is over
-  Settings settings(int copy) const;
-  Settings inner_settings(int server) const;  // of the copy beside a first-tier server
-  Cast cast() const;
+  Settings settings(int replica) const;
+  Settings sidecar_settings(int server) const;  // of the replica beside a first-tier server
+  Topology topology() const;
 };
 
 // Reads and checks a whole file. Throws std::runtime_error with one line: file, line, key and what is wrong.
--- a/bench/model/scenario_file.cpp
+++ b/bench/model/scenario_file.cpp
@@ -78,8 +78,8 @@
     return *out;
   }
   // An error where the selector names somebody who is not there.
-  void check(const char* key, const Selector& selector, const Cast& cast) {
-    const std::string why = selector.misfit(cast);
+  void check(const char* key, const Selector& selector, const Topology& topology) {
+    const std::string why = selector.misfit(topology);
     if (!why.empty()) fail(file_, find(key)->source(), "'" + std::string(key) + "': " + why);
   }
   std::optional<Reader> table(const char* key) {
@@ -139,16 +139,16 @@
   LoadClass c;
   c.name = t.word("name", "call");
   c.share = t.number("share", 1);
-  c.told.latency_objective = t.ms("aim_ms", 1);
-  c.told.client_timeout = t.ms("give_up_ms", 2 * c.told.latency_objective);
-  if (c.told.latency_objective > c.told.client_timeout) t.wrong("'aim_ms' is over 'give_up_ms'");
-  c.told.late_value = t.number("late_worth", 0, 0, 1);
-  c.told.dedup_window = t.ms("window_ms", 4);
-  c.told.idempotency = t.one_of<Idempotency>("effect", "safe",
-                                             {{"safe", Idempotency::kIdempotent},
-                                              {"keyed", Idempotency::kIdempotentWithKey},
-                                              {"unsafe", Idempotency::kNotIdempotent}});
-  c.told.dedup_scope = t.one_of<DedupScope>(
+  c.settings.latency_objective = t.ms("aim_ms", 1);
+  c.settings.client_timeout = t.ms("give_up_ms", 2 * c.settings.latency_objective);
+  if (c.settings.latency_objective > c.settings.client_timeout) t.wrong("'aim_ms' is over 'give_up_ms'");
+  c.settings.late_value = t.number("late_worth", 0, 0, 1);
+  c.settings.dedup_window = t.ms("window_ms", 4);
+  c.settings.idempotency = t.one_of<Idempotency>("effect", "safe",
+                                                 {{"safe", Idempotency::kIdempotent},
+                                                  {"keyed", Idempotency::kIdempotentWithKey},
+                                                  {"unsafe", Idempotency::kNotIdempotent}});
+  c.settings.dedup_scope = t.one_of<DedupScope>(
       "scope", "cell", {{"all", DedupScope::kAll}, {"zone", DedupScope::kZone}, {"cell", DedupScope::kCell}});
   c.service = read_service(t);
   t.end();
@@ -194,9 +194,9 @@
   c.first = static_cast<std::size_t>(t.whole("first", 0, 0, last));
   c.last = static_cast<std::size_t>(t.whole("last", last, static_cast<int>(c.first), last));
   c.factor = t.number("factor", 1, 1e-3, 1e3);
-  c.told_after = t.ms("told_after_ms", 0);
+  c.notify_delay = t.ms("told_after_ms", 0);
   c.part = t.number("part", 1, 0, 1);
-  c.copy = static_cast<int>(t.whole("copy", 0, 0, s.copies - 1));
+  c.replica = static_cast<int>(t.whole("copy", 0, 0, s.replicas - 1));
   c.down = t.ms("down_ms", 0);
   t.end();
   return c;
@@ -213,7 +213,7 @@
   f.lasts = t.number("lasts", f.lasts, 0, std::numeric_limits<double>::infinity());
   if (!t.has("rate")) t.wrong("'rate' says how much more comes, in requests a second");
   f.rate = t.number("rate", 0, 1e-3);
-  f.copy = t.whole("node", -1, -1, s.copies - 1);
+  f.replica = t.whole("node", -1, -1, s.replicas - 1);
   t.end();
   return f;
 }
@@ -280,7 +280,7 @@
 
 bool is_of_discovery(Fault::What what) { return what == Fault::What::kSilence || what == Fault::What::kLag; }
 
-Fault read_fault(Reader t, const Cast& cast) {
+Fault read_fault(Reader t, const Topology& topology) {
   Fault f;
   f.at = t.number("at", 0);
   f.lasts = t.number("lasts", f.lasts, 0, std::numeric_limits<double>::infinity());
@@ -288,12 +288,12 @@
   f.who = t.selector("who", is_of_discovery(f.what) ? "discovery" : "");
   f.to = t.selector("to", "");
   if (f.who.kind == Selector::Kind::kNobody) t.wrong("'who' says whom it meets, such as 'node:3'");
-  t.check("who", f.who, cast);
-  t.check("to", f.to, cast);
-  const bool machine =
-      f.who.kind != Selector::Kind::kZone && (f.who.of == PartyKind::kNode || f.who.of == PartyKind::kInner);
+  t.check("who", f.who, topology);
+  t.check("to", f.to, topology);
+  const bool machine = f.who.kind != Selector::Kind::kZone &&
+                       (f.who.of == ActorKind::kNode || f.who.of == ActorKind::kSidecar);
   if (is_of_machines(f.what) && !machine) t.wrong("'what' meets nodes alone: 'node:...' or 'inner:...'");
-  if (is_of_discovery(f.what) && f.who.of != PartyKind::kDiscovery) t.wrong("'what' meets discovery alone");
+  if (is_of_discovery(f.what) && f.who.of != ActorKind::kDiscovery) t.wrong("'what' meets discovery alone");
   if ((is_of_machines(f.what) || is_of_discovery(f.what)) && f.to.kind != Selector::Kind::kNobody)
     t.wrong("'to' is for faults of links");
   f.share = t.number("share", f.share, 0, 1);
@@ -327,16 +327,16 @@
     s.node_zones.insert(s.node_zones.end(), static_cast<std::size_t>(count), zone);
   }
   if (!s.node_zones.empty() && t.has("copies")) t.wrong("there are both 'copies' and [[node]]");
-  if (!s.node_zones.empty()) s.copies = static_cast<int>(s.node_zones.size());
+  if (!s.node_zones.empty()) s.replicas = static_cast<int>(s.node_zones.size());
   if (std::optional<Reader> c = t.table("clients")) {
     s.clients_at = c->place() + ": [clients]";
     if (c->has("impatient") || c->has("notice_s")) note(*c, "[clients] impatient and notice_s");
-    s.clients.retries = c->whole("retries", 0, 0, 100);
-    s.clients.try_share = c->number("try_share", 1, 0.01, 1);
-    s.clients.wait = c->ms("wait_ms", 0);
-    s.clients.honour = c->flag("honour", false);
-    s.clients.impatient = c->number("impatient", 0, 0, 1);
-    s.clients.notice = c->number("notice_s", s.clients.notice, 0, 1000);
+    s.client_behavior.retries = c->whole("retries", 0, 0, 100);
+    s.client_behavior.attempt_share = c->number("try_share", 1, 0.01, 1);
+    s.client_behavior.wait = c->ms("wait_ms", 0);
+    s.client_behavior.honors_retry_after = c->flag("honour", false);
+    s.client_behavior.impatient_share = c->number("impatient", 0, 0, 1);
+    s.client_behavior.failure_detection = c->number("notice_s", s.client_behavior.failure_detection, 0, 1000);
     c->end();
   }
   for (Reader& group : t.tables("backend")) {
@@ -362,14 +362,14 @@
   if (!s.operators.empty()) s.fleet_only.push_back(t.place() + ": operators");
   s.views_within = t.number("views_within", 0);
   if (s.views_within > 0 && s.operators.empty()) t.wrong("'views_within' needs 'operators'");
-  const Cast cast = s.cast();
+  const Topology topology = s.topology();
   for (Reader& link : t.tables("link")) {
     note(link, "[[link]]");
     LinkRule rule;
     rule.from = link.selector("from", "");
     rule.to = link.selector("to", "");
-    link.check("from", rule.from, cast);
-    link.check("to", rule.to, cast);
+    link.check("from", rule.from, topology);
+    link.check("to", rule.to, topology);
     rule.shape.delay = link.ms("delay_ms", 0);
     rule.shape.jitter = link.ms("jitter_ms", 0);
     rule.shape.loss = link.number("loss", 0, 0, 1);
@@ -381,7 +381,7 @@
   }
   for (Reader& fault : t.tables("fault")) {
     note(fault, "[[fault]]");
-    s.faults.push_back(read_fault(fault, cast));
+    s.faults.push_back(read_fault(fault, topology));
   }
 }
 
@@ -393,7 +393,7 @@
   s.title = t.word("title", s.name);
   s.seconds = t.number("seconds", s.seconds, 0.1, 1e5);
   s.settle = t.number("settle", s.settle, 0, 1e5);
-  s.copies = t.whole("copies", 1, 1, 10000);
+  s.replicas = t.whole("copies", 1, 1, 10000);
   s.net = t.ms("net_ms", s.net);
   s.max_attempts = t.whole("max_attempts", s.max_attempts, 1, 100);
   s.max_retry_after = t.ms("max_retry_after_ms", s.max_retry_after);
@@ -403,25 +403,25 @@
   for (Reader& c : t.tables("class")) s.classes.push_back(read_class(c));
   if (s.classes.empty()) t.wrong("there is no [[class]]");
   for (Reader& tenant : t.tables("tenant")) {
-    LoadTenant told{tenant.word("name", ""), tenant.number("share", 1), std::nullopt};
-    if (tenant.has("allowance")) told.quota = tenant.number("allowance", 0);
+    LoadTenant load_tenant{tenant.word("name", ""), tenant.number("share", 1), std::nullopt};
+    if (tenant.has("allowance")) load_tenant.quota = tenant.number("allowance", 0);
     tenant.end();
-    s.tenants.push_back(told);
+    s.tenants.push_back(load_tenant);
   }
   for (Reader& group : t.tables("servers")) read_servers(group, s.servers);
   if (s.servers.empty()) t.wrong("there are no [[servers]]");
   s.load = read_load(t.tables("load"), s.full_rate(), times);
   for (Reader& c : t.tables("callers")) {
-    Callers callers;
+    ClosedLoop callers;
     callers.count = static_cast<int>(std::lround(times * c.whole("count", 1, 0, 1000000)));
     callers.from = c.number("from", 0);
     callers.to = c.number("to", callers.to, callers.from, std::numeric_limits<double>::infinity());
     callers.think = c.ms("think_ms", 0);
     callers.after_refusal = c.number("after_refusal_ms", 0, -1) / 1000;
     c.end();
-    s.callers.push_back(callers);
+    s.closed_loops.push_back(callers);
   }
-  if (s.load.empty() && s.callers.empty()) t.wrong("there is neither [[load]] nor [[callers]]");
+  if (s.load.empty() && s.closed_loops.empty()) t.wrong("there is neither [[load]] nor [[callers]]");
   read_fleet(t, s);
   for (Reader& change : t.tables("change")) s.changes.push_back(read_change(change, s));
   for (Reader& flood : t.tables("flood")) s.floods.push_back(read_flood(flood, s));
@@ -435,7 +435,7 @@
     if (std::isfinite(flood.lasts)) s.settle_after.push_back(flood.at + flood.lasts);
   }
   for (const LoadStep& step : s.load) s.settle_after.push_back(step.at);
-  for (const Callers& c : s.callers) s.settle_after.insert(s.settle_after.end(), {c.from, c.to});
+  for (const ClosedLoop& c : s.closed_loops) s.settle_after.insert(s.settle_after.end(), {c.from, c.to});
   for (const Change& c : s.changes) s.settle_after.push_back(c.at);
   return s;
 }
--- a/bench/model/server_model.h
+++ b/bench/model/server_model.h
@@ -17,7 +17,7 @@
 
 struct Capacity {
   int workers = 4;    // requests that run at once; 0: any number, so that nothing ever waits
-  int queue = 1000;   // requests that wait at most; one more is turned away
+  int queue = 1000;   // requests that wait at most; one more is rejected
   double speed = 1;   // service times are divided by it
   int crowd_at = 0;   // requests running or waiting from which it is crowded; 0: never
   double crowd = 1;   // x the service time while it is crowded
@@ -33,7 +33,7 @@
     if (capacity_.pause_every_s > 0) next_pause_ = capacity_.pause_every_s;
   }
 
-  // A request whose service takes `work` seconds at speed 1 on an idle server. False: turned away, not run.
+  // A request whose service takes `work` seconds at speed 1 on an idle server. False: rejected, not run.
   // Times never run backwards; all that ended up to `now` has to be taken out by `advance` before.
   bool arrive(double now, std::uint64_t request, double work);
 
--- a/bench/rig/load_generator.cpp
+++ b/bench/rig/load_generator.cpp
@@ -23,70 +23,72 @@
   return std::chrono::duration_cast<asio::steady_timer::duration>(std::chrono::duration<double>(seconds));
 }
 
-std::string text_of(const RequestClass& told, const std::string& name, const std::string& id) {
-  const bool get = told.idempotency == Idempotency::kIdempotent;
+std::string text_of(const RequestClass& settings, const std::string& name, const std::string& id) {
+  const bool get = settings.idempotency == Idempotency::kIdempotent;
   std::string text = (get ? "GET /" : "POST /") + name + "/" + id +
                      " HTTP/1.1\r\nHost: rig\r\nX-Request-ID: " + id + "\r\nX-Priority-Class: " + name +
-                     "\r\nX-Timeout-Ms: " + std::to_string(std::lround(told.client_timeout * 1000)) + "\r\n";
-  if (told.idempotency == Idempotency::kIdempotentWithKey) text += "Idempotency-Key: " + id + "\r\n";
+                     "\r\nX-Timeout-Ms: " + std::to_string(std::lround(settings.client_timeout * 1000)) +
+                     "\r\n";
+  if (settings.idempotency == Idempotency::kIdempotentWithKey) text += "Idempotency-Key: " + id + "\r\n";
   return text + (get ? "\r\n" : "Content-Length: 4\r\n\r\nbody");
 }
 
 }  // namespace
 
-Load::Load(asio::io_context& io, const Scenario& scenario, std::vector<tcp::endpoint> copies,
-           std::chrono::steady_clock::time_point begin, std::uint64_t seed, Observer observer)
+LoadGenerator::LoadGenerator(asio::io_context& io, const Scenario& scenario,
+                             std::vector<tcp::endpoint> replicas, std::chrono::steady_clock::time_point begin,
+                             std::uint64_t seed, Observer observer)
     : io_(io),
       scenario_(scenario),
-      copies_(std::move(copies)),
+      replicas_(std::move(replicas)),
       begin_(begin),
       seed_(seed),
       random_(seed),
       observer_(std::move(observer)),
-      free_(copies_.size()) {}
+      free_(replicas_.size()) {}
 
-double Load::now() const {
+double LoadGenerator::now() const {
   return std::chrono::duration<double>(std::chrono::steady_clock::now() - begin_).count();
 }
 
-void Load::start() {
+void LoadGenerator::start() {
   asio::co_spawn(io_, open_loop(), asio::detached);
-  for (const Callers& group : scenario_.callers) {
+  for (const ClosedLoop& group : scenario_.closed_loops) {
     for (int i = 0; i < group.count; ++i)
-      asio::co_spawn(io_, caller(group, i % static_cast<int>(copies_.size())), asio::detached);
+      asio::co_spawn(io_, caller(group, i % static_cast<int>(replicas_.size())), asio::detached);
   }
 }
 
-asio::awaitable<void> Load::open_loop() {
+asio::awaitable<void> LoadGenerator::open_loop() {
   Arrivals arrivals(scenario_, seed_ ^ 0xA11);
   asio::steady_timer timer(io_);
   error_code ignored;
   for (double due = arrivals.after(0); due <= scenario_.seconds; due = arrivals.after(due)) {
     timer.expires_at(begin_ + span(due));
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-    asio::co_spawn(io_, one(static_cast<int>(random_.below(copies_.size())), due), asio::detached);
+    asio::co_spawn(io_, one(static_cast<int>(random_.below(replicas_.size())), due), asio::detached);
   }
   timer.expires_at(begin_ + span(scenario_.seconds));
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   arrivals_over_ = true;
 }
 
-asio::awaitable<void> Load::one(int copy, double due) { co_await ask(copy, due); }
+asio::awaitable<void> LoadGenerator::one(int replica, double due) { co_await ask(replica, due); }
 
-asio::awaitable<void> Load::caller(const Callers& group, int copy) {
+asio::awaitable<void> LoadGenerator::caller(const ClosedLoop& group, int replica) {
   asio::steady_timer timer(io_, begin_ + span(group.from));
   error_code ignored;
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   while (now() < std::min(group.to, scenario_.seconds)) {
-    const Ended ended = co_await ask(copy, now());
-    const double wait = ended.how == Final::kRefused ? std::max(0.0, group.after_refusal) : group.think;
+    const Ended ended = co_await ask(replica, now());
+    const double wait = ended.how == Final::kRejected ? std::max(0.0, group.after_refusal) : group.think;
     if (wait <= 0) continue;
     timer.expires_after(span(wait));
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
 }
 
-std::size_t Load::draw_class() {
+std::size_t LoadGenerator::draw_class() {
   double sum = 0;
   for (const LoadClass& c : scenario_.classes) sum += c.share;
   double left = random_.unit() * sum;
@@ -99,23 +101,23 @@
 
 // On a kept connection, or a new one. A kept one that the node has closed meanwhile is no answer: the request
 // has not been read, and goes on a new one once.
-asio::awaitable<Load::Ended> Load::ask(int copy, double due) {
+asio::awaitable<LoadGenerator::Ended> LoadGenerator::ask(int replica, double due) {
   ++under_way_;
   Ended out;
   out.id = "r" + std::to_string(++requests_);
   out.request_class = draw_class();
-  out.copy = copy;
+  out.replica = replica;
   out.due = due;
   const LoadClass& c = scenario_.classes[out.request_class];
-  const std::string text = text_of(c.told, c.name, out.id);
-  auto& kept = free_[static_cast<std::size_t>(copy)];
+  const std::string text = text_of(c.settings, c.name, out.id);
+  auto& kept = free_[static_cast<std::size_t>(replica)];
   for (;;) {
     const bool fresh = kept.empty();
     std::shared_ptr<Socket> socket;
     error_code problem;
     if (fresh) {
       socket = std::make_shared<Socket>(io_);
-      co_await socket->async_connect(copies_[static_cast<std::size_t>(copy)],
+      co_await socket->async_connect(replicas_[static_cast<std::size_t>(replica)],
                                      asio::redirect_error(asio::use_awaitable, problem));
       if (!problem) socket->set_option(tcp::no_delay(true), problem);
     } else {
@@ -124,7 +126,7 @@
     }
     out.sent = now();
     // A client that waits for longer than it said has lost its request.
-    asio::steady_timer limit(io_, begin_ + span(out.sent + c.told.client_timeout + 1));
+    asio::steady_timer limit(io_, begin_ + span(out.sent + c.settings.client_timeout + 1));
     // The wait may have come to its end as the exchange did: then the connection may carry another by now.
     const auto over = std::make_shared<bool>(false);
     limit.async_wait([socket, over](error_code cancelled) {
@@ -140,12 +142,12 @@
       co_await http::async_read(*socket, buffer, answer, asio::redirect_error(asio::use_awaitable, problem));
     *over = true;
     limit.cancel();
-    if (problem && !fresh && now() < out.sent + c.told.client_timeout) continue;
+    if (problem && !fresh && now() < out.sent + c.settings.client_timeout) continue;
     out.answered = now();
     out.heard = !problem;
     const unsigned status = problem ? 0 : answer.result_int();
     if (status == 200) out.how = answer.body() == out.id ? Final::kServed : Final::kFailed;
-    if (status == 429 || status == 503) out.how = Final::kRefused;
+    if (status == 429 || status == 503) out.how = Final::kRejected;
     if (!problem && answer.keep_alive()) kept.push_back(std::move(socket));
     break;
   }
--- a/bench/rig/load_generator.h
+++ b/bench/rig/load_generator.h
@@ -1,5 +1,5 @@
 // The load of a scenario on sockets: an open loop that sends each request when it is due, whatever became of
-// the others, and callers in a closed loop. Latency counts from when a request was due, so that no stall
+// the others, and clients in a closed loop. Latency counts from when a request was due, so that no stall
 // hides.
 #pragma once
 
@@ -18,22 +18,22 @@
 
 namespace thymewood::bench {
 
-class Load {
+class LoadGenerator {
  public:
   struct Ended {
     std::string id;
     std::size_t request_class = 0;
-    int copy = 0;
+    int replica = 0;
     double due = 0, sent = 0, answered = 0;  // s since the run began
     Final how = Final::kFailed;
     bool heard = false;  // an answer came; else the connection broke or the time was up
   };
   using Observer = std::function<void(const Ended&)>;
 
-  // `copies`: where the copies of the node listen. The scenario outlives it.
-  Load(boost::asio::io_context& io, const Scenario& scenario,
-       std::vector<boost::asio::ip::tcp::endpoint> copies, std::chrono::steady_clock::time_point begin,
-       std::uint64_t seed, Observer observer);
+  // `replicas`: where the replicas of the node listen. The scenario outlives it.
+  LoadGenerator(boost::asio::io_context& io, const Scenario& scenario,
+                std::vector<boost::asio::ip::tcp::endpoint> replicas,
+                std::chrono::steady_clock::time_point begin, std::uint64_t seed, Observer observer);
   void start();
   std::size_t under_way() const { return under_way_; }
   bool done() const { return arrivals_over_ && under_way_ == 0; }
@@ -43,19 +43,19 @@
 
   double now() const;
   boost::asio::awaitable<void> open_loop();
-  boost::asio::awaitable<void> caller(const Callers& group, int copy);
-  boost::asio::awaitable<Ended> ask(int copy, double due);
-  boost::asio::awaitable<void> one(int copy, double due);
+  boost::asio::awaitable<void> caller(const ClosedLoop& group, int replica);
+  boost::asio::awaitable<Ended> ask(int replica, double due);
+  boost::asio::awaitable<void> one(int replica, double due);
   std::size_t draw_class();
 
   boost::asio::io_context& io_;
   const Scenario& scenario_;
-  std::vector<boost::asio::ip::tcp::endpoint> copies_;
+  std::vector<boost::asio::ip::tcp::endpoint> replicas_;
   std::chrono::steady_clock::time_point begin_;
   std::uint64_t seed_;
   Random random_;
   Observer observer_;
-  std::vector<std::vector<std::shared_ptr<Socket>>> free_;  // kept connections, by copy
+  std::vector<std::vector<std::shared_ptr<Socket>>> free_;  // kept connections, by replica
   std::uint64_t requests_ = 0;
   std::size_t under_way_ = 0;
   bool arrivals_over_ = false;
--- a/bench/rig/main.cpp
+++ b/bench/rig/main.cpp
@@ -14,16 +14,16 @@
 constexpr double kPercent = 100, kMilli = 1000;
 
 bool print_row(const Scenario& scenario, const char* front, double times, const Seen& seen, bool checked) {
-  double offered = 0, in_time = 0, refused = 0, failed = 0;
+  double offered = 0, in_time = 0, rejected = 0, failed = 0;
   Histogram latency;
-  for (const Load::Ended& e : seen.ended) {
+  for (const LoadGenerator::Ended& e : seen.ended) {
     if (!scenario.counts_at(e.due)) continue;
     offered += 1;
-    if (e.how == Final::kRefused) refused += 1;
+    if (e.how == Final::kRejected) rejected += 1;
     if (e.how == Final::kFailed) failed += 1;
     if (e.how != Final::kServed) continue;
     latency.add(e.answered - e.due);
-    if (e.answered - e.due <= scenario.classes[e.request_class].told.latency_objective) in_time += 1;
+    if (e.answered - e.due <= scenario.classes[e.request_class].settings.latency_objective) in_time += 1;
   }
   double counted = 0;
   for (int i = 0; i < static_cast<int>(scenario.seconds); ++i) counted += scenario.counts_at(i) ? 1 : 0;
@@ -31,7 +31,7 @@
   const double all = std::max(1.0, static_cast<double>(seen.ended.size()));
   std::printf("%-24s %-6s %5.2f %9.0f %10.1f %8.3f %8.3f %9.2f %9.2f %9.2f %9.1f %6llu\n",
               scenario.name.c_str(), front, times, offered, in_time / std::max(1.0, counted),
-              kPercent * refused / std::max(1.0, offered), kPercent * failed / std::max(1.0, offered),
+              kPercent * rejected / std::max(1.0, offered), kPercent * failed / std::max(1.0, offered),
               kMilli * latency.quantile(0.5), kMilli * latency.quantile(0.99),
               kMilli * latency.quantile(0.999), 1e6 * seen.cpu / all,
               static_cast<unsigned long long>(broken));
--- a/bench/rig/model_server.cpp
+++ b/bench/rig/model_server.cpp
@@ -17,8 +17,8 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-StandIn::StandIn(asio::io_context& io, const Scenario& scenario, std::size_t index,
-                 std::chrono::steady_clock::time_point begin, std::uint64_t seed, Observer observer)
+ModelServer::ModelServer(asio::io_context& io, const Scenario& scenario, std::size_t index,
+                         std::chrono::steady_clock::time_point begin, std::uint64_t seed, Observer observer)
     : io_(io),
       scenario_(scenario),
       index_(index),
@@ -29,18 +29,18 @@
       random_(seed),
       observer_(std::move(observer)) {}
 
-void StandIn::start() { asio::co_spawn(io_, accept(), asio::detached); }
+void ModelServer::start() { asio::co_spawn(io_, accept(), asio::detached); }
 
-void StandIn::slow_down(double factor) {
+void ModelServer::slow_down(double factor) {
   act();
   model_.slow_down(factor);
 }
 
-double StandIn::now() const {
+double ModelServer::now() const {
   return std::chrono::duration<double>(std::chrono::steady_clock::now() - begin_).count();
 }
 
-asio::awaitable<void> StandIn::accept() {
+asio::awaitable<void> ModelServer::accept() {
   for (;;) {
     error_code problem;
     tcp::socket socket = co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, problem));
@@ -50,7 +50,7 @@
   }
 }
 
-asio::awaitable<void> StandIn::serve(tcp::socket socket) {
+asio::awaitable<void> ModelServer::serve(tcp::socket socket) {
   boost::beast::flat_buffer buffer;
   for (;;) {
     error_code problem;
@@ -68,7 +68,7 @@
   }
 }
 
-asio::awaitable<bool> StandIn::work_on(const std::string& id, const std::string& class_name) {
+asio::awaitable<bool> ModelServer::work_on(const std::string& id, const std::string& class_name) {
   const auto found = std::find_if(scenario_.classes.begin(), scenario_.classes.end(),
                                   [&](const LoadClass& c) { return c.name == class_name; });
   const LoadClass& c = found == scenario_.classes.end() ? scenario_.classes.front() : *found;
@@ -90,7 +90,7 @@
   co_return true;
 }
 
-void StandIn::act() {
+void ModelServer::act() {
   std::vector<std::uint64_t> ended;
   model_.advance(now(), ended);
   for (const std::uint64_t number : ended) {
@@ -101,7 +101,7 @@
   }
 }
 
-void StandIn::plan() {
+void ModelServer::plan() {
   const std::optional<double> next = model_.next();
   if (!next) return;
   next_.expires_at(begin_ + std::chrono::duration_cast<std::chrono::steady_clock::duration>(
--- a/bench/rig/model_server.h
+++ b/bench/rig/model_server.h
@@ -18,7 +18,7 @@
 
 namespace thymewood::bench {
 
-class StandIn {
+class ModelServer {
  public:
   // What it took in, told in its own thread: `now` in seconds since the run began.
   struct Came {
@@ -27,13 +27,13 @@
     std::string id;
     double work = 0;       // s
     double cold_rate = 0;  // s of work a second that it can do while cold; 0: it is warm
-    bool turned_away = false;
+    bool rejected = false;
   };
   using Observer = std::function<void(const Came&)>;
 
   // Listens on a free port of 127.0.0.1. The scenario outlives it; `begin` is the start of the run.
-  StandIn(boost::asio::io_context& io, const Scenario& scenario, std::size_t index,
-          std::chrono::steady_clock::time_point begin, std::uint64_t seed, Observer observer);
+  ModelServer(boost::asio::io_context& io, const Scenario& scenario, std::size_t index,
+              std::chrono::steady_clock::time_point begin, std::uint64_t seed, Observer observer);
   std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
   void start();
   void slow_down(double factor);
--- a/bench/rig/node_process.cpp
+++ b/bench/rig/node_process.cpp
@@ -25,21 +25,23 @@
   return 0;
 }
 
-std::string folder_of(const std::string& folder, int copy) { return folder + "/node" + std::to_string(copy); }
+std::string folder_of(const std::string& folder, int replica) {
+  return folder + "/node" + std::to_string(replica);
+}
 
 }  // namespace
 
-std::string node_config(const Scenario& s, int copy, const std::vector<std::uint16_t>& servers) {
-  fleet::NodeTold told;
-  told.name = "n" + std::to_string(copy);
-  told.listen = "127.0.0.1:0";
-  told.discovery = "127.0.0.1:9";  // nobody: what a node knows at its start is all
-  told.seed = static_cast<std::uint64_t>(copy) + 1;
-  told.position = copy;
-  told.count = s.copies;
-  told.sockets = kSockets;
-  told.memory_mb = kMemoryMb;
-  told.can_hedge = told.cancel = false;  // as in virtual time
+std::string node_config(const Scenario& s, int replica, const std::vector<std::uint16_t>& servers) {
+  fleet::NodeParameters node;
+  node.name = "n" + std::to_string(replica);
+  node.listen = "127.0.0.1:0";
+  node.discovery = "127.0.0.1:9";  // nobody: what a node knows at its start is all
+  node.seed = static_cast<std::uint64_t>(replica) + 1;
+  node.position = replica;
+  node.count = s.replicas;
+  node.sockets = kSockets;
+  node.memory_mb = kMemoryMb;
+  node.can_hedge = node.cancel = false;  // as in virtual time
   std::ostringstream known;
   known << R"({"index":1,"snapshot":true,"endpoints":[)";
   for (std::size_t i = 0; i < servers.size(); ++i) {
@@ -48,18 +50,18 @@
           << "}";
   }
   known << "]}";
-  told.known = known.str();
-  return fleet::node_config(s, told);
+  node.known = known.str();
+  return fleet::node_config(s, node);
 }
 
 NodeProcess::NodeProcess(const std::string& program, const std::string& folder, const Scenario& scenario,
-                         int copy, const std::vector<std::uint16_t>& servers)
+                         int replica, const std::vector<std::uint16_t>& servers)
     : machine_({program,
-                folder_of(folder, copy),
-                {"RELAY_CONFIG=" + folder_of(folder, copy) + "/config.json"},
+                folder_of(folder, replica),
+                {"RELAY_CONFIG=" + folder_of(folder, replica) + "/config.json"},
                 0,
                 ""}) {
-  std::ofstream(machine_.folder() + "/config.json") << node_config(scenario, copy, servers);
+  std::ofstream(machine_.folder() + "/config.json") << node_config(scenario, replica, servers);
   std::ofstream(machine_.folder() + "/log", std::ios::trunc).close();
   machine_.start();
   const auto end = std::chrono::steady_clock::now() + kUpWithin;
--- a/bench/rig/node_process.h
+++ b/bench/rig/node_process.h
@@ -14,10 +14,10 @@
 
 class NodeProcess {
  public:
-  // Starts `program` as the copy of that number, told of servers on these ports of 127.0.0.1, and waits until
-  // it listens. Its configuration and log go to a folder of its own in `folder`. Throws std::runtime_error
-  // when it does not come up.
-  NodeProcess(const std::string& program, const std::string& folder, const Scenario& scenario, int copy,
+  // Starts `program` as the replica of that number, told of servers on these ports of 127.0.0.1, and waits
+  // until it listens. Its configuration and log go to a folder of its own in `folder`. Throws
+  // std::runtime_error when it does not come up.
+  NodeProcess(const std::string& program, const std::string& folder, const Scenario& scenario, int replica,
               const std::vector<std::uint16_t>& servers);
 
   std::uint16_t port() const { return port_; }
@@ -32,6 +32,6 @@
 };
 
 // The configuration, as JSON, of the form that node/config.h reads.
-std::string node_config(const Scenario& scenario, int copy, const std::vector<std::uint16_t>& servers);
+std::string node_config(const Scenario& scenario, int replica, const std::vector<std::uint16_t>& servers);
 
 }  // namespace thymewood::bench
--- a/bench/rig/run.cpp
+++ b/bench/rig/run.cpp
@@ -18,8 +18,8 @@
 namespace asio = boost::asio;
 using Steady = std::chrono::steady_clock;
 
-constexpr double kSlack = 0.05;     // s; times on sockets are not exact
-constexpr double kAfterwards = 30;  // s; after the scenario's end, for what is still under way
+constexpr double kSlack = 0.05;    // s; times on sockets are not exact
+constexpr double kDrainTime = 30;  // s; after the scenario's end, for what is still under way
 
 void refuse_what_is_not_played(const Scenario& s) {
   for (const Change& c : s.changes) {
@@ -39,11 +39,12 @@
   Seen seen;
   asio::io_context server_io(1), load_io(1);
   const auto begin = Steady::now() + std::chrono::seconds(1);
-  std::vector<std::unique_ptr<StandIn>> servers;
+  std::vector<std::unique_ptr<ModelServer>> servers;
   std::vector<std::uint16_t> ports;
   for (std::size_t i = 0; i < scenario.servers.size(); ++i) {
-    servers.push_back(std::make_unique<StandIn>(server_io, scenario, i, begin, seed + i,
-                                                [&seen](const StandIn::Came& c) { seen.came.push_back(c); }));
+    servers.push_back(
+        std::make_unique<ModelServer>(server_io, scenario, i, begin, seed + i,
+                                      [&seen](const ModelServer::Came& c) { seen.came.push_back(c); }));
     servers.back()->start();
     ports.push_back(servers.back()->port());
   }
@@ -57,18 +58,18 @@
   }
   std::thread server_thread([&server_io] { server_io.run(); });
   std::vector<std::unique_ptr<NodeProcess>> nodes;
-  std::vector<asio::ip::tcp::endpoint> copies;
+  std::vector<asio::ip::tcp::endpoint> replicas;
   const auto local = asio::ip::address_v4::loopback();
-  for (int copy = 0; !direct && copy < scenario.copies; ++copy) {
-    nodes.push_back(std::make_unique<NodeProcess>(program, folder, scenario, copy, ports));
-    copies.emplace_back(local, nodes.back()->port());
+  for (int replica = 0; !direct && replica < scenario.replicas; ++replica) {
+    nodes.push_back(std::make_unique<NodeProcess>(program, folder, scenario, replica, ports));
+    replicas.emplace_back(local, nodes.back()->port());
   }
-  for (std::size_t i = 0; direct && i < ports.size(); ++i) copies.emplace_back(local, ports[i]);
-  Load load(load_io, scenario, copies, begin, seed,
-            [&seen](const Load::Ended& ended) { seen.ended.push_back(ended); });
+  for (std::size_t i = 0; direct && i < ports.size(); ++i) replicas.emplace_back(local, ports[i]);
+  LoadGenerator load(load_io, scenario, replicas, begin, seed,
+                     [&seen](const LoadGenerator::Ended& ended) { seen.ended.push_back(ended); });
   load.start();
   const auto end = begin + std::chrono::duration_cast<Steady::duration>(
-                               std::chrono::duration<double>(scenario.seconds + kAfterwards));
+                               std::chrono::duration<double>(scenario.seconds + kDrainTime));
   while (!load.done() && Steady::now() < end) load_io.run_for(std::chrono::milliseconds(100));
   for (const auto& node : nodes) {
     seen.cpu += node->cpu_seconds();
@@ -84,7 +85,7 @@
 // that a server reads late was sent before, and may belong to a request that another has answered meanwhile.
 RuleMonitor check_rules(const Scenario& scenario, const Seen& seen) {
   std::vector<RequestClass> classes;
-  for (const LoadClass& c : scenario.classes) classes.push_back(c.told);
+  for (const LoadClass& c : scenario.classes) classes.push_back(c.settings);
   std::vector<RuleMonitor::Place> places;
   for (const ScenarioServer& s : scenario.servers) places.push_back({s.zone, s.cell});
   RuleMonitor::Limits limits;
@@ -93,15 +94,15 @@
   struct Step {
     double at = 0;
     int order = 0;  // a request is taken before it comes to a server, and answered after
-    const Load::Ended* asked = nullptr;
-    const StandIn::Came* came = nullptr;
+    const LoadGenerator::Ended* asked = nullptr;
+    const ModelServer::Came* came = nullptr;
   };
   std::vector<Step> steps;
-  for (const Load::Ended& e : seen.ended) {
+  for (const LoadGenerator::Ended& e : seen.ended) {
     steps.push_back({e.sent, 0, &e, nullptr});
     steps.push_back({e.answered + kSlack, 2, &e, nullptr});
   }
-  for (const StandIn::Came& c : seen.came) steps.push_back({c.now, 1, nullptr, &c});
+  for (const ModelServer::Came& c : seen.came) steps.push_back({c.now, 1, nullptr, &c});
   std::stable_sort(steps.begin(), steps.end(), [](const Step& a, const Step& b) {
     return a.at != b.at ? a.at < b.at : a.order < b.order;
   });
@@ -114,7 +115,7 @@
       rules.sent(step.at, step.came->id, 0, step.came->server);
       rules.came(step.at, step.came->server, step.came->work, step.came->cold_rate);
       const std::size_t attempt = sends[step.came->id]++;
-      if (step.came->turned_away) rules.ended(step.came->id, attempt, false);
+      if (step.came->rejected) rules.ended(step.came->id, attempt, false);
     } else if (step.asked->heard) {
       rules.answered(step.asked->answered, step.asked->id, step.asked->how);
     }
--- a/bench/rig/run.h
+++ b/bench/rig/run.h
@@ -13,14 +13,14 @@
 namespace thymewood::bench {
 
 struct Seen {
-  std::vector<StandIn::Came> came;  // by the servers, in the order of their clock
-  std::vector<Load::Ended> ended;   // by the load, in the order of the answers
-  double work = 0, cpu = 0;         // s; done by the servers, and used by the nodes
+  std::vector<ModelServer::Came> came;      // by the servers, in the order of their clock
+  std::vector<LoadGenerator::Ended> ended;  // by the load, in the order of the answers
+  double work = 0, cpu = 0;                 // s; done by the servers, and used by the nodes
   bool nodes_lived = true;
 };
 
 // Plays it with nodes as child processes of `program`, or, where `direct`, with the servers asked themselves.
-// Servers run in a thread of their own, the load in the caller's. Throws std::runtime_error when the scenario
+// Servers run in a thread of their own, the load in the client's. Throws std::runtime_error when the scenario
 // holds what is not played on sockets (drains, stops, starts, tenants), or a node does not come up.
 Seen play_on_sockets(const Scenario& scenario, const std::string& program, bool direct,
                      const std::string& folder, std::uint64_t seed);
--- a/bench/virtual/main.cpp
+++ b/bench/virtual/main.cpp
@@ -16,10 +16,10 @@
   std::printf(
       "%-28s %-6s %5.2f %10.0f %9.4f %8.3f %8.3f %8.3f %9.2f %9.2f %9.2f %7.2f %6.3f %6.3f %6.3f %6llu\n",
       name.c_str(), front, times, r.offered, r.kept(), kPercent * r.unsent_share(),
-      r.offered > 0 ? kPercent * (r.refused - r.unsent) / r.offered : 0,
+      r.offered > 0 ? kPercent * (r.rejected - r.unsent) / r.offered : 0,
       r.offered > 0 ? kPercent * r.failed / r.offered : 0, kMilli * r.latency.quantile(0.5),
       kMilli * r.latency.quantile(0.99), kMilli * r.latency.quantile(0.999),
-      r.work > 0 ? kPercent * r.wasted / r.work : 0, r.offered > 0 ? r.tries / r.offered : 0,
+      r.work > 0 ? kPercent * r.wasted / r.work : 0, r.offered > 0 ? r.client_attempts / r.offered : 0,
       r.amplification(), r.second_amplification(), static_cast<unsigned long long>(r.broken));
 }
 
@@ -36,9 +36,9 @@
   out << "# second offered in_time refused failed capacity in_flight usual_ms room bound\n";
   for (std::size_t i = 0; i < r.seconds.size(); ++i) {
     const Second& s = r.seconds[i];
-    out << i << ' ' << s.offered << ' ' << s.in_time << ' ' << s.refused << ' ' << s.failed << ' '
-        << s.capacity << ' ' << s.in_flight << ' ' << kMilli * s.usual << ' ' << s.room << ' ' << s.bound
-        << '\n';
+    out << i << ' ' << s.offered << ' ' << s.in_time << ' ' << s.rejected << ' ' << s.failed << ' '
+        << s.capacity << ' ' << s.in_flight << ' ' << kMilli * s.idle_latency << ' ' << s.concurrency_limit
+        << ' ' << s.probed_bound << '\n';
   }
 }
 
--- a/bench/virtual/records.h
+++ b/bench/virtual/records.h
@@ -16,66 +16,66 @@
 struct Event {
   enum class Kind {
     kOpenArrival,
-    kCallerAsks,
+    kClientSends,
     kAtNode,
     kAtServer,
-    kServerActs,
-    kBack,
+    kServerProgress,
+    kResultReturns,
     kTimeout,
     kTimer,
     kChange,
-    kTold,
+    kNotified,
     kUp,
-    kComesAgain,  // a caller whose try was not served
-    kFlood,       // a tenant that sends more than usual, once more
-    kCallEnded,   // a first-tier server has its answer from the second tier
+    kClientRetries,  // a client whose attempt was not served
+    kFlood,          // a tenant that sends more than usual, once more
+    kCallEnded,      // a first-tier server has its answer from the second tier
     kSecond
   };
   double at = 0;
   std::uint64_t order = 0;
   Kind kind = Kind::kSecond;
-  std::size_t what = 0;     // request, attempt, server, caller, copy, change or flood, by the kind
-  std::uint64_t extra = 0;  // generation, token or copy
+  std::size_t what = 0;     // request, attempt, server, client, replica, change or flood, by the kind
+  std::uint64_t extra = 0;  // generation, token or replica
   bool operator>(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
 };
 
-struct OneAttempt {
+struct AttemptState {
   std::size_t request = 0, server = 0;
   int number = 0;
   double sent = 0, work = 0;
-  double until = 0;  // what its server was told that the copy waits
+  double until = 0;  // what its server was told that the replica waits
   int calls = 0;     // to the second tier that are still to be made for it
   bool call_served = false;
   std::uint64_t turn = 0;  // tells this use of the record from earlier ones
-  bool ended = false;      // the copy has its outcome
+  bool ended = false;      // the replica has its outcome
   bool at_end = false;     // nothing more comes from the server
   Outcome outcome = Outcome::kSuccess;
 };
 
-struct OneRequest {
+struct RequestState {
   std::string id;
-  std::size_t request_class = 0, tenant = 0, caller = kNone;
-  int copy = 0, attempts_open = 0;
-  double due = 0, until = 0;  // due: of this try
-  double wanted = 0;          // when the first try was due
-  int tries = 1;
-  bool pinned = false;            // further tries go to the same copy
+  std::size_t request_class = 0, tenant = 0, client = kNone;
+  int replica = 0, attempts_open = 0;
+  double due = 0, until = 0;  // due: of this attempt
+  double first_due = 0;          // when the first attempt was due
+  int client_attempts = 1;
+  bool pinned = false;            // further attempts go to the same replica
   bool over = false;              // it has its final answer
   std::size_t parent = kNone;     // of a call to the second tier: the attempt for which it is made ...
   std::uint64_t parent_turn = 0;  // ... and which use of that record
   std::vector<std::size_t> attempts;
 };
 
-struct OneCaller {
-  const Callers* group = nullptr;
-  int copy = 0;
+struct ClosedLoopClient {
+  const ClosedLoop* group = nullptr;
+  int replica = 0;
 };
 
 // A pool of records that are used again once freed, so that a long run does not grow.
 template <class T>
-class Slots {
+class RecordPool {
  public:
-  std::size_t take() {
+  std::size_t allocate() {
     if (free_.empty()) {
       all_.emplace_back();
       return all_.size() - 1;
@@ -85,7 +85,7 @@
     all_[at] = T{};
     return at;
   }
-  void give_back(std::size_t at) { free_.push_back(at); }
+  void release(std::size_t at) { free_.push_back(at); }
   T& operator[](std::size_t at) { return all_[at]; }
   const T& operator[](std::size_t at) const { return all_[at]; }
   std::size_t size() const { return all_.size(); }
--- a/bench/virtual/session.h
+++ b/bench/virtual/session.h
@@ -1,8 +1,8 @@
 // One play of a scenario in virtual time: the state, and what happens to it event by event. session.cpp has
-// callers, copies and the order of events, session_servers.cpp what stands behind the copies.
+// clients, replicas and the order of events, session_servers.cpp what stands behind the replicas.
 //
-// Servers and copies are numbered through: first-tier servers come first, then those of the second tier;
-// copies of the first tier first, then the copy beside each first-tier server, by which it calls on.
+// Servers and replicas are numbered through: first-tier servers come first, then those of the second tier;
+// replicas of the first tier first, then the replica beside each first-tier server, by which it calls on.
 #pragma once
 
 #include <deque>
@@ -27,26 +27,26 @@
 
  private:
   // ---- the order of events
-  void set_up();
+  void schedule_initial_events();
   void push(double at, Event::Kind kind, std::size_t what, std::uint64_t extra = 0);
-  void happen(const Event& e);
+  void dispatch(const Event& e);
   double travel();
   void end_second(Second& s);
 
-  // ---- callers
+  // ---- clients
   std::size_t draw_by_share(const auto& from);
-  std::size_t begin_request(std::size_t caller, int copy);
+  std::size_t begin_request(std::size_t caller, int replica);
   void begin_flood(std::size_t flood);
-  double time_of_try(const OneRequest& r) const;
-  bool tries_again(const OneRequest& r, double back, double advised);
-  void come_again(std::size_t from);
-  void answered_caller(std::size_t at, Final how, double back, double retry_after);
-  void count(const OneRequest& r, double Second::*second, double Report::*all,
+  double attempt_timeout(const RequestState& r) const;
+  bool schedule_client_retry(const RequestState& r, double back, double advised);
+  void begin_client_retry(std::size_t from);
+  void complete_for_client(std::size_t at, Final how, double back, double retry_after);
+  void count(const RequestState& r, double Second::*second, double Report::*all,
              double TenantPart::*tenant = nullptr);
 
   // ---- requests at a front
   void at_node(std::size_t at);
-  bool find_copy(OneRequest& r) const;
+  bool find_live_replica(RequestState& r) const;
   void fail_unheard(std::size_t at);
   void send_direct(std::size_t at);
   void send_by_oracle(std::size_t at);
@@ -56,49 +56,49 @@
   void answer(std::size_t at, Final how, double retry_after);
   void free_if_over(std::size_t at);
 
-  // ---- copies
-  void start_copy(int copy);
-  void end_copy(int copy);
-  void tell(int copy, const thymewood::Event& event);
-  void act(int copy, const Send& a);
-  void act(int copy, const Reject& a);
-  void act(int copy, const Fail& a);
-  void act(int copy, const Cancel& a);
-  void act(int copy, const SetTimer& a);
-  void act(int copy, const WatchEndpoints& a);
-  void act(int copy, const SheddingReport& a);
-  void end_by_word(const std::string& id, Final how, double retry_after);
-  void look_at_room(Second& s) const;
+  // ---- replicas
+  void start_replica(int replica);
+  void end_replica(int replica);
+  void notify(int replica, const thymewood::Event& event);
+  void act(int replica, const Send& a);
+  void act(int replica, const Reject& a);
+  void act(int replica, const Fail& a);
+  void act(int replica, const Cancel& a);
+  void act(int replica, const SetTimer& a);
+  void act(int replica, const WatchEndpoints& a);
+  void act(int replica, const SheddingReport& a);
+  void finish_request(const std::string& id, Final how, double retry_after);
+  void record_concurrency_limit(Second& s) const;
 
   // ---- servers, session_servers.cpp
   struct Range {
     std::size_t first = 0, end = 0;
   };
   bool chained(std::size_t server) const { return scenario_.chain.calls > 0 && server < first_tier_; }
-  int tier_of(const OneRequest& r) const { return r.parent == kNone ? 0 : 1; }
+  int tier_of(const RequestState& r) const { return r.parent == kNone ? 0 : 1; }
   Range servers_of(int tier) const;
-  int copy_beside(std::size_t server) const { return scenario_.copies + static_cast<int>(server); }
+  int sidecar_of(std::size_t server) const { return scenario_.replicas + static_cast<int>(server); }
   const ScenarioServer& spec(std::size_t server) const;
-  double mean_work(int tier) const;  // s, of what the copies of that tier send; calls on included
+  double mean_work(int tier) const;  // s, of what the replicas of that tier send; calls on included
   double capacity() const;           // requests a second that the servers that are up could end now
-  Endpoint as_told(std::size_t at, EndpointState state) const;
+  Endpoint endpoint_of(std::size_t at, EndpointState state) const;
   void at_server(std::size_t at);
   void stay_silent(std::size_t at);
   void begin_work(std::size_t at);
   void give_slot(std::size_t server);
-  void let_act(std::size_t server);
+  void advance_server(std::size_t server);
   void plan(std::size_t server);
-  void come_back(std::size_t at, Outcome outcome);
-  void call_on(std::size_t at);
+  void return_result(std::size_t at, Outcome outcome);
+  void call_second_tier(std::size_t at);
   void call_ended(std::size_t at);
   void end_calls(std::size_t at, Outcome outcome);
-  bool of_use(const OneAttempt& a) const;
-  void report_work(const OneAttempt& a);
+  bool is_awaited(const AttemptState& a) const;
+  void report_work(const AttemptState& a);
   void change(const Change& c);
   void stop_server(std::size_t server);
   void restart(const Change& c);
   void lose_work(std::size_t server);
-  void tell_change(const Change& c);
+  void notify_change(const Change& c);
 
   // What stands at one place, beside its model of work.
   struct Place {
@@ -120,17 +120,17 @@
   RuleMonitor rules_;
   double mean_work_;
   double now_ = 0;
-  std::uint64_t order_ = 0, begun_ = 0, owed_ = 0;
+  std::uint64_t order_ = 0, begun_ = 0, unanswered_ = 0;
   double in_flight_ = 0;
   std::size_t next_[2] = {0, 0};  // the direct front's turn at each tier
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::vector<ServerModel> models_;
   std::vector<Place> places_;
-  std::vector<std::unique_ptr<Balancer>> copies_;
-  std::vector<OneCaller> callers_;
-  Slots<OneRequest> requests_;
-  Slots<OneRequest> again_;  // tries that were not served, until they come again
-  Slots<OneAttempt> attempts_;
+  std::vector<std::unique_ptr<Balancer>> replicas_;
+  std::vector<ClosedLoopClient> closed_loop_clients_;
+  RecordPool<RequestState> requests_;
+  RecordPool<RequestState> pending_retries_;  // attempts that were not served, until they come again
+  RecordPool<AttemptState> attempts_;
   std::unordered_map<std::string, std::size_t> by_id_;
   Report report_;
 };
--- a/bench/virtual/session_servers.cpp
+++ b/bench/virtual/session_servers.cpp
@@ -1,4 +1,4 @@
-// What stands behind the copies: servers of two tiers, their slots and calls, and what changes.
+// What stands behind the replicas: servers of two tiers, their slots and calls, and what changes.
 #include <algorithm>
 #include <cmath>
 #include <limits>
@@ -53,7 +53,7 @@
   return std::min(first, second);
 }
 
-Endpoint Session::as_told(std::size_t at, EndpointState state) const {
+Endpoint Session::endpoint_of(std::size_t at, EndpointState state) const {
   const ScenarioServer& s = spec(at);
   return {"s" + std::to_string(at), s.zone, s.cell, s.weight, places_[at].started, state};
 }
@@ -61,21 +61,21 @@
 // ---------------------------------------------------------------- an attempt at its server
 
 void Session::at_server(std::size_t at) {
-  OneAttempt& a = attempts_[at];
+  AttemptState& a = attempts_[at];
   Place& place = places_[a.server];
-  if (!place.up) return come_back(at, Outcome::kConnectFailed);
+  if (!place.up) return return_result(at, Outcome::kConnectFailed);
   if (place.mute > 0 && random_.unit() < place.mute) return stay_silent(at);
-  if (place.fails > 0 && random_.unit() < place.fails) return come_back(at, Outcome::kError);
-  const OneRequest& r = requests_[a.request];
+  if (place.fails > 0 && random_.unit() < place.fails) return return_result(at, Outcome::kError);
+  const RequestState& r = requests_[a.request];
   const double share = a.server >= first_tier_ ? scenario_.chain.share / scenario_.chain.calls
                        : chained(a.server)     ? 1 - scenario_.chain.share
                                                : 1;
   a.work = scenario_.classes[r.request_class].service.draw(random_) * share;
   const ServerModel& model = models_[a.server];
   rules_.came(now_, a.server, a.work, model.warmth(now_) < 1 ? model.rate(now_, 1) : 0);
-  let_act(a.server);
+  advance_server(a.server);
   if (!chained(a.server)) {
-    if (!models_[a.server].arrive(now_, at, a.work)) return come_back(at, Outcome::kRejected);
+    if (!models_[a.server].arrive(now_, at, a.work)) return return_result(at, Outcome::kRejected);
     return plan(a.server);
   }
   const Capacity& capacity = spec(a.server).capacity;
@@ -85,7 +85,7 @@
   } else if (place.queue.size() < static_cast<std::size_t>(capacity.queue)) {
     place.queue.push_back(at);
   } else {
-    come_back(at, Outcome::kRejected);
+    return_result(at, Outcome::kRejected);
   }
 }
 
@@ -96,7 +96,7 @@
 }
 
 void Session::begin_work(std::size_t at) {
-  const OneAttempt& a = attempts_[at];
+  const AttemptState& a = attempts_[at];
   models_[a.server].arrive(now_, at, a.work);
   plan(a.server);
 }
@@ -112,92 +112,93 @@
   begin_work(next);
 }
 
-void Session::let_act(std::size_t server) {
+void Session::advance_server(std::size_t server) {
   std::vector<std::uint64_t> ended;
   models_[server].advance(now_, ended);
   for (const std::uint64_t at : ended) {
-    OneAttempt& a = attempts_[at];
+    AttemptState& a = attempts_[at];
     report_work(a);
     if (!chained(server)) {
-      come_back(at, Outcome::kSuccess);
+      return_result(at, Outcome::kSuccess);
       continue;
     }
     a.calls = scenario_.chain.calls;
     places_[server].calling.insert(at);
-    call_on(at);
+    call_second_tier(at);
   }
   plan(server);
 }
 
 void Session::plan(std::size_t server) {
   const std::optional<double> next = models_[server].next();
-  if (next) push(std::max(now_, *next), Event::Kind::kServerActs, server, ++places_[server].generation);
+  if (next) push(std::max(now_, *next), Event::Kind::kServerProgress, server, ++places_[server].generation);
 }
 
-void Session::come_back(std::size_t at, Outcome outcome) {
-  OneAttempt& a = attempts_[at];
+void Session::return_result(std::size_t at, Outcome outcome) {
+  AttemptState& a = attempts_[at];
   a.outcome = outcome;
   a.at_end = true;
   places_[a.server].out -= 1;
   if (a.ended) return free_if_over(a.request);
-  push(now_ + travel(), Event::Kind::kBack, at, a.turn);
+  push(now_ + travel(), Event::Kind::kResultReturns, at, a.turn);
 }
 
 // ---------------------------------------------------------------- its calls to the second tier
 
-// One call after another, each a new request to the copy beside the server.
-void Session::call_on(std::size_t at) {
-  const OneAttempt& a = attempts_[at];
+// One call after another, each a new request to the replica beside the server.
+void Session::call_second_tier(std::size_t at) {
+  const AttemptState& a = attempts_[at];
   if (a.calls == 0) return end_calls(at, Outcome::kSuccess);
   const double left = a.until - kCallMargin - now_;
   if (left <= 0) return end_calls(at, Outcome::kError);
-  const int copy = copy_beside(a.server);
-  const OneRequest& parent = requests_[a.request];
-  OneRequest call;
+  const int replica = sidecar_of(a.server);
+  const RequestState& parent = requests_[a.request];
+  RequestState call;
   call.id = parent.id + "." + std::to_string(++begun_);
   call.request_class = parent.request_class;
   call.tenant = parent.tenant;
-  call.copy = copy;
+  call.replica = replica;
   call.due = now_;
-  call.wanted = parent.wanted;
+  call.first_due = parent.first_due;
   call.until = now_ + left;
   call.parent = at;
   call.parent_turn = a.turn;
-  const std::size_t child = requests_.take();
+  const std::size_t child = requests_.allocate();
   requests_[child] = std::move(call);
   push(now_, Event::Kind::kAtNode, child);
 }
 
 void Session::call_ended(std::size_t at) {
-  OneAttempt& a = attempts_[at];
+  AttemptState& a = attempts_[at];
   a.calls -= 1;
-  if (a.call_served) return call_on(at);
+  if (a.call_served) return call_second_tier(at);
   end_calls(at, Outcome::kError);
 }
 
 void Session::end_calls(std::size_t at, Outcome outcome) {
   const std::size_t server = attempts_[at].server;
   places_[server].calling.erase(at);
-  come_back(at, outcome);
+  return_result(at, outcome);
   give_slot(server);
 }
 
 // Whether somebody still waits for what this attempt does.
-bool Session::of_use(const OneAttempt& a) const {
+bool Session::is_awaited(const AttemptState& a) const {
   if (a.ended) return false;
-  const OneRequest& r = requests_[a.request];
+  const RequestState& r = requests_[a.request];
   if (r.over) return false;
   if (r.parent == kNone)
-    return now_ + 2 * scenario_.net <= r.wanted + scenario_.classes[r.request_class].told.latency_objective;
-  const OneAttempt& parent = attempts_[r.parent];
-  return parent.turn == r.parent_turn && of_use(parent);
+    return now_ + 2 * scenario_.net <=
+           r.first_due + scenario_.classes[r.request_class].settings.latency_objective;
+  const AttemptState& parent = attempts_[r.parent];
+  return parent.turn == r.parent_turn && is_awaited(parent);
 }
 
 // Work is spent when it ends, whoever still waits for it.
-void Session::report_work(const OneAttempt& a) {
+void Session::report_work(const AttemptState& a) {
   if (!scenario_.counts_at(now_)) return;
   report_.work += a.work;
-  if (!of_use(a)) report_.wasted += a.work;
+  if (!is_awaited(a)) report_.wasted += a.work;
 }
 
 // ---------------------------------------------------------------- what changes
@@ -229,7 +230,7 @@
         place.fails = place.mute = 0;
         place.up = place.wanted = true;
         place.started = now_ > 0 ? now_ : 1e-6;
-        if (chained(i) && front_ == Front::kModule) start_copy(copy_beside(i));
+        if (chained(i) && front_ == Front::kModule) start_replica(sidecar_of(i));
         break;
       case Change::What::kRestart:
         break;
@@ -239,13 +240,13 @@
 
 void Session::stop_server(std::size_t server) {
   lose_work(server);
-  if (chained(server)) end_copy(copy_beside(server));
+  if (chained(server)) end_replica(sidecar_of(server));
   places_[server].up = places_[server].wanted = false;
 }
 
 void Session::restart(const Change& c) {
-  end_copy(c.copy);
-  push(now_ + c.down, Event::Kind::kUp, static_cast<std::size_t>(c.copy));
+  end_replica(c.replica);
+  push(now_ + c.down, Event::Kind::kUp, static_cast<std::size_t>(c.replica));
 }
 
 // A process that ends resets what it had.
@@ -258,10 +259,10 @@
   place.queue.clear();
   place.calling.clear();
   place.slots = 0;
-  for (const std::uint64_t at : lost) come_back(at, Outcome::kReset);
+  for (const std::uint64_t at : lost) return_result(at, Outcome::kReset);
 }
 
-void Session::tell_change(const Change& c) {
+void Session::notify_change(const Change& c) {
   if (c.what != Change::What::kDrain && c.what != Change::What::kStop && c.what != Change::What::kStart)
     return;
   EndpointUpdate update;
@@ -270,10 +271,11 @@
                               : c.what == Change::What::kStop ? EndpointState::kRemoved
                                                               : EndpointState::kReady;
   const std::size_t from = c.backends ? first_tier_ : 0;
-  for (std::size_t i = from + c.first; i <= from + c.last; ++i) update.endpoints.push_back(as_told(i, state));
-  const int first = c.backends ? scenario_.copies : 0;
-  const int end = c.backends ? static_cast<int>(copies_.size()) : scenario_.copies;
-  for (int copy = first; copy < end; ++copy) tell(copy, update);
+  for (std::size_t i = from + c.first; i <= from + c.last; ++i)
+    update.endpoints.push_back(endpoint_of(i, state));
+  const int first = c.backends ? scenario_.replicas : 0;
+  const int end = c.backends ? static_cast<int>(replicas_.size()) : scenario_.replicas;
+  for (int replica = first; replica < end; ++replica) notify(replica, update);
 }
 
 }  // namespace thymewood::bench
--- a/fleet_rig/actors/client_pool.h
+++ b/fleet_rig/actors/client_pool.h
@@ -1,5 +1,5 @@
-// The callers of a fleet and the front through which they come: it deals out their requests over the nodes
-// that it believes to be up, and learns of a death late. Callers come again by themselves, as the scenario
+// The clients of a fleet and the front through which they come: it deals out their requests over the nodes
+// that it believes to be up, and learns of a death late. Clients come again by themselves, as the scenario
 // says.
 #pragma once
 
@@ -17,18 +17,18 @@
 
 namespace thymewood::fleet {
 
-class Callers {
+class ClientPool {
  public:
   // `nodes`: where each node is reached. All outlive it.
-  Callers(boost::asio::io_context& io, const bench::Scenario& scenario, Historian& history,
-          const std::vector<Asker::Endpoint>& nodes, std::uint64_t seed);
+  ClientPool(boost::asio::io_context& io, const bench::Scenario& scenario, HistoryWriter& history,
+             const std::vector<HttpClient::Endpoint>& nodes, std::uint64_t seed);
 
   // Watches for a node that starts, until it is healthy; then the front takes it in.
   void expect(int node);
   // A node has died, or is about to; the front learns of it so many seconds later.
   void lost(int node, double after);
   // Connections to it that are open and not in use.
-  std::size_t kept(int node) const { return nodes_.at(static_cast<std::size_t>(node)).asker->kept(); }
+  std::size_t kept(int node) const { return nodes_.at(static_cast<std::size_t>(node)).client->kept(); }
   std::size_t up() const;  // nodes that the front believes to be up
   bool is_up(int node) const { return nodes_.at(static_cast<std::size_t>(node)).up; }
 
@@ -39,14 +39,14 @@
 
  private:
   struct Node {
-    std::unique_ptr<Asker> asker;
+    std::unique_ptr<HttpClient> client;
     bool up = false;
     std::uint64_t life = 0;  // tells the watch of one start from that of the next
   };
 
   boost::asio::awaitable<void> watch(int node, std::uint64_t life);
   boost::asio::awaitable<void> open_loop();
-  boost::asio::awaitable<void> loop(const bench::Callers& group);
+  boost::asio::awaitable<void> loop(const bench::ClosedLoop& group);
   boost::asio::awaitable<void> flood(const bench::Flood& flood);
   boost::asio::awaitable<int> want(const bench::Flood* flood);
   boost::asio::awaitable<void> one(const bench::Flood* flood);
@@ -57,7 +57,7 @@
 
   boost::asio::io_context& io_;
   const bench::Scenario& scenario_;
-  Historian& history_;
+  HistoryWriter& history_;
   std::uint64_t seed_;
   bench::Random random_;
   std::vector<Node> nodes_;
--- a/fleet_rig/actors/discovery_stand_in.cpp
+++ b/fleet_rig/actors/discovery_stand_in.cpp
@@ -30,16 +30,17 @@
   return size.str() + "\r\n" + bytes + "\r\n";
 }
 
-const char* word_of(Discovery::Status status) {
-  return status == Discovery::Status::kUp         ? "up"
-         : status == Discovery::Status::kDraining ? "draining"
-                                                  : "removed";
+const char* word_of(DiscoveryStandIn::Status status) {
+  return status == DiscoveryStandIn::Status::kUp         ? "up"
+         : status == DiscoveryStandIn::Status::kDraining ? "draining"
+                                                         : "removed";
 }
 
 }  // namespace
 
-Discovery::Discovery(asio::io_context& io, const bench::Scenario& scenario, Historian& history,
-                     const Endpoint& where, Access access, std::uint64_t seed)
+DiscoveryStandIn::DiscoveryStandIn(asio::io_context& io, const bench::Scenario& scenario,
+                                   HistoryWriter& history, const Endpoint& where, Access access,
+                                   std::uint64_t seed)
     : io_(io),
       scenario_(scenario),
       history_(history),
@@ -48,24 +49,24 @@
       random_(seed),
       acceptor_(io) {
   for (const bench::ScenarioServer& s : scenario.servers)
-    servers_.push_back({s.up ? Status::kUp : Status::kGone, 0});
+    servers_.push_back({s.up ? Status::kUp : Status::kRemoved, 0});
   for (const bench::ScenarioServer& s : scenario.backends)
-    backends_.push_back({s.up ? Status::kUp : Status::kGone, 0});
+    backends_.push_back({s.up ? Status::kUp : Status::kRemoved, 0});
 }
 
-Discovery::~Discovery() {
+DiscoveryStandIn::~DiscoveryStandIn() {
   *alive_ = false;
   down();
 }
 
-void Discovery::up() {
+void DiscoveryStandIn::up() {
   if (acceptor_.is_open()) return;
   ++life_;
   where_ = listen_at(acceptor_, where_);
   asio::co_spawn(io_, accept(life_), asio::detached);
 }
 
-void Discovery::down() {
+void DiscoveryStandIn::down() {
   ++life_;
   error_code ignored;
   acceptor_.close(ignored);
@@ -75,25 +76,25 @@
   }
 }
 
-PartyKind Discovery::kind_for(const Party& node) const {
-  return node.kind == PartyKind::kInner ? PartyKind::kBackend : PartyKind::kServer;
+ActorKind DiscoveryStandIn::kind_for(const Actor& node) const {
+  return node.kind == ActorKind::kSidecar ? ActorKind::kBackend : ActorKind::kServer;
 }
 
-Discovery::View& Discovery::view_of(const Party& node) {
+DiscoveryStandIn::View& DiscoveryStandIn::view_of(const Actor& node) {
   const auto [at, fresh] = views_.try_emplace(node);
   if (fresh) {
-    at->second.entries = kind_for(node) == PartyKind::kBackend ? backends_ : servers_;
+    at->second.entries = kind_for(node) == ActorKind::kBackend ? backends_ : servers_;
     at->second.lag = scenario_.discovery.lag + scenario_.discovery.spread * random_.unit();
   }
   return at->second;
 }
 
-void Discovery::change(const Party& server, Status status, std::int64_t since_ms) {
-  std::vector<Entry>& all = server.kind == PartyKind::kBackend ? backends_ : servers_;
+void DiscoveryStandIn::change(const Actor& server, Status status, std::int64_t since_ms) {
+  std::vector<Entry>& all = server.kind == ActorKind::kBackend ? backends_ : servers_;
   // A node that nobody has heard of yet begins with the list as it was before this change.
-  const bench::Cast cast = scenario_.cast();
-  for (const Party& node : cast.everyone()) {
-    if (node.kind == PartyKind::kNode || node.kind == PartyKind::kInner) view_of(node);
+  const bench::Topology topology = scenario_.topology();
+  for (const Actor& node : topology.everyone()) {
+    if (node.kind == ActorKind::kNode || node.kind == ActorKind::kSidecar) view_of(node);
   }
   Entry& entry = all.at(static_cast<std::size_t>(server.number));
   entry.status = status;
@@ -102,68 +103,68 @@
     if (kind_for(node) != server.kind) continue;
     const double lag = view.lag + more_;
     if (lag <= 0) {
-      tell(node, server, entry);
+      notify(node, server, entry);
       continue;
     }
     const auto timer = std::make_shared<asio::steady_timer>(io_, history_.time_of(history_.now() + lag));
     timer->async_wait([this, alive = alive_, timer, node = node, server, entry](error_code cancelled) {
-      if (!cancelled && *alive) tell(node, server, entry);
+      if (!cancelled && *alive) notify(node, server, entry);
     });
   }
 }
 
-void Discovery::tell(const Party& node, const Party& server, const Entry& entry) {
+void DiscoveryStandIn::notify(const Actor& node, const Actor& server, const Entry& entry) {
   View& view = view_of(node);
   view.entries.at(static_cast<std::size_t>(server.number)) = entry;
   view.index += 1;
   if (!view.watch) return;
   write(view.watch, chunk(R"({"index":)" + std::to_string(view.index) + R"(,"snapshot":false,"endpoints":[)" +
                           this->entry(node, server.number, entry) + "]}\n"));
-  note_told(node, view, server, entry.status);
+  record_notified(node, view, server, entry.status);
 }
 
-void Discovery::note_told(const Party& node, View& view, const Party& server, Status status) {
-  Record told;
-  told.what = Record::What::kTold;
-  told.by = node;
-  told.to = server;
-  told.yes = status == Status::kUp;
+void DiscoveryStandIn::record_notified(const Actor& node, View& view, const Actor& server, Status status) {
+  Record notified;
+  notified.what = Record::What::kNotified;
+  notified.by = node;
+  notified.to = server;
+  notified.yes = status == Status::kUp;
   if (access_.reaches(node)) {
-    history_.add(told);
+    history_.add(notified);
   } else {
-    view.unheard.push_back(told);
+    view.unheard.push_back(notified);
   }
 }
 
-void Discovery::healed(const Party& node) {
+void DiscoveryStandIn::healed(const Actor& node) {
   View& view = view_of(node);
-  for (const Record& told : std::exchange(view.unheard, {})) history_.add(told);
+  for (const Record& notified : std::exchange(view.unheard, {})) history_.add(notified);
 }
 
-std::string Discovery::entry(const Party& node, int server, const Entry& entry) const {
-  const Party party{kind_for(node), server};
+std::string DiscoveryStandIn::entry(const Actor& node, int server, const Entry& entry) const {
+  const Actor actor{kind_for(node), server};
   const bench::ScenarioServer& s =
-      (party.kind == PartyKind::kBackend ? scenario_.backends : scenario_.servers)
+      (actor.kind == ActorKind::kBackend ? scenario_.backends : scenario_.servers)
           .at(static_cast<std::size_t>(server));
   std::ostringstream out;
-  out << R"({"name":")" << bench::name_of(party) << R"(","address":")" << access_.address(node, party)
+  out << R"({"name":")" << bench::name_of(actor) << R"(","address":")" << access_.address(node, actor)
       << R"(","zone":"z)" << s.zone << R"(","group":)" << s.cell << R"(,"status":")" << word_of(entry.status)
       << R"(","weight":)" << s.weight << R"(,"since_ms":)" << entry.since_ms << "}";
   return out.str();
 }
 
-std::string Discovery::list(const Party& node, const View& view) const {
+std::string DiscoveryStandIn::list(const Actor& node, const View& view) const {
   std::string entries;
   for (std::size_t i = 0; i < view.entries.size(); ++i) {
-    if (view.entries[i].status == Status::kGone) continue;
+    if (view.entries[i].status == Status::kRemoved) continue;
     entries += (entries.empty() ? "" : ",") + entry(node, static_cast<int>(i), view.entries[i]);
   }
   return R"({"index":)" + std::to_string(view.index) + R"(,"snapshot":true,"endpoints":[)" + entries + "]}";
 }
 
-std::string Discovery::known(const Party& node) { return list(node, view_of(node)); }
+std::string DiscoveryStandIn::known(const Actor& node) { return list(node, view_of(node)); }
 
-asio::awaitable<void> Discovery::accept(std::uint64_t life) {
+asio::awaitable<void> DiscoveryStandIn::accept(std::uint64_t life) {
   for (;;) {
     error_code problem;
     tcp::socket socket = co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, problem));
@@ -172,7 +173,7 @@
   }
 }
 
-asio::awaitable<void> Discovery::serve(std::shared_ptr<Socket> socket, std::uint64_t life) {
+asio::awaitable<void> DiscoveryStandIn::serve(std::shared_ptr<Socket> socket, std::uint64_t life) {
   boost::beast::flat_buffer buffer;
   error_code problem;
   http::request<http::empty_body> request;
@@ -180,7 +181,7 @@
   if (problem || life != life_) co_return;
   const auto origin = access_.origin(socket->remote_endpoint(problem).port());
   if (!origin) co_return;
-  const Party node = origin->from;
+  const Actor node = origin->from;
   const bool watch = std::string_view(request.target().data(), request.target().size()).find("watch=1") !=
                      std::string_view::npos;
   const std::string all = list(node, view_of(node));
@@ -193,7 +194,7 @@
   view.watch = socket;
   write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(all + "\n"));
   for (std::size_t i = 0; i < view.entries.size(); ++i)
-    note_told(node, view, {kind_for(node), static_cast<int>(i)}, view.entries[i].status);
+    record_notified(node, view, {kind_for(node), static_cast<int>(i)}, view.entries[i].status);
   asio::co_spawn(io_, keep_alive(socket), asio::detached);
   // Nothing more is asked on it: its end is what this waits for.
   char byte = 0;
@@ -204,7 +205,7 @@
   socket->close(ignored);
 }
 
-asio::awaitable<void> Discovery::keep_alive(std::shared_ptr<Socket> socket) {
+asio::awaitable<void> DiscoveryStandIn::keep_alive(std::shared_ptr<Socket> socket) {
   asio::steady_timer timer(io_);
   error_code bad;
   while (!bad && socket->is_open()) {
@@ -216,7 +217,7 @@
 
 // A watch whose node does not read is left to fill its kernel's buffer; what finds no room is lost with the
 // watch.
-void Discovery::write(const std::shared_ptr<Socket>& socket, const std::string& text) {
+void DiscoveryStandIn::write(const std::shared_ptr<Socket>& socket, const std::string& text) {
   error_code bad;
   socket->non_blocking(true, bad);
   const std::size_t written = socket->write_some(asio::buffer(text), bad);
--- a/fleet_rig/actors/discovery_stand_in.h
+++ b/fleet_rig/actors/discovery_stand_in.h
@@ -21,22 +21,22 @@
 
 namespace thymewood::fleet {
 
-class Discovery {
+class DiscoveryStandIn {
  public:
   using Endpoint = boost::asio::ip::tcp::endpoint;
-  enum class Status { kUp, kDraining, kGone };
+  enum class Status { kUp, kDraining, kRemoved };
   struct Access {
     std::function<std::optional<TcpRelay::Origin>(unsigned short)> origin;  // whose watch it is
     // "ADDRESS:PORT" at which a node finds a server.
-    std::function<std::string(const Party& node, const Party& server)> address;
-    std::function<bool(const Party& node)> reaches;  // whether what is written to it now gets there
+    std::function<std::string(const Actor& node, const Actor& server)> address;
+    std::function<bool(const Actor& node)> reaches;  // whether what is written to it now gets there
   };
 
-  Discovery(boost::asio::io_context& io, const bench::Scenario& scenario, Historian& history,
-            const Endpoint& where, Access access, std::uint64_t seed);
-  ~Discovery();
-  Discovery(const Discovery&) = delete;
-  Discovery& operator=(const Discovery&) = delete;
+  DiscoveryStandIn(boost::asio::io_context& io, const bench::Scenario& scenario, HistoryWriter& history,
+                   const Endpoint& where, Access access, std::uint64_t seed);
+  ~DiscoveryStandIn();
+  DiscoveryStandIn(const DiscoveryStandIn&) = delete;
+  DiscoveryStandIn& operator=(const DiscoveryStandIn&) = delete;
 
   void up();
   // Watches end, connections are refused; what is told meanwhile is told by the next watch.
@@ -44,13 +44,13 @@
   const Endpoint& where() const { return where_; }
 
   // From now on it is so; each node hears of it after its lag. `since_ms`: Unix time of a start.
-  void change(const Party& server, Status status, std::int64_t since_ms = 0);
+  void change(const Actor& server, Status status, std::int64_t since_ms = 0);
   // All lags are longer by this from now on.
   void lag_more(double seconds) { more_ += seconds; }
   // What was written while a node could not be reached has got there now.
-  void healed(const Party& node);
+  void healed(const Actor& node);
   // The list that a node starts with, as PROTOCOL has it: what it would have been told by now.
-  std::string known(const Party& node);
+  std::string known(const Actor& node);
 
  private:
   using Socket = boost::asio::ip::tcp::socket;
@@ -69,22 +69,22 @@
   boost::asio::awaitable<void> accept(std::uint64_t life);
   boost::asio::awaitable<void> serve(std::shared_ptr<Socket> socket, std::uint64_t life);
   boost::asio::awaitable<void> keep_alive(std::shared_ptr<Socket> socket);
-  View& view_of(const Party& node);
-  PartyKind kind_for(const Party& node) const;
-  std::string entry(const Party& node, int server, const Entry& entry) const;
-  std::string list(const Party& node, const View& view) const;
-  void tell(const Party& node, const Party& server, const Entry& entry);
-  void note_told(const Party& node, View& view, const Party& server, Status status);
+  View& view_of(const Actor& node);
+  ActorKind kind_for(const Actor& node) const;
+  std::string entry(const Actor& node, int server, const Entry& entry) const;
+  std::string list(const Actor& node, const View& view) const;
+  void notify(const Actor& node, const Actor& server, const Entry& entry);
+  void record_notified(const Actor& node, View& view, const Actor& server, Status status);
   static void write(const std::shared_ptr<Socket>& socket, const std::string& text);
 
   boost::asio::io_context& io_;
   const bench::Scenario& scenario_;
-  Historian& history_;
+  HistoryWriter& history_;
   Endpoint where_;
   Access access_;
   bench::Random random_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  std::map<Party, View> views_;
+  std::map<Actor, View> views_;
   std::vector<Entry> servers_, backends_;  // as they are
   std::uint64_t life_ = 0;
   double more_ = 0;
--- a/fleet_rig/actors/http_client.cpp
+++ b/fleet_rig/actors/http_client.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-// s. A caller listens for a moment longer than it said, so that an answer that comes too late is seen as
+// s. A client listens for a moment longer than it said, so that an answer that comes too late is seen as
 // such.
 constexpr double kPatience = 0.3;
 constexpr double kHealthWait = 1;
@@ -27,7 +27,7 @@
   return std::chrono::duration_cast<asio::steady_timer::duration>(std::chrono::duration<double>(seconds));
 }
 
-std::string text_of(const Call& call) {
+std::string text_of(const ClientRequest& call) {
   std::string text =
       (call.body ? "POST /" : "GET /") + call.class_name + "/" + call.first +
       " HTTP/1.1\r\nHost: fleet\r\nX-Request-ID: " + call.id + "\r\nX-Priority-Class: " + call.class_name +
@@ -63,8 +63,8 @@
 
 }  // namespace
 
-asio::awaitable<Reply> Asker::ask(Call call) {
-  Reply reply;
+asio::awaitable<ClientResponse> HttpClient::ask(ClientRequest call) {
+  ClientResponse reply;
   const std::string text = text_of(call);
   const double listens = call.leaves > 0 ? call.leaves : call.time + kPatience;
   const double begun = history_.now();
@@ -84,13 +84,13 @@
     history_.add(r);
   };
   for (;;) {
-    const bool fresh = kept_.empty();
+    const bool fresh = idle_connections_.empty();
     std::shared_ptr<Socket> socket;
     if (fresh) {
       socket = std::make_shared<Socket>(io_);
     } else {
-      socket = std::move(kept_.back());
-      kept_.pop_back();
+      socket = std::move(idle_connections_.back());
+      idle_connections_.pop_back();
     }
     Limit limit(io_, socket, std::max(0.001, begun + listens - history_.now()));
     error_code problem;
@@ -105,7 +105,7 @@
     if (problem && !fresh && !limit.state->hit) continue;  // closed while it was idle
     if (problem) co_return reply;
     reply.asked = true;
-    note(Record::What::kAsk, history_.now() + call.time);
+    note(Record::What::kRequestSent, history_.now() + call.time);
     boost::beast::flat_buffer buffer;
     http::response<http::string_body> answer;
     co_await http::async_read(*socket, buffer, answer, asio::redirect_error(asio::use_awaitable, problem));
@@ -115,22 +115,22 @@
       // An answer that is not this request's is none.
       if (reply.status == 200 && answer.body() != call.id) reply.status = 599;
       reply.advised = std::strtod(std::string(answer[http::field::retry_after]).c_str(), nullptr);
-      note(Record::What::kAnswer, 0);
-      if (answer.keep_alive()) kept_.push_back(std::move(socket));
+      note(Record::What::kResponse, 0);
+      if (answer.keep_alive()) idle_connections_.push_back(std::move(socket));
       co_return reply;
     }
     if (limit.state->hit) {
-      note(Record::What::kGaveUp, 0);
+      note(Record::What::kClientLeft, 0);
       co_return reply;
     }
     // The node may close a kept connection between two requests; one that crosses that goes again, once.
     if (!fresh) continue;
-    note(Record::What::kBroken, 0);
+    note(Record::What::kConnectionBroken, 0);
     co_return reply;
   }
 }
 
-asio::awaitable<bool> Asker::healthy() {
+asio::awaitable<bool> HttpClient::is_healthy() {
   const auto socket = std::make_shared<Socket>(io_);
   Limit limit(io_, socket, kHealthWait);
   error_code problem;
--- a/fleet_rig/actors/http_client.h
+++ b/fleet_rig/actors/http_client.h
@@ -13,8 +13,8 @@
 
 namespace thymewood::fleet {
 
-struct Call {
-  std::string id, first;                // of this try, and of the first one of all
+struct ClientRequest {
+  std::string id, first;                // of this attempt, and of the first one of all
   std::string class_name, tenant, key;  // key: empty unless the class is keyed
   int request_class = 0, tenant_number = 0, tier = 0;
   bool body = true;   // false: a GET
@@ -22,35 +22,35 @@
   double leaves = 0;  // s after which it closes all the same; 0: it waits for what it said, and a moment
 };
 
-struct Reply {
+struct ClientResponse {
   int status = 0;      // 0: no answer was heard
   double advised = 0;  // s, from Retry-After
   bool asked = false;  // the request was written whole
 };
 
-class Asker {
+class HttpClient {
  public:
   using Endpoint = boost::asio::ip::tcp::endpoint;
   // `by` asks `node`, which is reached at `where`.
-  Asker(boost::asio::io_context& io, Historian& history, const Party& by, const Party& node,
-        const Endpoint& where)
+  HttpClient(boost::asio::io_context& io, HistoryWriter& history, const Actor& by, const Actor& node,
+             const Endpoint& where)
       : io_(io), history_(history), by_(by), node_(node), where_(where) {}
 
-  // The call is copied: the caller's may be gone before the answer comes.
-  boost::asio::awaitable<Reply> ask(Call call);
+  // The call is copied: the client's may be gone before the answer comes.
+  boost::asio::awaitable<ClientResponse> ask(ClientRequest call);
   // One that waits for ever says nothing to the history: GET /_health, whether it was answered 200.
-  boost::asio::awaitable<bool> healthy();
-  void forget() { kept_.clear(); }
-  std::size_t kept() const { return kept_.size(); }  // connections open and not in use
-  const Party& node() const { return node_; }
+  boost::asio::awaitable<bool> is_healthy();
+  void forget() { idle_connections_.clear(); }
+  std::size_t kept() const { return idle_connections_.size(); }  // connections open and not in use
+  const Actor& node() const { return node_; }
 
  private:
   using Socket = boost::asio::ip::tcp::socket;
   boost::asio::io_context& io_;
-  Historian& history_;
-  Party by_, node_;
+  HistoryWriter& history_;
+  Actor by_, node_;
   Endpoint where_;
-  std::vector<std::shared_ptr<Socket>> kept_;
+  std::vector<std::shared_ptr<Socket>> idle_connections_;
 };
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/actors/server_stand_in.cpp
+++ b/fleet_rig/actors/server_stand_in.cpp
@@ -27,9 +27,9 @@
 
 }  // namespace
 
-Server::Server(asio::io_context& io, const bench::Scenario& scenario, Historian& history, const Party& who,
-               const bench::ScenarioServer& spec, const Endpoint& where, Origin origin, Asker* calls,
-               std::uint64_t seed)
+ServerStandIn::ServerStandIn(asio::io_context& io, const bench::Scenario& scenario, HistoryWriter& history,
+                             const Actor& who, const bench::ScenarioServer& spec, const Endpoint& where,
+                             Origin origin, HttpClient* calls, std::uint64_t seed)
     : io_(io),
       scenario_(scenario),
       history_(history),
@@ -43,9 +43,9 @@
       next_(io),
       model_(spec.capacity, -std::numeric_limits<double>::infinity()) {}
 
-Server::~Server() { down(); }
+ServerStandIn::~ServerStandIn() { down(); }
 
-void Server::up(bool cold) {
+void ServerStandIn::up(bool cold) {
   if (is_up()) return;
   ++life_;
   if (cold) model_.restart(history_.now());
@@ -53,7 +53,7 @@
   asio::co_spawn(io_, accept(life_), asio::detached);
 }
 
-void Server::down() {
+void ServerStandIn::down() {
   if (!is_up()) return;
   ++life_;
   error_code ignored;
@@ -67,12 +67,12 @@
   slots_ = 0;
 }
 
-void Server::slow_down(double factor) {
+void ServerStandIn::slow_down(double factor) {
   act();
   model_.slow_down(factor);
 }
 
-asio::awaitable<void> Server::accept(std::uint64_t life) {
+asio::awaitable<void> ServerStandIn::accept(std::uint64_t life) {
   for (;;) {
     error_code problem;
     tcp::socket socket = co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, problem));
@@ -84,7 +84,7 @@
   }
 }
 
-asio::awaitable<void> Server::serve(std::shared_ptr<Socket> socket, std::uint64_t life) {
+asio::awaitable<void> ServerStandIn::serve(std::shared_ptr<Socket> socket, std::uint64_t life) {
   boost::beast::flat_buffer buffer;
   error_code problem;
   const unsigned short port = socket->remote_endpoint(problem).port();
@@ -105,17 +105,17 @@
     const auto found = std::find_if(scenario_.classes.begin(), scenario_.classes.end(),
                                     [&](const bench::LoadClass& c) { return c.name == asked.class_name; });
     const bench::LoadClass& c = found == scenario_.classes.end() ? scenario_.classes.front() : *found;
-    const double share = who_.kind == PartyKind::kBackend ? scenario_.chain.share / scenario_.chain.calls
+    const double share = who_.kind == ActorKind::kBackend ? scenario_.chain.share / scenario_.chain.calls
                          : calls_ != nullptr              ? 1 - scenario_.chain.share
                                                           : 1;
     const double work = c.service.draw(random_) * share;
     Record came;
     came.t = history_.now();
-    came.what = Record::What::kCame;
+    came.what = Record::What::kServerReceived;
     came.by = who_;
     came.id = asked.id;
     came.first = asked.first;
-    came.tier = who_.kind == PartyKind::kBackend ? 1 : 0;
+    came.tier = who_.kind == ActorKind::kBackend ? 1 : 0;
     came.left = came.t;
     if (const auto from = origin_(port)) {
       came.to = from->from;
@@ -136,16 +136,16 @@
     if (mute) continue;  // the connection stays open, and nothing comes
     Fate fate = Fate::kFailed;
     if (!came.yes) {
-      fate = Fate::kTurnedAway;
+      fate = Fate::kRejected;
     } else if (!fails) {
       fate = co_await handle(asked, work, life);
     }
     if (life != life_ || fate == Fate::kLost) co_return;
-    http::response<http::string_body> answer(fate == Fate::kDone     ? http::status::ok
+    http::response<http::string_body> answer(fate == Fate::kServerAnswered ? http::status::ok
                                              : fate == Fate::kFailed ? http::status::internal_server_error
                                                                      : http::status::service_unavailable,
                                              11);
-    if (fate == Fate::kTurnedAway) answer.set("X-Not-Processed", "1");
+    if (fate == Fate::kRejected) answer.set("X-Not-Processed", "1");
     answer.body() = asked.id;
     answer.prepare_payload();
     co_await http::async_write(*socket, answer, asio::redirect_error(asio::use_awaitable, problem));
@@ -156,7 +156,8 @@
   sockets_.remove(socket);
 }
 
-asio::awaitable<Server::Fate> Server::handle(const Asked& asked, double work, std::uint64_t life) {
+asio::awaitable<ServerStandIn::Fate> ServerStandIn::handle(const Asked& asked, double work,
+                                                           std::uint64_t life) {
   const double until = history_.now() + asked.time;
   if (calls_ == nullptr) co_return co_await work_off(work, life);
   if (spec_.capacity.workers > 0) {
@@ -170,14 +171,15 @@
     }
   }
   Fate fate = co_await work_off(work, life);
-  if (life == life_ && fate == Fate::kDone) fate = co_await call_on(asked, until, life);
+  if (life == life_ && fate == Fate::kServerAnswered) fate = co_await call_second_tier(asked, until, life);
   if (life == life_) give_slot();
   co_return fate;
 }
 
-asio::awaitable<Server::Fate> Server::call_on(const Asked& asked, double until, std::uint64_t life) {
+asio::awaitable<ServerStandIn::Fate> ServerStandIn::call_second_tier(const Asked& asked, double until,
+                                                                     std::uint64_t life) {
   for (int k = 0; k < scenario_.chain.calls; ++k) {
-    Call call;
+    ClientRequest call;
     call.id = asked.id + "." + std::to_string(who_.number) + "." + std::to_string(++calls_made_);
     call.first = asked.first;
     call.class_name = asked.class_name;
@@ -190,32 +192,32 @@
     }
     call.time = until - kCallMargin - history_.now();
     if (call.time <= 0) co_return Fate::kFailed;
-    const Reply reply = co_await calls_->ask(call);
+    const ClientResponse reply = co_await calls_->ask(call);
     if (life != life_) co_return Fate::kLost;
     if (reply.status != 200) co_return Fate::kFailed;
   }
-  co_return Fate::kDone;
+  co_return Fate::kServerAnswered;
 }
 
-asio::awaitable<Server::Fate> Server::work_off(double work, std::uint64_t life) {
+asio::awaitable<ServerStandIn::Fate> ServerStandIn::work_off(double work, std::uint64_t life) {
   act();
   const std::uint64_t number = ++requests_;
-  if (!model_.arrive(history_.now(), number, work)) co_return Fate::kTurnedAway;
+  if (!model_.arrive(history_.now(), number, work)) co_return Fate::kRejected;
   const auto waiter = std::make_shared<Waiter>(io_);
   working_[number] = waiter;
   plan();
   co_await wait(waiter);
   if (life != life_) co_return Fate::kLost;
   work_done_ += work;
-  co_return Fate::kDone;
+  co_return Fate::kServerAnswered;
 }
 
-asio::awaitable<void> Server::wait(const std::shared_ptr<Waiter>& waiter) {
+asio::awaitable<void> ServerStandIn::wait(const std::shared_ptr<Waiter>& waiter) {
   error_code ignored;
   if (!waiter->over) co_await waiter->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-void Server::give_slot() {
+void ServerStandIn::give_slot() {
   if (queue_.empty()) {
     slots_ -= slots_ > 0 ? 1 : 0;
     return;
@@ -226,7 +228,7 @@
   next->timer.cancel();
 }
 
-void Server::act() {
+void ServerStandIn::act() {
   std::vector<std::uint64_t> ended;
   model_.advance(history_.now(), ended);
   for (const std::uint64_t number : ended) {
@@ -238,7 +240,7 @@
   }
 }
 
-void Server::plan() {
+void ServerStandIn::plan() {
   const std::optional<double> next = model_.next();
   if (!next) return;
   next_.expires_at(history_.time_of(*next));
--- a/fleet_rig/actors/server_stand_in.h
+++ b/fleet_rig/actors/server_stand_in.h
@@ -23,19 +23,19 @@
 
 namespace thymewood::fleet {
 
-class Server {
+class ServerStandIn {
  public:
   using Endpoint = boost::asio::ip::tcp::endpoint;
   // By the peer's port of one of its connections: who that is.
   using Origin = std::function<std::optional<TcpRelay::Origin>(unsigned short)>;
 
   // `calls`: by whom it calls the second tier, none where it does not. All outlive it.
-  Server(boost::asio::io_context& io, const bench::Scenario& scenario, Historian& history, const Party& who,
-         const bench::ScenarioServer& spec, const Endpoint& where, Origin origin, Asker* calls,
-         std::uint64_t seed);
-  ~Server();
-  Server(const Server&) = delete;
-  Server& operator=(const Server&) = delete;
+  ServerStandIn(boost::asio::io_context& io, const bench::Scenario& scenario, HistoryWriter& history,
+                const Actor& who, const bench::ScenarioServer& spec, const Endpoint& where, Origin origin,
+                HttpClient* calls, std::uint64_t seed);
+  ~ServerStandIn();
+  ServerStandIn(const ServerStandIn&) = delete;
+  ServerStandIn& operator=(const ServerStandIn&) = delete;
 
   // Listens; after its first start it is cold. Throws boost::system::system_error.
   void up(bool cold);
@@ -56,7 +56,7 @@
     boost::asio::steady_timer timer;
     bool over = false;
   };
-  enum class Fate { kDone, kFailed, kTurnedAway, kLost };
+  enum class Fate { kServerAnswered, kFailed, kRejected, kLost };
   struct Asked {
     std::string id, first, class_name, key, tenant;
     bool body = true;
@@ -67,7 +67,7 @@
   boost::asio::awaitable<void> serve(std::shared_ptr<Socket> socket, std::uint64_t life);
   boost::asio::awaitable<Fate> handle(const Asked& asked, double work, std::uint64_t life);
   boost::asio::awaitable<Fate> work_off(double work, std::uint64_t life);
-  boost::asio::awaitable<Fate> call_on(const Asked& asked, double until, std::uint64_t life);
+  boost::asio::awaitable<Fate> call_second_tier(const Asked& asked, double until, std::uint64_t life);
   boost::asio::awaitable<void> wait(const std::shared_ptr<Waiter>& waiter);
   void give_slot();
   void act();
@@ -75,12 +75,12 @@
 
   boost::asio::io_context& io_;
   const bench::Scenario& scenario_;
-  Historian& history_;
-  Party who_;
+  HistoryWriter& history_;
+  Actor who_;
   bench::ScenarioServer spec_;
   Endpoint where_;
   Origin origin_;
-  Asker* calls_;
+  HttpClient* calls_;
   bench::Random random_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer next_;
--- a/fleet_rig/history/checkers.cpp
+++ b/fleet_rig/history/checkers.cpp
@@ -47,12 +47,12 @@
       switch (r.what) {
         case What::kDown:
         case What::kCrash:
-        case What::kAway:
-          parties.begin(r.by, r.t);
+        case What::kPaused:
+          actors.begin(r.by, r.t);
           break;
         case What::kUp:
-        case What::kBack:
-          parties.end(r.by, r.t);
+        case What::kResumed:
+          actors.end(r.by, r.t);
           break;
         case What::kTerm:
           leaving.begin(r.by, r.t + kDrainEnd);
@@ -68,20 +68,20 @@
       }
     }
   }
-  bool cover(const Party& a, const Party& b, double from, double to) const {
-    return parties.touch(a, from, to) || parties.touch(b, from, to) || leaving.touch(a, from, from) ||
+  bool cover(const Actor& a, const Actor& b, double from, double to) const {
+    return actors.touch(a, from, to) || actors.touch(b, from, to) || leaving.touch(a, from, from) ||
            leaving.touch(b, from, from) || links.touch({a, b}, from, to) || links.touch({b, a}, from, to);
   }
-  Spans<Party> parties, leaving;
-  Spans<std::pair<Party, Party>> links;
+  Spans<Actor> actors, leaving;
+  Spans<std::pair<Actor, Actor>> links;
 };
 
-std::string in_words(const Record& r) {
+std::string describe(const Record& r) {
   return r.id + " of " + bench::name_of(r.by) + " at " + bench::name_of(r.to);
 }
 
-int place_of(const std::vector<int>& places, const Party& party) {
-  const auto at = static_cast<std::size_t>(party.number);
+int place_of(const std::vector<int>& places, const Actor& actor) {
+  const auto at = static_cast<std::size_t>(actor.number);
   return at < places.size() ? places[at] : 0;
 }
 
@@ -90,7 +90,7 @@
 Rules Rules::of(const bench::Scenario& scenario) {
   Rules out;
   out.views_within = scenario.views_within;
-  for (const bench::LoadClass& c : scenario.classes) out.classes.push_back(c.told);
+  for (const bench::LoadClass& c : scenario.classes) out.classes.push_back(c.settings);
   for (const bench::ScenarioServer& s : scenario.servers) {
     out.server_cells.push_back(s.cell);
     out.server_zones.push_back(s.zone);
@@ -108,12 +108,12 @@
 }
 
 // Whether all that took part wrote to the end, and the rig itself kept up.
-void judge_sight(const History& history, const Rules& rules, Verdict& verdict) {
+void check_completeness(const History& history, const Rules& rules, Verdict& verdict) {
   bool begun = false;
-  std::set<Party> open;
+  std::set<Actor> open;
   for (const Record& r : history.records) {
     if (r.what == What::kBegin) begun = true;
-    if (r.what == What::kParty) open.insert(r.by);
+    if (r.what == What::kActorJoined) open.insert(r.by);
     if (r.what == What::kClosed) open.erase(r.by);
     if (r.what == What::kLate) verdict.latest = std::max(verdict.latest, r.work);
     if (r.what == What::kCrash)
@@ -122,12 +122,12 @@
   if (!begun) verdict.blind.emplace_back("the run's beginning is not there");
   if (history.unread > 0)
     verdict.blind.push_back(std::to_string(history.unread) + " lines of the history could not be read");
-  for (const Party& party : open)
-    verdict.blind.push_back(bench::name_of(party) + " has not written to its end");
+  for (const Actor& actor : open)
+    verdict.blind.push_back(bench::name_of(actor) + " has not written to its end");
   verdict.void_run = verdict.latest > rules.most_late;
 }
 
-void judge_answers(const History& history, const Rules& rules, Verdict& verdict) {
+void check_final_answers(const History& history, const Rules& rules, Verdict& verdict) {
   const Excuses excuses(history);
   struct Asked {
     const Record* ask = nullptr;
@@ -135,16 +135,17 @@
   };
   std::unordered_map<std::string, Asked> open;
   const double slack = rules.slack + verdict.latest;
-  const auto broke = [&verdict](const Record& r, const std::string& what, double t) {
-    verdict.broken.push_back({"one-final-answer", in_words(r) + " " + what, t});
+  const auto report = [&verdict](const Record& r, const std::string& what, double t) {
+    verdict.broken.push_back({"one-final-answer", describe(r) + " " + what, t});
   };
   for (const Record& r : history.records) {
-    if (r.what == What::kAsk) {
+    if (r.what == What::kRequestSent) {
       open[r.id] = {&r, false};
       ++verdict.asked;
       continue;
     }
-    if (r.what != What::kAnswer && r.what != What::kBroken && r.what != What::kGaveUp) continue;
+    if (r.what != What::kResponse && r.what != What::kConnectionBroken && r.what != What::kClientLeft)
+      continue;
     const auto at = open.find(r.id);
     if (at == open.end()) {
       verdict.blind.push_back("an end of " + r.id + ", which nobody asked");
@@ -152,30 +153,30 @@
     }
     Asked& asked = at->second;
     const Record& ask = *asked.ask;
-    if (r.what == What::kAnswer && std::exchange(asked.answered, true)) {
-      broke(ask, "has two answers", r.t);
+    if (r.what == What::kResponse && std::exchange(asked.answered, true)) {
+      report(ask, "has two answers", r.t);
       continue;
     }
-    const bool late = r.what == What::kAnswer && r.t > ask.limit + slack;
-    const bool lost = r.what == What::kBroken && !asked.answered;
-    const bool never = r.what == What::kGaveUp && !asked.answered && r.t >= ask.limit + slack;
+    const bool late = r.what == What::kResponse && r.t > ask.limit + slack;
+    const bool lost = r.what == What::kConnectionBroken && !asked.answered;
+    const bool never = r.what == What::kClientLeft && !asked.answered && r.t >= ask.limit + slack;
     if (!late && !lost && !never) continue;
     if (excuses.cover(ask.by, ask.to, ask.t, std::min(r.t, ask.limit + slack))) {
       ++verdict.excused;
     } else {
-      broke(ask,
-            late   ? "was answered after its caller's time"
-            : lost ? "was lost"
-                   : "was never answered",
-            r.t);
+      report(ask,
+             late   ? "was answered after its caller's time"
+             : lost ? "was lost"
+                    : "was never answered",
+             r.t);
     }
   }
 }
 
-void judge_effects(const History& history, const Rules& rules, Verdict& verdict) {
+void check_double_effects(const History& history, const Rules& rules, Verdict& verdict) {
   struct Ran {
     double at = 0;
-    Party server;
+    Actor server;
   };
   struct Seen {
     int request_class = -1;
@@ -185,8 +186,8 @@
   std::unordered_map<std::string, Seen> all;
   const double slack = rules.slack + verdict.latest;
   for (const Record& r : history.records) {
-    if (r.what == What::kAsk) all[r.id].request_class = r.request_class;
-    if (r.what != What::kCame && r.what != What::kAnswer) continue;
+    if (r.what == What::kRequestSent) all[r.id].request_class = r.request_class;
+    if (r.what != What::kServerReceived && r.what != What::kResponse) continue;
     const auto at = all.find(r.id);
     if (at == all.end()) {
       verdict.blind.push_back(r.id + " came to " + bench::name_of(r.by) + ", and nobody asked it");
@@ -194,49 +195,49 @@
     }
     Seen& seen = at->second;
     const RequestClass& c = rules.classes.at(static_cast<std::size_t>(seen.request_class));
-    const auto broke = [&](const std::string& what) {
+    const auto report = [&](const std::string& what) {
       verdict.broken.push_back({"no-double-effect", r.id + " " + what, r.t});
     };
-    if (r.what == What::kAnswer) {
+    if (r.what == What::kResponse) {
       seen.answered = std::min(seen.answered, r.t);
-      const bool refused = r.status == 429 || r.status == 503;
+      const bool rejected = r.status == 429 || r.status == 503;
       const bool harmless =
           c.idempotency == Idempotency::kIdempotent ||
           (c.idempotency == Idempotency::kIdempotentWithKey && c.dedup_scope == DedupScope::kAll);
-      if (refused && !harmless && !seen.ran.empty()) broke("was refused though it may have run");
+      if (rejected && !harmless && !seen.ran.empty()) report("was refused though it may have run");
       continue;
     }
     ++verdict.came;
-    if (r.left > seen.answered + slack) broke("was sent after its answer");
-    if (!r.yes) continue;  // turned away unseen
-    const bool backend = r.by.kind == PartyKind::kBackend;
+    if (r.left > seen.answered + slack) report("was sent after its answer");
+    if (!r.yes) continue;  // rejected unseen
+    const bool backend = r.by.kind == ActorKind::kBackend;
     const std::vector<int>& places = c.dedup_scope == DedupScope::kCell
                                          ? (backend ? rules.backend_cells : rules.server_cells)
                                          : (backend ? rules.backend_zones : rules.server_zones);
     for (const Ran& before : seen.ran) {
       if (c.idempotency == Idempotency::kNotIdempotent) {
-        broke("ran twice");
+        report("ran twice");
       } else if (c.idempotency == Idempotency::kIdempotentWithKey &&
                  r.left > before.at + c.dedup_window + slack) {
-        broke("was sent again when its key may be forgotten");
+        report("was sent again when its key may be forgotten");
       } else if (c.idempotency == Idempotency::kIdempotentWithKey && c.dedup_scope != DedupScope::kAll &&
                  place_of(places, before.server) != place_of(places, r.by)) {
-        broke("was sent again to where its key is not known");
+        report("was sent again to where its key is not known");
       }
     }
     seen.ran.push_back({r.left > 0 ? r.left : r.t, r.by});
   }
 }
 
-void judge_drains(const History& history, const Rules& rules, Verdict& verdict) {
-  std::map<std::pair<Party, Party>, double> unwanted;  // by node and server: since when
+void check_drains(const History& history, const Rules& rules, Verdict& verdict) {
+  std::map<std::pair<Actor, Actor>, double> unwanted;  // by node and server: since when
   for (const Record& r : history.records) {
-    if (r.what == What::kTold && r.yes) unwanted.erase({r.by, r.to});
-    if (r.what == What::kTold && !r.yes) unwanted.try_emplace({r.by, r.to}, r.t);
+    if (r.what == What::kNotified && r.yes) unwanted.erase({r.by, r.to});
+    if (r.what == What::kNotified && !r.yes) unwanted.try_emplace({r.by, r.to}, r.t);
     // A node that starts again has only the list that it is started with.
     if (r.what == What::kDown || r.what == What::kCrash)
       std::erase_if(unwanted, [&](const auto& entry) { return entry.first.first == r.by; });
-    if (r.what != What::kCame) continue;
+    if (r.what != What::kServerReceived) continue;
     const auto at = unwanted.find({r.to, r.by});
     if (at == unwanted.end()) continue;
     if (r.left > at->second + rules.drain_grace + rules.slack + verdict.latest)
@@ -247,15 +248,15 @@
   }
 }
 
-void judge_cold(const History& history, const Rules& rules, Verdict& verdict) {
+void check_cold_servers(const History& history, const Rules& rules, Verdict& verdict) {
   struct Arrivals {
     std::deque<std::pair<double, double>> late;
     double sum = 0;
     bool fallen = false;
   };
-  std::map<Party, Arrivals> all;
+  std::map<Actor, Arrivals> all;
   for (const Record& r : history.records) {
-    if (r.what != What::kCame) continue;
+    if (r.what != What::kServerReceived) continue;
     Arrivals& a = all[r.by];
     if (r.cold <= 0) {
       a = {};
@@ -278,12 +279,12 @@
   }
 }
 
-void judge_abandoned(const History& history, const Rules& rules, Verdict& verdict) {
+void check_abandoned(const History& history, const Rules& rules, Verdict& verdict) {
   const Excuses excuses(history);
   std::unordered_map<std::string, const Record*> left;
   for (const Record& r : history.records) {
-    if (r.what == What::kGaveUp) left[r.id] = &r;
-    if (r.what != What::kCame) continue;
+    if (r.what == What::kClientLeft) left[r.id] = &r;
+    if (r.what != What::kServerReceived) continue;
     const auto at = left.find(r.id);
     if (at == left.end() || r.left <= at->second->t + rules.abandoned + verdict.latest) continue;
     // A close that can't reach the node is not known to it; that it was stopped is no excuse.
@@ -295,16 +296,16 @@
   }
 }
 
-Verdict judge(const History& history, const Rules& rules) {
+Verdict check_history(const History& history, const Rules& rules) {
   Verdict out;
-  judge_sight(history, rules, out);
-  judge_answers(history, rules, out);
-  judge_effects(history, rules, out);
-  judge_drains(history, rules, out);
-  judge_cold(history, rules, out);
-  judge_abandoned(history, rules, out);
-  judge_views(history, rules, out);
-  judge_levels(history, rules, out);
+  check_completeness(history, rules, out);
+  check_final_answers(history, rules, out);
+  check_double_effects(history, rules, out);
+  check_drains(history, rules, out);
+  check_cold_servers(history, rules, out);
+  check_abandoned(history, rules, out);
+  check_views(history, rules, out);
+  check_usage(history, rules, out);
   if (out.asked == 0) out.blind.emplace_back("nobody asked anything");
   return out;
 }
--- a/fleet_rig/history/checkers.h
+++ b/fleet_rig/history/checkers.h
@@ -1,9 +1,9 @@
-// What a fleet's history says of the rules, over all its processes. Each judge reads the history alone, and
+// What a fleet's history says of the rules, over all its processes. Each checker reads the history alone, and
 // is pure.
 //
 // What nobody can have promised is excused: an answer of a node that was killed or stopped meanwhile, or that
-// had to come over a link that was broken. What a judge needs and can't see makes it blind, and a run with a
-// blind judge has not passed.
+// had to come over a link that was broken. What a checker needs and can't see makes it blind, and a run with
+// a blind checker has not passed.
 #pragma once
 
 #include <string>
@@ -21,7 +21,7 @@
   double fall_multiple = 4;  // x what a cold server can do at that moment ...
   double fall_s = 1;         // ... for this long
   double slack = 0.05;       // s; how late a time limit may be met
-  double abandoned = 0.1;    // s; sends for a caller who has closed may go on for so long
+  double abandoned = 0.1;    // s; sends for a client who has closed may go on for so long
   double views_within = 0;   // s; see bench::Scenario
   double most_late = 1;      // s; a rig that ran later than this has measured nothing
 
@@ -37,7 +37,7 @@
 
 struct Verdict {
   std::vector<Finding> broken;
-  std::vector<std::string> blind;  // what a judge could not see
+  std::vector<std::string> blind;  // what a checker could not see
   double latest = 0;               // s; the rig's own worst lateness. All slacks are longer by it.
   std::uint64_t asked = 0, came = 0, excused = 0;  // what was judged, and what was not
   bool void_run = false;
@@ -45,20 +45,20 @@
   std::size_t of(const std::string& rule) const;
 };
 
-Verdict judge(const History& history, const Rules& rules);
+Verdict check_history(const History& history, const Rules& rules);
 
 // Each by itself; `verdict.latest` has to be known.
-void judge_sight(const History& history, const Rules& rules, Verdict& verdict);
-void judge_answers(const History& history, const Rules& rules, Verdict& verdict);
-void judge_effects(const History& history, const Rules& rules, Verdict& verdict);
-void judge_drains(const History& history, const Rules& rules, Verdict& verdict);
-void judge_cold(const History& history, const Rules& rules, Verdict& verdict);
+void check_completeness(const History& history, const Rules& rules, Verdict& verdict);
+void check_final_answers(const History& history, const Rules& rules, Verdict& verdict);
+void check_double_effects(const History& history, const Rules& rules, Verdict& verdict);
+void check_drains(const History& history, const Rules& rules, Verdict& verdict);
+void check_cold_servers(const History& history, const Rules& rules, Verdict& verdict);
 // fleet-views: a node that says that it reckons with fewer nodes than there are (`bound-kept` in its words),
 // or sees another fleet than there is though nothing has changed for `views_within`.
-void judge_views(const History& history, const Rules& rules, Verdict& verdict);
+void check_views(const History& history, const Rules& rules, Verdict& verdict);
 // levels: a node that holds more descriptors or memory long after the last fault than any did before the
-// first. Days that begin with a fault, or end soon after one, say nothing of it.
-void judge_levels(const History& history, const Rules& rules, Verdict& verdict);
-void judge_abandoned(const History& history, const Rules& rules, Verdict& verdict);
+// first. Scenarios that begin with a fault, or end soon after one, say nothing of it.
+void check_usage(const History& history, const Rules& rules, Verdict& verdict);
+void check_abandoned(const History& history, const Rules& rules, Verdict& verdict);
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/history/figures.cpp
+++ b/fleet_rig/history/figures.cpp
@@ -43,8 +43,8 @@
     last = std::max(last, std::isfinite(to) ? to : from);
   }
   const auto before = static_cast<std::size_t>(first);
-  const Part usual = before > 0 ? sum(f.seconds, 0, before) : sum(f.seconds, 0, f.seconds.size());
-  const double wanted = kWellAgain * usual.share();
+  const Part idle_latency = before > 0 ? sum(f.seconds, 0, before) : sum(f.seconds, 0, f.seconds.size());
+  const double wanted = kWellAgain * idle_latency.share();
   // From the end backwards: the first second from which all is well.
   std::size_t well = f.seconds.size();
   for (std::size_t i = f.seconds.size(); i-- > static_cast<std::size_t>(last);) {
@@ -65,7 +65,7 @@
   std::map<int, Part> by_node, by_tenant;
   std::map<int, double> by_server;
   std::set<int> disturbed;
-  std::map<Party, Record> usage_first, usage_last;
+  std::map<Actor, Record> usage_first, usage_last;
   std::map<std::string, double> open_faults;
   bench::Histogram latency;
   const auto second_of = [&out](double t) -> Second* {
@@ -75,25 +75,25 @@
   for (const Record& r : history.records) {
     Second* const second = second_of(r.t);
     switch (r.what) {
-      case What::kWant: {
+      case What::kOperationBegan: {
         wants[r.first] = {r.t, r.request_class, r.tenant, -1, false};
         out.wanted += 1;
         if (second != nullptr) second->wanted += 1;
         break;
       }
-      case What::kAsk:
-        if (r.by.kind != PartyKind::kCallers) break;
-        out.tries += 1;
-        if (second != nullptr) second->tries += 1;
+      case What::kRequestSent:
+        if (r.by.kind != ActorKind::kClients) break;
+        out.client_attempts += 1;
+        if (second != nullptr) second->client_attempts += 1;
         wants[r.first].node = r.to.number;
         break;
-      case What::kCame:
-        (r.by.kind == PartyKind::kServer ? out.first_tier : out.second_tier) += 1;
-        if (r.by.kind == PartyKind::kServer) by_server[r.by.number] += 1;
+      case What::kServerReceived:
+        (r.by.kind == ActorKind::kServer ? out.first_tier : out.second_tier) += 1;
+        if (r.by.kind == ActorKind::kServer) by_server[r.by.number] += 1;
         if (second != nullptr)
-          (r.by.kind == PartyKind::kServer ? second->first_tier : second->second_tier) += 1;
+          (r.by.kind == ActorKind::kServer ? second->first_tier : second->second_tier) += 1;
         break;
-      case What::kEnd: {
+      case What::kOperationEnded: {
         Want& want = wants[r.first];
         want.ended = true;
         Second* const then = second_of(want.at);
@@ -101,7 +101,7 @@
         Part& tenant = by_tenant[want.tenant];
         node.wanted += 1;
         tenant.wanted += 1;
-        const RequestClass& c = scenario.classes.at(static_cast<std::size_t>(want.request_class)).told;
+        const RequestClass& c = scenario.classes.at(static_cast<std::size_t>(want.request_class)).settings;
         if (r.status == 200) {
           const bool in_time = r.t - want.at <= c.latency_objective;
           out.served += 1;
@@ -114,9 +114,9 @@
             then->in_time += in_time ? 1 : 0;
           }
         } else {
-          const bool refused = r.status == 429 || r.status == 503;
-          (refused ? out.refused : out.failed) += 1;
-          if (then != nullptr) (refused ? then->refused : then->failed) += 1;
+          const bool rejected = r.status == 429 || r.status == 503;
+          (rejected ? out.rejected : out.failed) += 1;
+          if (then != nullptr) (rejected ? then->rejected : then->failed) += 1;
         }
         break;
       }
@@ -130,9 +130,9 @@
         }
         break;
       case What::kDown:
-      case What::kAway:
+      case What::kPaused:
       case What::kTerm:
-        if (r.by.kind == PartyKind::kNode) disturbed.insert(r.by.number);
+        if (r.by.kind == ActorKind::kNode) disturbed.insert(r.by.number);
         break;
       case What::kUsage:
         usage_first.try_emplace(r.by, r);
@@ -146,9 +146,9 @@
     }
   }
   for (const auto& [note, from] : open_faults) out.faults.emplace_back(from, scenario.seconds);
-  const double usual = out.wanted / std::max(1.0, scenario.seconds);
+  const double idle_latency = out.wanted / std::max(1.0, scenario.seconds);
   for (const Second& s : out.seconds) {
-    if (s.wanted < usual / 10) continue;
+    if (s.wanted < idle_latency / 10) continue;
     out.worst_second = std::min(out.worst_second, s.served / s.wanted);
     out.most_first_tier = std::max(out.most_first_tier, s.first_tier / s.wanted);
   }
@@ -170,15 +170,15 @@
     out.most_server =
         std::max(out.most_server, came * static_cast<double>(scenario.servers.size()) / out.first_tier);
   double cpu = 0;
-  for (const auto& [party, last] : usage_last) {
+  for (const auto& [actor, last] : usage_last) {
     out.memory_kb = std::max(out.memory_kb, static_cast<double>(last.status));
     out.descriptors = std::max(out.descriptors, last.count);
     cpu += last.work;
-    const Record& before = usage_first.at(party);
+    const Record& before = usage_first.at(actor);
     out.memory_grown_kb = std::max(out.memory_grown_kb, static_cast<double>(last.status - before.status));
   }
-  out.cpu_us = out.tries > 0 ? 1e6 * cpu / out.tries : 0;
-  out.tries /= std::max(1.0, out.wanted);
+  out.cpu_us = out.client_attempts > 0 ? 1e6 * cpu / out.client_attempts : 0;
+  out.client_attempts /= std::max(1.0, out.wanted);
   out.first_tier /= std::max(1.0, out.wanted);
   out.second_tier /= std::max(1.0, out.wanted);
   out.p50 = latency.quantile(0.5);
--- a/fleet_rig/history/figures.h
+++ b/fleet_rig/history/figures.h
@@ -10,17 +10,18 @@
 
 namespace thymewood::fleet {
 
-// One second of a day, by when the callers wanted.
+// One second of a run, by when the clients wanted.
 struct Second {
-  double wanted = 0, served = 0, in_time = 0, refused = 0, failed = 0;
-  double tries = 0, first_tier = 0, second_tier = 0;  // requests that came to nodes, servers, backends in it
-  double connections = 0;                             // open at servers at its end
+  double wanted = 0, served = 0, in_time = 0, rejected = 0, failed = 0;
+  double client_attempts = 0, first_tier = 0,
+         second_tier = 0;  // requests that came to nodes, servers, backends in it
+  double connections = 0;  // open at servers at its end
 };
 
 struct Figures {
-  double wanted = 0, served = 0, in_time = 0, refused = 0, failed = 0;
-  double tries = 0;                        // by callers, a first try
-  double first_tier = 0, second_tier = 0;  // attempts that came to servers and to backends, a first try
+  double wanted = 0, served = 0, in_time = 0, rejected = 0, failed = 0;
+  double client_attempts = 0;              // by clients, a first attempt
+  double first_tier = 0, second_tier = 0;  // attempts that came to servers and to backends, a first attempt
   double most_first_tier = 0;              // the highest of any second with a tenth of the usual load
   double p50 = 0, p99 = 0;                 // s; of what was served
   double worst_second = 1;                 // least part served of any second with a tenth of the usual load
@@ -31,7 +32,7 @@
   double memory_kb = 0,
          memory_grown_kb = 0;  // the largest node's at the end, and the most that one has grown
   int descriptors = 0;         // the most that any node had at the end
-  double cpu_us = 0;           // of all nodes, for each try
+  double cpu_us = 0;           // of all nodes, for each attempt
   std::vector<Second> seconds;
   std::vector<std::pair<double, double>> faults;  // from, to
   double served_part() const { return wanted > 0 ? served / wanted : 1; }
--- a/fleet_rig/history/history_writer.cpp
+++ b/fleet_rig/history/history_writer.cpp
@@ -4,15 +4,15 @@
 
 namespace thymewood::fleet {
 
-Historian::Historian(const std::string& path) : path_(path), out_(path, std::ios::trunc) {
+HistoryWriter::HistoryWriter(const std::string& path) : path_(path), out_(path, std::ios::trunc) {
   if (!out_) throw std::runtime_error(path + ": cannot be written");
 }
 
-Historian::Steady::time_point Historian::time_of(double seconds) const {
+HistoryWriter::Steady::time_point HistoryWriter::time_of(double seconds) const {
   return begin_ + std::chrono::duration_cast<Steady::duration>(std::chrono::duration<double>(seconds));
 }
 
-void Historian::begin(double after) {
+void HistoryWriter::begin(double after) {
   begin_ = Steady::now();
   begin_ = time_of(after);
   begun_ = true;
@@ -23,7 +23,7 @@
   held_.clear();
 }
 
-void Historian::add(Record record) {
+void HistoryWriter::add(Record record) {
   if (!begun_) {
     held_.emplace_back(Steady::now(), std::move(record));
     return;
@@ -32,7 +32,7 @@
   out_ << to_line(record) << '\n';
 }
 
-void Historian::flush() {
+void HistoryWriter::flush() {
   if (!out_.flush()) throw std::runtime_error(path_ + ": could not be written whole");
 }
 
--- a/fleet_rig/history/history_writer.h
+++ b/fleet_rig/history/history_writer.h
@@ -11,11 +11,11 @@
 
 namespace thymewood::fleet {
 
-class Historian {
+class HistoryWriter {
  public:
   using Steady = std::chrono::steady_clock;
   // Throws std::runtime_error when the file can't be written.
-  explicit Historian(const std::string& path);
+  explicit HistoryWriter(const std::string& path);
 
   // The run begins `after` seconds from now. Until then records are held back, and times count from the
   // making of this; no time that now() gave before may be used after.
@@ -27,7 +27,7 @@
 
   // Its time is now, unless it has one already.
   void add(Record record);
-  // A file that could not be written whole would let judges see less than was.
+  // A file that could not be written whole would let checkers see less than was.
   void flush();
 
  private:
--- a/fleet_rig/history/record.cpp
+++ b/fleet_rig/history/record.cpp
@@ -34,11 +34,11 @@
   out.Key(key);
   out.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
 }
-void put(Writer& out, const char* key, const Party& party) {
+void put(Writer& out, const char* key, const Actor& actor) {
   out.Key(key);
   out.StartArray();
-  out.Int(static_cast<int>(party.kind));
-  out.Int(party.number);
+  out.Int(static_cast<int>(actor.kind));
+  out.Int(actor.number);
   out.EndArray();
 }
 
@@ -59,7 +59,7 @@
     constexpr int kKinds = 6;
     if (value.IsArray() && value.Size() == 2 && value[0].IsInt() && value[1].IsInt() &&
         value[0].GetInt() >= 0 && value[0].GetInt() < kKinds)
-      out = {static_cast<PartyKind>(value[0].GetInt()), value[1].GetInt()};
+      out = {static_cast<ActorKind>(value[0].GetInt()), value[1].GetInt()};
   }
 }
 
--- a/fleet_rig/history/record.h
+++ b/fleet_rig/history/record.h
@@ -1,5 +1,5 @@
-// What the parties of a fleet saw, a record an event, as JSON lines. All times are seconds on one clock
-// (CLOCK_MONOTONIC) since the run began. Judges read nothing else.
+// What the actors of a fleet saw, a record an event, as JSON lines. All times are seconds on one clock
+// (CLOCK_MONOTONIC) since the run began. Checkers read nothing else.
 #pragma once
 
 #include <optional>
@@ -11,44 +11,45 @@
 
 namespace thymewood::fleet {
 
-using bench::Party;
-using bench::PartyKind;
+using bench::Actor;
+using bench::ActorKind;
 
 struct Record {
   enum class What {
-    kBegin,   // the run: `limit` seconds of load
-    kParty,   // `by` takes part, from here on it writes what it sees
-    kWant,    // a caller `by` wants something: `first`, to be served whatever it takes
-    kEnd,     // ... and has its last word on it: `status`, 0 where it heard none
-    kAsk,     // a caller `by` has written a request whole, to node `to`; `limit`: it waits until then
-    kAnswer,  // it has a whole answer: `status`, `wait` advised
-    kBroken,  // its connection ended without one
-    kGaveUp,  // it waits no longer, and has closed
-    kCame,  // a server `by` has a request whole, from node `to`; `left`: when its last byte had left the node
-    kDone,  // the server has written its answer: `status`
-    kTold,  // discovery has said to node `by` that server `to` is wanted (`yes`) or not
-    kUp,    // a node or server runs, and can be reached
-    kDown,  // a node or server was ended by the rig
-    kTerm,  // a node was told to end by SIGTERM
-    kAway,  // a node is stopped or starved from here ...
-    kBack,  // ... to here
-    kCrash,     // a node ended by itself
-    kFault,     // `note` is in force
-    kHealed,    // `note` is over
-    kBadLink,   // between `by` and `to` nothing is sure from here ...
-    kGoodLink,  // ... to here
+    kBegin,           // the run: `limit` seconds of load
+    kActorJoined,     // `by` takes part, from here on it writes what it sees
+    kOperationBegan,  // a client `by` wants something: `first`, to be served whatever it takes
+    kOperationEnded,  // ... and has its last word on it: `status`, 0 where it heard none
+    kRequestSent,     // a client `by` has written a request whole, to node `to`; `limit`: it waits until then
+    kResponse,        // it has a whole answer: `status`, `wait` advised
+    kConnectionBroken,  // its connection ended without one
+    kClientLeft,        // it waits no longer, and has closed
+    kServerReceived,    // a server `by` has a request whole, from node `to`; `left`: when its last byte had
+                        // left the node
+    kServerAnswered,    // the server has written its answer: `status`
+    kNotified,          // discovery has said to node `by` that server `to` is wanted (`yes`) or not
+    kUp,                // a node or server runs, and can be reached
+    kDown,              // a node or server was ended by the rig
+    kTerm,              // a node was told to end by SIGTERM
+    kPaused,            // a node is stopped or starved from here ...
+    kResumed,           // ... to here
+    kCrash,             // a node ended by itself
+    kFault,             // `note` is in force
+    kHealed,            // `note` is over
+    kBadLink,           // between `by` and `to` nothing is sure from here ...
+    kGoodLink,          // ... to here
     kUsage,  // of a node: cpu `work` s so far, memory `status` kB, descriptors `count`, `tier` of them kept
-             // open by its callers
+             // open by its clients
     kOpen,   // `count` connections are open at all servers
     kView,   // node `by` says in its log how it sees the fleet: `note`, see views.h
     kLate,   // the rig itself ran late by `work` s
     kClosed  // `by` has written all that it saw
   };
   double t = 0;
-  What what = What::kParty;
-  Party by, to;
+  What what = What::kActorJoined;
+  Actor by, to;
   std::string id;     // of the request; unlike any other
-  std::string first;  // of the caller's first try of this; a first try's own id
+  std::string first;  // of the client's first attempt of this; a first attempt's own id
   int request_class = 0, tenant = 0, tier = 0, count = 0;
   int status = 0;
   bool yes = false;
--- a/fleet_rig/history/usage_checker.cpp
+++ b/fleet_rig/history/usage_checker.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using What = Record::What;
-constexpr double kBefore = 2;  // s of a day without a disturbance; less says nothing of a level
+constexpr double kBefore = 2;  // s of a run without a disturbance; less says nothing of a level
 constexpr double kAfter = 8;   // s; idle connections are closed within 5, then what was held for them is free
 constexpr double kMoreDescriptors = 1.5, kFewDescriptors = 32;
 constexpr double kMoreMemory = 1.25, kLittleMemory = 8192;  // kB; an allocator keeps some of what it had
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-void judge_levels(const History& history, const Rules&, Verdict& verdict) {
+void check_usage(const History& history, const Rules&, Verdict& verdict) {
   double first = std::numeric_limits<double>::infinity(), last = 0, end = 0;
   for (const Record& r : history.records) {
     if (disturbs(r)) {
@@ -41,7 +41,7 @@
   }
   if (first < kBefore || end < last + kAfter) return;
   double descriptors = 0, memory = 0;
-  std::map<Party, const Record*> newest;
+  std::map<Actor, const Record*> newest;
   for (const Record& r : history.records) {
     if (r.what != What::kUsage) continue;
     newest[r.by] = &r;
@@ -53,18 +53,18 @@
     verdict.blind.emplace_back("no node's usage before the first fault");
     return;
   }
-  for (const auto& [party, r] : newest) {
+  for (const auto& [actor, r] : newest) {
     if (r->t < end - 2) continue;         // it had ended
-    const int held = r->count - r->tier;  // what callers keep open is theirs to close
+    const int held = r->count - r->tier;  // what clients keep open is theirs to close
     if (held > kMoreDescriptors * descriptors + kFewDescriptors)
       verdict.broken.push_back({"levels",
-                                bench::name_of(party) + " holds " + std::to_string(held) +
+                                bench::name_of(actor) + " holds " + std::to_string(held) +
                                     " descriptors at the end, and none held more than " +
                                     std::to_string(static_cast<int>(descriptors)) + " before",
                                 r->t});
     if (r->status > kMoreMemory * memory + kLittleMemory)
       verdict.broken.push_back({"levels",
-                                bench::name_of(party) + " takes " + std::to_string(r->status) +
+                                bench::name_of(actor) + " takes " + std::to_string(r->status) +
                                     " kB at the end, and none took more than " +
                                     std::to_string(static_cast<int>(memory)) + " before",
                                 r->t});
--- a/fleet_rig/history/views.cpp
+++ b/fleet_rig/history/views.cpp
@@ -15,7 +15,7 @@
 // have been read.
 constexpr double kHeard = 2;
 
-bool is_node(const Party& party) { return party.kind == PartyKind::kNode; }
+bool is_node(const Actor& party) { return party.kind == ActorKind::kNode; }
 
 }  // namespace
 
@@ -31,11 +31,11 @@
   return out;
 }
 
-void judge_views(const History& history, const Rules& rules, Verdict& verdict) {
+void check_views(const History& history, const Rules& rules, Verdict& verdict) {
   if (rules.views_within <= 0) return;
-  std::map<Party, double> up;  // since when
-  std::set<Party> away, leaving;
-  std::map<Party, SeenView> views;
+  std::map<Actor, double> up;  // since when
+  std::set<Actor> away, leaving;
+  std::map<Actor, SeenView> views;
   int bad_links = 0;
   double changed = 0, end = 0;
   bool looked = true;
@@ -78,7 +78,7 @@
     }
     const bool node = is_node(r.by);
     const bool change = (node && (r.what == What::kUp || r.what == What::kDown || r.what == What::kCrash ||
-                                  r.what == What::kAway || r.what == What::kBack || r.what == What::kTerm)) ||
+                                  r.what == What::kPaused || r.what == What::kResumed || r.what == What::kTerm)) ||
                         r.what == What::kBadLink || r.what == What::kGoodLink;
     look(r.t);
     if (!change) continue;
@@ -91,8 +91,8 @@
       away.erase(r.by);
       views.erase(r.by);
     }
-    if (r.what == What::kAway) away.insert(r.by);
-    if (r.what == What::kBack) away.erase(r.by);
+    if (r.what == What::kPaused) away.insert(r.by);
+    if (r.what == What::kResumed) away.erase(r.by);
     if (r.what == What::kTerm) leaving.insert(r.by);
     if (r.what == What::kBadLink) ++bad_links;
     if (r.what == What::kGoodLink) --bad_links;
--- a/fleet_rig/mutations.py
+++ b/fleet_rig/mutations.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Plants one fault at a time in the node and plays a day on which a judge has to see it.
+"""Mutation test: plants one fault at a time in the node and runs a scenario in which a checker must report it.
 
     fleet_rig/mutations.py BUILD [NAME ...]
 
 BUILD holds thymewood_fleet (cmake -DTHYMEWOOD_BUILD_BENCH=ON). Each fault is a replacement of a text that stands in its file
-once, so that it fails loudly when the code moves on. The node is built in a clone under a temporary folder; the
-sources here are not touched. Exit status 1 when a judge did not see one. Minutes: no part of CI.
+once, so that a moved text is an error. The node is built in a clone under a temporary folder; the
+sources here are not touched. Exit status 1 when one was not reported. Takes minutes: no part of CI.
 """
 import pathlib
 import re
@@ -14,8 +14,8 @@
 import sys
 import tempfile
 
-# name, file, what stands there, what is planted, day, rule that has to be named (or 'FIGURE op value')
-PLANTED = [
+# name, file, what stands there, what is planted, scenario, rule that has to be named (or 'FIGURE op value')
+MUTATIONS = [
     ('lost_at_sigterm', 'node/main.cpp', 'frontend.drain([&io, &peers] {', 'static_cast<void>([&io, &peers] {',
      'rolling', 'one-final-answer'),
     ('drain_ignored', 'node/member_list.cpp', 'member.server.state = ServerState::kDraining;',
@@ -50,7 +50,7 @@
 ]
 
 # The same for how nodes know each other: name, file, what stands there, what is planted. Seen when membership_tests fail.
-PLANTED_VIEWS = [
+MEMBERSHIP_MUTATIONS = [
     ('objection_ignored', 'membership/detector.cpp', 'if (higher) take(record, from == record.number', 'if (false) take(record, from == record.number'),
     ('never_objects', 'membership/detector.cpp', 'own.incarnation = above + 1;', 'own.incarnation = own.incarnation;'),
     ('suspicion_never_ends', 'membership/detector.cpp', 'if (!e.suspicion || now < deadline_of(*e.suspicion)) continue;', 'continue;'),
@@ -81,29 +81,29 @@
     return subprocess.run(command, text=True, capture_output=True, **more)
 
 
-def plant(scratch, file, old, new, target):
-    """Plants it and builds; what stood there before, and why it could not be done, empty where it was."""
+def apply_mutation(scratch, file, old, new, target):
+    """Applies it and builds; returns the text before, and why it failed (empty on success)."""
     path = scratch / 'src' / file
     text = path.read_text()
     if text.count(old) != 1:
-        return text, f'NOT PLANTED: its text stands {text.count(old)} times in {file}'
+        return text, f'NOT APPLIED: its text stands {text.count(old)} times in {file}'
     path.write_text(text.replace(old, new))
     built = run(['cmake', '--build', scratch / 'build', '-j', '8', '--target', target])
     return text, '' if built.returncode == 0 else 'NOT BUILT ' + built.stderr[-2000:]
 
 
-def plant_views(scratch, wanted):
+def run_membership_mutations(scratch, wanted):
     missed = 0
-    for name, file, old, new in PLANTED_VIEWS:
+    for name, file, old, new in MEMBERSHIP_MUTATIONS:
         if wanted and name not in wanted:
             continue
-        text, why = plant(scratch, file, old, new, 'membership_tests')
+        text, why = apply_mutation(scratch, file, old, new, 'membership_tests')
         if why:
             print(f'| {name} | membership_tests | {why} |', flush=True)
             (scratch / 'src' / file).write_text(text)
             missed += 1
             continue
-        out = run(['timeout', '-s', 'KILL', '120', scratch / 'build/tests/membership_tests', '--gtest_fail_fast'])
+        out = run(['timeout', '-s', 'KILL', '120', scratch / 'build/tests/membership/membership_tests', '--gtest_fail_fast'])
         failed = re.findall(r'^\[  FAILED  \] ([A-Za-z.]+) \(', out.stdout, re.M)
         seen = out.returncode != 0
         what = failed[0] if failed else 'it ended' if out.returncode < 0 else 'nothing'
@@ -124,19 +124,19 @@
         run(['cmake', '-S', scratch / 'src', '-B', scratch / 'build', '-DCMAKE_BUILD_TYPE=Release',
              '-DTHYMEWOOD_BUILD_TESTS=ON'], check=True)
         print('| planted | tests | seen |\n| --- | --- | --- |', flush=True)
-        missed += plant_views(scratch, wanted)
+        missed += run_membership_mutations(scratch, wanted)
         print('| planted | day | has to be seen | seen |\n| --- | --- | --- | --- |', flush=True)
-        for name, file, old, new, day, rule in PLANTED:
+        for name, file, old, new, scenario, rule in MUTATIONS:
             if wanted and name not in wanted:
                 continue
-            text, why = plant(scratch, file, old, new, 'thymewood_program')
+            text, why = apply_mutation(scratch, file, old, new, 'thymewood_program')
             if why:
-                print(f'| {name} | {day} | {rule} | {why} |', flush=True)
+                print(f'| {name} | {scenario} | {rule} | {why} |', flush=True)
                 missed += 1
             else:
-                out = run([build / 'fleet_rig/thymewood_fleet', 'run', top / f'fleet_rig/scenarios/{day}.toml', '--node',
+                out = run([build / 'fleet_rig/thymewood_fleet', 'run', top / f'fleet_rig/scenarios/{scenario}.toml', '--node',
                            scratch / 'build/thymewood', '--logs', scratch / 'logs', '--quiet']).stdout
-                row = [line for line in out.splitlines() if line.startswith(day + ' ')]
+                row = [line for line in out.splitlines() if line.startswith(scenario + ' ')]
                 if '>' in rule:
                     cells = row[0].split() if row else []
                     share = float(cells[9]) / float(cells[8]) if len(cells) > 9 else 0
@@ -144,7 +144,7 @@
                 else:
                     found = re.search(re.escape(rule) + r': (.*)', out)
                     seen, what = found is not None, (found.group(0) if found else 'nothing')
-                print(f'| {name} | {day} | {rule} | {what if seen else "NOT SEEN: " + what} |', flush=True)
+                print(f'| {name} | {scenario} | {rule} | {what if seen else "NOT SEEN: " + what} |', flush=True)
                 missed += 0 if seen else 1
             (scratch / 'src' / file).write_text(text)
     finally:
--- a/fleet_rig/net/address_block.h
+++ b/fleet_rig/net/address_block.h
@@ -1,4 +1,4 @@
-// A block of loopback addresses, 127.B.x.y, that this process alone uses: each party of a fleet has an
+// A block of loopback addresses, 127.B.x.y, that this process alone uses: each actor of a fleet has an
 // address of its own, so that no port has to be sought, and none can be taken between choice and use. The
 // claim is a socket that listens on 127.B.0.1; the kernel frees it when the process ends, however it ends.
 #pragma once
--- a/fleet_rig/net/link_table.h
+++ b/fleet_rig/net/link_table.h
@@ -1,4 +1,4 @@
-// What happens to what passes between any two parties, one way at a time. Pure: no sockets, no clock. Relays
+// What happens to what passes between any two actors, one way at a time. Pure: no sockets, no clock. Relays
 // ask it for each piece when it is to be delivered; the rig sets it as faults begin and end.
 //
 // Several faults may hold on one link. Each is laid on under a number of its own and taken off by it, so that
@@ -17,7 +17,7 @@
 
 namespace thymewood::fleet {
 
-using bench::Party;
+using bench::Actor;
 using bench::Random;
 using bench::Shape;
 
@@ -48,11 +48,11 @@
 class LinkTable {
  public:
   // Stays where it is for as long as the table lives.
-  Direction& way(const Party& from, const Party& to) { return ways_[{from, to}]; }
-  bool both_open(const Party& a, const Party& b) { return !way(a, b).cut() && !way(b, a).cut(); }
+  Direction& way(const Actor& from, const Actor& to) { return ways_[{from, to}]; }
+  bool both_open(const Actor& a, const Actor& b) { return !way(a, b).cut() && !way(b, a).cut(); }
 
  private:
-  std::map<std::pair<Party, Party>, Direction> ways_;
+  std::map<std::pair<Actor, Actor>, Direction> ways_;
 };
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/net/tcp_relay.cpp
+++ b/fleet_rig/net/tcp_relay.cpp
@@ -117,11 +117,11 @@
     pipe.in.async_read_some(asio::buffer(pipe.room),
                             [self = shared_from_this(), &pipe](error_code bad, std::size_t n) {
                               pipe.reading = false;
-                              if (self->owner_ != nullptr) self->take(pipe, bad, n);
+                              if (self->owner_ != nullptr) self->on_read(pipe, bad, n);
                             });
   }
 
-  void take(Pipe& pipe, error_code bad, std::size_t n) {
+  void on_read(Pipe& pipe, error_code bad, std::size_t n) {
     Piece piece;
     piece.read = Steady::now();
     const double now = seconds_of(piece.read);
@@ -216,7 +216,7 @@
   unsigned short port_ = 0;
 };
 
-TcpRelay::TcpRelay(asio::io_context& io, LinkTable& table, const Party& from, const Party& to,
+TcpRelay::TcpRelay(asio::io_context& io, LinkTable& table, const Actor& from, const Actor& to,
                    const Endpoint& where, const Endpoint& target, std::uint64_t seed)
     : io_(io),
       table_(table),
@@ -273,7 +273,7 @@
 }
 
 // A queue of length 0 holds one connection, and the kernel drops what comes beyond it (listen(2),
-// tcp_abort_on_overflow off). One that a party dialled a moment ago may hold that place already.
+// tcp_abort_on_overflow off). One that an actor opened a moment ago may hold that place already.
 void TcpRelay::fill() {
   error_code ignored;
   ++turn_;
@@ -283,7 +283,7 @@
   fillers_.emplace_back(io_);
   fillers_.back().open(tcp::v4(), ignored);
   // Danger: the library's own connect waits for its end, also on a socket that does not block, and where a
-  // party's dial holds the one place that end is minutes away.
+  // actor's connection attempt holds the one place that end is minutes away.
   fillers_.back().native_non_blocking(true, ignored);
   // Under way, as a rule; it comes up or waits behind another, and both will do.
   std::ignore =
--- a/fleet_rig/net/tcp_relay.h
+++ b/fleet_rig/net/tcp_relay.h
@@ -1,10 +1,10 @@
-// Carries TCP connections between two parties, and does to them what the link table says. One listener stands
+// Carries TCP connections between two actors, and does to them what the link table says. One listener stands
 // for one pair: `from` is told its address as that of `to`.
 //
-// What a relay can't do as a broken network does: a party's kernel sees the relay's kernel, so that bytes are
+// What a relay can't do as a broken network does: an actor's kernel sees the relay's kernel, so that bytes are
 // acknowledged by the relay, and what a cut holds back comes at once when it is healed, without the pauses of
-// a sender that has backed off. New connections are as in a network: while either way is cut a dial never
-// comes up, for the listener's queue is kept full and the kernel drops what comes.
+// a sender that has backed off. New connections are as in a network: while either way is cut a connection
+// attempt never comes up, for the listener's queue is kept full and the kernel drops what comes.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -27,20 +27,20 @@
   using Steady = std::chrono::steady_clock;
   // Of a connection that a relay has made to a target.
   struct Origin {
-    Party from;
+    Actor from;
     Steady::time_point last_read;  // when the last piece that was delivered to the target had left `from`
   };
 
   // Listens at `where`, on a port of the system's choice if it is 0. The table outlives the relay. Throws
   // boost::system::system_error.
-  TcpRelay(boost::asio::io_context& io, LinkTable& table, const Party& from, const Party& to,
+  TcpRelay(boost::asio::io_context& io, LinkTable& table, const Actor& from, const Actor& to,
            const Endpoint& where, const Endpoint& target, std::uint64_t seed);
   ~TcpRelay();
   TcpRelay(const TcpRelay&) = delete;
   TcpRelay& operator=(const TcpRelay&) = delete;
 
-  const Party& from() const { return from_; }
-  const Party& to() const { return to_; }
+  const Actor& from() const { return from_; }
+  const Actor& to() const { return to_; }
   const Endpoint& where() const { return where_; }
 
   // The table has changed for this pair: in force when this returns.
@@ -62,7 +62,7 @@
 
   boost::asio::io_context& io_;
   LinkTable& table_;
-  Party from_, to_;
+  Actor from_, to_;
   Endpoint where_, target_;
   Random random_;
   boost::asio::ip::tcp::acceptor acceptor_;
--- a/fleet_rig/net/udp_hub.cpp
+++ b/fleet_rig/net/udp_hub.cpp
@@ -64,11 +64,11 @@
   const auto now = std::chrono::steady_clock::now();
   const double seconds = std::chrono::duration<double>(now.time_since_epoch()).count();
   const std::vector<double> dues =
-      table_.way(peers_[from].party, peers_[to].party).due_datagrams(seconds, bytes.size(), random_);
+      table_.way(peers_[from].actor, peers_[to].actor).due_datagrams(seconds, bytes.size(), random_);
   if (dues.empty()) counts_.dropped += 1;
   const auto send = [this, from, to](const std::string& text) {
     // The way may have been cut while it was under way.
-    if (table_.way(peers_[from].party, peers_[to].party).cut()) {
+    if (table_.way(peers_[from].actor, peers_[to].actor).cut()) {
       counts_.dropped += 1;
       return;
     }
--- a/fleet_rig/net/udp_hub.h
+++ b/fleet_rig/net/udp_hub.h
@@ -21,7 +21,7 @@
  public:
   using Endpoint = boost::asio::ip::udp::endpoint;
   struct Peer {
-    Party party;
+    Actor actor;
     Endpoint face;     // where the others send to
     Endpoint listens;  // the node itself; it sends from here
   };
--- a/fleet_rig/plan/planner.cpp
+++ b/fleet_rig/plan/planner.cpp
@@ -7,11 +7,11 @@
 namespace thymewood::fleet {
 namespace {
 
-using bench::Cast;
-using bench::PartyKind;
+using bench::ActorKind;
 using bench::Random;
 using bench::Scenario;
 using bench::Selector;
+using bench::Topology;
 
 bool is_of_links(Fault::What what) {
   switch (what) {
@@ -52,12 +52,12 @@
 }
 
 // The ways between `who` and `to` (nobody: all others) that there are. One way alone: from `who` to `to`.
-std::vector<Way> ways_between(const Cast& cast, const std::vector<Party>& who, const std::vector<Party>& to,
-                              bool one_way) {
-  const std::set<Party> left(who.begin(), who.end()), named(to.begin(), to.end());
-  const auto is_right = [&](const Party& p) { return named.empty() ? !left.contains(p) : named.contains(p); };
+std::vector<Way> ways_between(const Topology& topology, const std::vector<Actor>& who,
+                              const std::vector<Actor>& to, bool one_way) {
+  const std::set<Actor> left(who.begin(), who.end()), named(to.begin(), to.end());
+  const auto is_right = [&](const Actor& p) { return named.empty() ? !left.contains(p) : named.contains(p); };
   std::set<Way> out;
-  for (const Way& link : links_of(cast)) {
+  for (const Way& link : links_of(topology)) {
     if (left.contains(link.from) && is_right(link.to)) {
       out.insert(link);
       if (!one_way) out.insert({link.to, link.from});
@@ -86,53 +86,54 @@
 
 }  // namespace
 
-std::vector<Way> links_of(const Cast& cast) {
+std::vector<Way> links_of(const Topology& topology) {
   std::vector<Way> out;
   const auto number = [](std::size_t i) { return static_cast<int>(i); };
-  const Party callers{PartyKind::kCallers, 0}, discovery{PartyKind::kDiscovery, 0};
-  for (std::size_t n = 0; n < cast.node_zones.size(); ++n) {
-    const Party node{PartyKind::kNode, number(n)};
+  const Actor callers{ActorKind::kClients, 0}, discovery{ActorKind::kDiscovery, 0};
+  for (std::size_t n = 0; n < topology.node_zones.size(); ++n) {
+    const Actor node{ActorKind::kNode, number(n)};
     out.push_back({callers, node});
     out.push_back({node, discovery});
-    for (std::size_t s = 0; s < cast.server_zones.size(); ++s)
-      out.push_back({node, {PartyKind::kServer, number(s)}});
-    for (std::size_t m = n + 1; m < cast.node_zones.size(); ++m)
-      out.push_back({node, {PartyKind::kNode, number(m)}});
+    for (std::size_t s = 0; s < topology.server_zones.size(); ++s)
+      out.push_back({node, {ActorKind::kServer, number(s)}});
+    for (std::size_t m = n + 1; m < topology.node_zones.size(); ++m)
+      out.push_back({node, {ActorKind::kNode, number(m)}});
   }
-  for (int i = 0; i < cast.inner; ++i) {
-    const Party inner{PartyKind::kInner, i};
-    out.push_back({inner, discovery});
-    for (std::size_t b = 0; b < cast.backend_zones.size(); ++b)
-      out.push_back({inner, {PartyKind::kBackend, number(b)}});
-    for (int j = i + 1; j < cast.inner; ++j) out.push_back({inner, {PartyKind::kInner, j}});
+  for (int i = 0; i < topology.sidecar; ++i) {
+    const Actor sidecar{ActorKind::kSidecar, i};
+    out.push_back({sidecar, discovery});
+    for (std::size_t b = 0; b < topology.backend_zones.size(); ++b)
+      out.push_back({sidecar, {ActorKind::kBackend, number(b)}});
+    for (int j = i + 1; j < topology.sidecar; ++j) out.push_back({sidecar, {ActorKind::kSidecar, j}});
   }
   return out;
 }
 
 std::vector<std::pair<Way, Shape>> standing_shapes(const Scenario& scenario) {
-  const Cast cast = scenario.cast();
+  const Topology topology = scenario.topology();
   Random random(0);
   std::vector<std::pair<Way, Shape>> out;
   for (const bench::LinkRule& rule : scenario.links) {
-    for (const Way& way : ways_between(cast, rule.from.pick(cast, random), rule.to.pick(cast, random), false))
+    for (const Way& way :
+         ways_between(topology, rule.from.pick(topology, random), rule.to.pick(topology, random), false))
       out.emplace_back(way, rule.shape);
   }
   return out;
 }
 
 std::vector<Step> plan(const Scenario& scenario, std::uint64_t seed) {
-  const Cast cast = scenario.cast();
+  const Topology topology = scenario.topology();
   std::vector<Step> out;
   std::uint64_t number = 0;
   for (std::size_t i = 0; i < scenario.faults.size(); ++i) {
     const Fault& f = scenario.faults[i];
     Random random(seed * 1000003 + i);
-    const std::vector<Party> who = f.who.pick(cast, random);
-    const std::vector<Party> to = f.to.pick(cast, random);
+    const std::vector<Actor> who = f.who.pick(topology, random);
+    const std::vector<Actor> to = f.to.pick(topology, random);
     // One after another, or all together.
-    std::vector<std::vector<Party>> turns;
+    std::vector<std::vector<Actor>> turns;
     if (f.stagger > 0) {
-      for (const Party& party : who) turns.push_back({party});
+      for (const Actor& actor : who) turns.push_back({actor});
     } else {
       turns.push_back(who);
     }
@@ -147,7 +148,7 @@
         step.note =
             f.text + ", " + std::to_string(++part) + " of " + std::to_string(turns.size() * spans.size());
         if (is_of_links(f.what)) {
-          step.ways = ways_between(cast, turns[turn], to, f.what == Fault::What::kCutTo);
+          step.ways = ways_between(topology, turns[turn], to, f.what == Fault::What::kCutTo);
           step.shape = shape_of(f);
         } else {
           step.who = turns[turn];
--- a/fleet_rig/plan/planner.h
+++ b/fleet_rig/plan/planner.h
@@ -12,13 +12,13 @@
 
 namespace thymewood::fleet {
 
+using bench::Actor;
 using bench::Fault;
-using bench::Party;
 using bench::Shape;
 
-// One way between two parties.
+// One way between two actors.
 struct Way {
-  Party from, to;
+  Actor from, to;
   auto operator<=>(const Way&) const = default;  // NOLINT(modernize-use-nullptr): a false alarm of the check
 };
 
@@ -32,15 +32,15 @@
   What what = What::kBegins;
   std::size_t fault = 0, change = 0;  // by their places in the file
   std::uint64_t number = 0;           // tells this stretch of a fault from all others
-  std::vector<Party> who;             // machines, or discovery
+  std::vector<Actor> who;             // machines, or discovery
   std::vector<Way> ways;              // links, each way by itself
   Shape shape;                        // what is laid on `ways`
   std::string note;                   // "cut zone:1, 2nd of 5"
 };
 
-// All links that there are: callers to nodes, nodes to servers, discovery and each other; nodes of servers to
+// All links that there are: clients to nodes, nodes to servers, discovery and each other; nodes of servers to
 // the second tier and to discovery. Each pair once, as it is dialled.
-std::vector<Way> links_of(const bench::Cast& cast);
+std::vector<Way> links_of(const bench::Topology& topology);
 
 // What [[link]] rules lay on each way from the beginning; a later rule is laid on top of an earlier one.
 std::vector<std::pair<Way, Shape>> standing_shapes(const bench::Scenario& scenario);
