--- a/fleet_rig/run/fleet.cpp
+++ b/fleet_rig/run/fleet.cpp
@@ -25,7 +25,7 @@
 
 namespace {
 
-// The third part of an address says what stands there; the fourth is the party's number + 1.
+// The third part of an address says what stands there; the fourth is the actor's number + 1.
 constexpr int kNodes = 1, kServers = 2, kDiscovery = 3, kFaces = 4, kInners = 5, kBackends = 6,
               kInnerFaces = 7;
 constexpr int kToNodes = 10, kOfNodes = 11, kToInners = 12, kOfInners = 13;
@@ -33,7 +33,7 @@
 constexpr unsigned short kHttp = 8081, kCatalog = 8500, kPeer = 7946, kFirstRelay = 9000;
 
 constexpr double kUpWithin = 20;       // s; for all nodes to come up
-constexpr double kAfterwards = 30;     // s; after the day's end, for what is still under way
+constexpr double kDrainTime = 30;      // s; after the run's end, for what is still under way
 constexpr double kTick = 0.005;        // s; how often the rig looks how late it is
 constexpr double kWorthNoting = 0.02;  // s; lateness that goes into the history
 constexpr double kLookAtNodes = 0.05;  // s
@@ -57,7 +57,7 @@
   setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-// Loaded only where a day needs it: without it a node is as it is shipped.
+// Loaded only where a run needs it: without it a node is as it is shipped.
 bool wants_shim(const bench::Scenario& scenario) {
   return std::any_of(scenario.faults.begin(), scenario.faults.end(), [](const Fault& f) {
     return f.what == Fault::What::kDiskFails || f.what == Fault::What::kDiskReadOnly ||
@@ -74,14 +74,14 @@
 
 Fleet::Fleet(const bench::Scenario& scenario, Options options)
     : scenario_(scenario),
-      cast_(scenario.cast()),
+      topology_(scenario.topology()),
       options_(std::move(options)),
       addresses_(io_),
       history_(made(options_.folder) + "/history.jsonl"),
       tick_(io_),
       look_(io_) {
   raise_descriptors();
-  if (scenario_.copies > kMostMembers || scenario_.servers.size() > kMostMembers ||
+  if (scenario_.replicas > kMostMembers || scenario_.servers.size() > kMostMembers ||
       scenario_.backends.size() > kMostMembers)
     throw std::runtime_error(scenario_.name +
                              ": a fleet has at most 250 of nodes, servers and backends each");
@@ -93,10 +93,10 @@
 // ---------------------------------------------------------------- who there is
 
 void Fleet::build() {
-  for (const Party& party : cast_.everyone()) {
-    if (party.kind != PartyKind::kNode && party.kind != PartyKind::kInner) continue;
-    Node& node = nodes_[party];
-    const std::string folder = options_.folder + "/" + bench::name_of(party);
+  for (const Actor& actor : topology_.everyone()) {
+    if (actor.kind != ActorKind::kNode && actor.kind != ActorKind::kSidecar) continue;
+    Node& node = nodes_[actor];
+    const std::string folder = options_.folder + "/" + bench::name_of(actor);
     Machine::Options machine{options_.program, folder, options_.environment, 0,
                              wants_shim(scenario_) ? FLEET_SHIM : ""};
     machine.environment.push_back("RELAY_CONFIG=" + std::filesystem::absolute(folder).string() +
@@ -106,109 +106,109 @@
                                     "/operators.toml");
     node.machine = std::make_unique<Machine>(machine);
   }
-  discovery_ = std::make_unique<Discovery>(
+  discovery_ = std::make_unique<DiscoveryStandIn>(
       io_, scenario_, history_, addresses_.tcp(kDiscovery, 1, kCatalog),
-      Discovery::Access{
+      DiscoveryStandIn::Access{
           [this](unsigned short port) -> std::optional<TcpRelay::Origin> {
             for (const auto& [ends, relay] : relays_) {
-              if (ends.second != kTheDiscovery) continue;
+              if (ends.second != kDiscoveryActor) continue;
               if (const auto origin = relay->origin(port)) return origin;
             }
             return std::nullopt;
           },
-          [this](const Party& node, const Party& server) { return text_of(relay(node, server).where()); },
-          [this](const Party& node) { return !links_.way(kTheDiscovery, node).cut(); }},
+          [this](const Actor& node, const Actor& server) { return text_of(relay(node, server).where()); },
+          [this](const Actor& node) { return !links_.way(kDiscoveryActor, node).cut(); }},
       options_.seed ^ 0xD15C);
   build_relays();
   build_servers();
-  std::vector<Asker::Endpoint> fronts;
-  fronts.reserve(static_cast<std::size_t>(scenario_.copies));
-  for (int i = 0; i < scenario_.copies; ++i)
-    fronts.push_back(relay(kTheCallers, {PartyKind::kNode, i}).where());
-  callers_ = std::make_unique<Callers>(io_, scenario_, history_, fronts, options_.seed);
+  std::vector<HttpClient::Endpoint> fronts;
+  fronts.reserve(static_cast<std::size_t>(scenario_.replicas));
+  for (int i = 0; i < scenario_.replicas; ++i)
+    fronts.push_back(relay(kClientsActor, {ActorKind::kNode, i}).where());
+  clients_ = std::make_unique<ClientPool>(io_, scenario_, history_, fronts, options_.seed);
 }
 
 void Fleet::build_relays() {
   for (const auto& [way, shape] : standing_shapes(scenario_))
     links_.way(way.from, way.to).lay(std::numeric_limits<std::uint64_t>::max() - relays_.size(), shape);
   std::vector<UdpHub::Peer> peers;
-  for (const auto& [party, node] : nodes_) {
-    const bool inner = party.kind == PartyKind::kInner;
-    const int member = party.number + 1;
-    const auto add = [&](const Party& from, const Party& to, const TcpRelay::Endpoint& where,
+  for (const auto& [actor, node] : nodes_) {
+    const bool sidecar = actor.kind == ActorKind::kSidecar;
+    const int member = actor.number + 1;
+    const auto add = [&](const Actor& from, const Actor& to, const TcpRelay::Endpoint& where,
                          const TcpRelay::Endpoint& target) {
       relays_[{from, to}] =
           std::make_unique<TcpRelay>(io_, links_, from, to, where, target, options_.seed + relays_.size());
     };
-    const Party caller = inner ? Party{PartyKind::kServer, party.number} : kTheCallers;
-    add(caller, party, addresses_.tcp(inner ? kToInners : kToNodes, member, kHttp),
-        addresses_.tcp(inner ? kInners : kNodes, member, kHttp));
-    const int own = inner ? kOfInners : kOfNodes;
-    add(party, kTheDiscovery, addresses_.tcp(own, member, kCatalog), discovery_->where());
-    const std::size_t targets = inner ? scenario_.backends.size() : scenario_.servers.size();
+    const Actor caller = sidecar ? Actor{ActorKind::kServer, actor.number} : kClientsActor;
+    add(caller, actor, addresses_.tcp(sidecar ? kToInners : kToNodes, member, kHttp),
+        addresses_.tcp(sidecar ? kInners : kNodes, member, kHttp));
+    const int own = sidecar ? kOfInners : kOfNodes;
+    add(actor, kDiscoveryActor, addresses_.tcp(own, member, kCatalog), discovery_->where());
+    const std::size_t targets = sidecar ? scenario_.backends.size() : scenario_.servers.size();
     for (std::size_t i = 0; i < targets; ++i) {
       const int number = static_cast<int>(i);
-      add(party, {inner ? PartyKind::kBackend : PartyKind::kServer, number},
+      add(actor, {sidecar ? ActorKind::kBackend : ActorKind::kServer, number},
           addresses_.tcp(own, member, static_cast<unsigned short>(kFirstRelay + number)),
-          addresses_.tcp(inner ? kBackends : kServers, number + 1, kHttp));
+          addresses_.tcp(sidecar ? kBackends : kServers, number + 1, kHttp));
     }
-    peers.push_back({party, addresses_.udp(inner ? kInnerFaces : kFaces, member, kPeer),
-                     addresses_.udp(inner ? kInners : kNodes, member, kPeer)});
+    peers.push_back({actor, addresses_.udp(sidecar ? kInnerFaces : kFaces, member, kPeer),
+                     addresses_.udp(sidecar ? kInners : kNodes, member, kPeer)});
   }
   if (!scenario_.peers) return;
-  std::erase_if(peers, [](const UdpHub::Peer& p) { return p.party.kind == PartyKind::kInner; });
+  std::erase_if(peers, [](const UdpHub::Peer& p) { return p.actor.kind == ActorKind::kSidecar; });
   hub_ = std::make_unique<UdpHub>(io_, links_, peers, addresses_.udp(kFaces, kAll, kPeer), options_.seed);
 }
 
 void Fleet::build_servers() {
-  const auto add = [this](const Party& party, const bench::ScenarioServer& spec, int group) {
-    Asker* calls = nullptr;
-    const Party inner{PartyKind::kInner, party.number};
-    if (party.kind == PartyKind::kServer && scenario_.chain.calls > 0) {
-      nodes_.at(inner).calls =
-          std::make_unique<Asker>(io_, history_, party, inner, relay(party, inner).where());
-      calls = nodes_.at(inner).calls.get();
+  const auto add = [this](const Actor& actor, const bench::ScenarioServer& spec, int group) {
+    HttpClient* calls = nullptr;
+    const Actor sidecar{ActorKind::kSidecar, actor.number};
+    if (actor.kind == ActorKind::kServer && scenario_.chain.calls > 0) {
+      nodes_.at(sidecar).calls =
+          std::make_unique<HttpClient>(io_, history_, actor, sidecar, relay(actor, sidecar).where());
+      calls = nodes_.at(sidecar).calls.get();
     }
-    const auto origin = [this, party](unsigned short port) -> std::optional<TcpRelay::Origin> {
+    const auto origin = [this, actor](unsigned short port) -> std::optional<TcpRelay::Origin> {
       for (const auto& [node, held] : nodes_) {
-        const auto at = relays_.find({node, party});
+        const auto at = relays_.find({node, actor});
         if (at == relays_.end()) continue;
         if (const auto found = at->second->origin(port)) return found;
       }
       return std::nullopt;
     };
-    servers_[party] = std::make_unique<Server>(io_, scenario_, history_, party, spec,
-                                               addresses_.tcp(group, party.number + 1, kHttp), origin, calls,
-                                               options_.seed * 7919 + servers_.size());
+    servers_[actor] = std::make_unique<ServerStandIn>(io_, scenario_, history_, actor, spec,
+                                                      addresses_.tcp(group, actor.number + 1, kHttp), origin,
+                                                      calls, options_.seed * 7919 + servers_.size());
   };
   for (std::size_t i = 0; i < scenario_.servers.size(); ++i)
-    add({PartyKind::kServer, static_cast<int>(i)}, scenario_.servers[i], kServers);
+    add({ActorKind::kServer, static_cast<int>(i)}, scenario_.servers[i], kServers);
   for (std::size_t i = 0; i < scenario_.backends.size(); ++i)
-    add({PartyKind::kBackend, static_cast<int>(i)}, scenario_.backends[i], kBackends);
+    add({ActorKind::kBackend, static_cast<int>(i)}, scenario_.backends[i], kBackends);
 }
 
-TcpRelay& Fleet::relay(const Party& from, const Party& to) { return *relays_.at({from, to}); }
-
-void Fleet::write_config(const Party& party) {
-  const bool inner = party.kind == PartyKind::kInner;
-  const int member = party.number + 1;
-  Node& node = nodes_.at(party);
-  NodeTold told;
-  told.name = bench::name_of(party);
-  told.listen = text_of(addresses_.tcp(inner ? kInners : kNodes, member, kHttp));
-  told.discovery = text_of(relay(party, kTheDiscovery).where());
-  told.seed = options_.seed * 1000003 + static_cast<std::uint64_t>(member) * 1009 +
-              static_cast<std::uint64_t>(node.lives) * (inner ? 31 : 17);
-  told.position = party.number;
-  told.count = inner ? cast_.inner : scenario_.copies;
-  told.tier = inner ? 1 : 0;
-  told.zone = cast_.zone_of(party);
-  told.known = discovery_->known(party);
-  if (hub_ && !inner) {
-    told.peer_listen = text_of(addresses_.udp(kNodes, member, kPeer));
-    told.peers_all = text_of(hub_->all());
-    for (int i = 0; i < scenario_.copies; ++i)
-      told.peers.push_back(text_of(hub_->face(static_cast<std::size_t>(i))));
+TcpRelay& Fleet::relay(const Actor& from, const Actor& to) { return *relays_.at({from, to}); }
+
+void Fleet::write_config(const Actor& actor) {
+  const bool sidecar = actor.kind == ActorKind::kSidecar;
+  const int member = actor.number + 1;
+  Node& node = nodes_.at(actor);
+  NodeParameters parameters;
+  parameters.name = bench::name_of(actor);
+  parameters.listen = text_of(addresses_.tcp(sidecar ? kInners : kNodes, member, kHttp));
+  parameters.discovery = text_of(relay(actor, kDiscoveryActor).where());
+  parameters.seed = options_.seed * 1000003 + static_cast<std::uint64_t>(member) * 1009 +
+                    static_cast<std::uint64_t>(node.lives) * (sidecar ? 31 : 17);
+  parameters.position = actor.number;
+  parameters.count = sidecar ? topology_.sidecar : scenario_.replicas;
+  parameters.tier = sidecar ? 1 : 0;
+  parameters.zone = topology_.zone_of(actor);
+  parameters.known = discovery_->known(actor);
+  if (hub_ && !sidecar) {
+    parameters.peer_listen = text_of(addresses_.udp(kNodes, member, kPeer));
+    parameters.peers_all = text_of(hub_->all());
+    for (int i = 0; i < scenario_.replicas; ++i)
+      parameters.peers.push_back(text_of(hub_->face(static_cast<std::size_t>(i))));
   }
   if (!scenario_.operators.empty()) {
     std::ofstream operators(node.machine->folder() + "/operators.toml", std::ios::trunc);
@@ -217,7 +217,7 @@
   }
   const std::string path = node.machine->folder() + "/config.json";
   std::ofstream file(path + ".new", std::ios::trunc);
-  file << node_config(scenario_, told);
+  file << node_config(scenario_, parameters);
   if (!file.flush()) throw std::runtime_error(path + ": cannot be written");
   file.close();
   std::filesystem::rename(path + ".new", path);
@@ -225,26 +225,26 @@
 
 // ---------------------------------------------------------------- machines
 
-void Fleet::start_node(const Party& party) {
-  Node& node = nodes_.at(party);
-  write_config(party);
+void Fleet::start_node(const Actor& actor) {
+  Node& node = nodes_.at(actor);
+  write_config(actor);
   node.machine->start();
   node.lives += 1;
   node.wanted = true;
   node.started_at = history_.now();
-  asio::co_spawn(io_, admit_when_listening(party, node.lives), asio::detached);
-  note(Record::What::kUp, party);
-  if (party.kind == PartyKind::kNode) callers_->expect(party.number);
+  asio::co_spawn(io_, admit_when_listening(actor, node.lives), asio::detached);
+  note(Record::What::kUp, actor);
+  if (actor.kind == ActorKind::kNode) clients_->expect(actor.number);
 }
 
 // Until a process listens its machine refuses connections; a relay would take them, and break them.
-asio::awaitable<void> Fleet::admit_when_listening(Party party, int life) {
+asio::awaitable<void> Fleet::admit_when_listening(Actor actor, int life) {
   constexpr auto kPause = std::chrono::milliseconds(2);
-  const bool inner = party.kind == PartyKind::kInner;
-  const auto where = addresses_.tcp(inner ? kInners : kNodes, party.number + 1, kHttp);
+  const bool sidecar = actor.kind == ActorKind::kSidecar;
+  const auto where = addresses_.tcp(sidecar ? kInners : kNodes, actor.number + 1, kHttp);
   asio::steady_timer timer(io_);
   for (error_code bad = asio::error::connection_refused; bad;) {
-    if (nodes_.at(party).lives != life || !nodes_.at(party).wanted) co_return;
+    if (nodes_.at(actor).lives != life || !nodes_.at(actor).wanted) co_return;
     asio::ip::tcp::socket socket(io_);
     co_await socket.async_connect(where, asio::redirect_error(asio::use_awaitable, bad));
     if (!bad) break;
@@ -252,29 +252,29 @@
     timer.expires_after(kPause);
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
-  if (nodes_.at(party).lives == life && nodes_.at(party).wanted) refuse_to(party, false);
+  if (nodes_.at(actor).lives == life && nodes_.at(actor).wanted) refuse_to(actor, false);
 }
 
-void Fleet::stop_node(const Party& party) {
-  Node& node = nodes_.at(party);
+void Fleet::stop_node(const Actor& actor) {
+  Node& node = nodes_.at(actor);
   node.wanted = false;
   node.machine->kill();
-  refuse_to(party, true);
+  refuse_to(actor, true);
   if (node.calls) node.calls->forget();
-  note(Record::What::kDown, party);
+  note(Record::What::kDown, actor);
 }
 
-asio::awaitable<void> Fleet::restart(Party party, double down) {
-  Node& node = nodes_.at(party);
+asio::awaitable<void> Fleet::restart(Actor actor, double down) {
+  Node& node = nodes_.at(actor);
   if (!node.wanted) co_return;
   double longest = 0;
   for (const bench::LoadClass& c : scenario_.classes)
-    longest = std::max(longest, std::min(c.told.client_timeout, kLongestDeadline));
-  note(Record::What::kTerm, party);
+    longest = std::max(longest, std::min(c.settings.client_timeout, kLongestDeadline));
+  note(Record::What::kTerm, actor);
   const int life = node.lives;
   node.wanted = false;  // it may end by itself now
   node.machine->terminate();
-  if (party.kind == PartyKind::kNode) callers_->lost(party.number, kDealtOn);
+  if (actor.kind == ActorKind::kNode) clients_->lost(actor.number, kDealtOn);
   const double until = history_.now() + longest + kKillAfter;
   asio::steady_timer timer(io_);
   error_code ignored;
@@ -283,15 +283,15 @@
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
   if (node.lives != life) co_return;  // another fault has started it meanwhile
-  stop_node(party);
+  stop_node(actor);
   timer.expires_at(history_.time_of(history_.now() + down));
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-  if (node.lives == life) start_node(party);
+  if (node.lives == life) start_node(actor);
 }
 
 // A share of a core: stopped and running in turn.
-asio::awaitable<void> Fleet::starve(Party party, double share) {
-  Node& node = nodes_.at(party);
+asio::awaitable<void> Fleet::starve(Actor actor, double share) {
+  Node& node = nodes_.at(actor);
   asio::steady_timer timer(io_);
   error_code ignored;
   while (node.starved) {
@@ -306,48 +306,49 @@
 }
 
 // How a node sees the fleet stands in its log; it is put beside what the others saw at the moment it is read.
-void Fleet::look_at_log(const Party& party, Node& node) {
+void Fleet::look_at_log(const Actor& actor, Node& node) {
   std::ifstream log(node.machine->folder() + "/log");
   if (!log.seekg(node.read)) return;
   constexpr std::string_view kMark = "fleet: view ";
   for (std::string line; std::getline(log, line) && !log.eof();) {
     node.read += static_cast<std::streamoff>(line.size()) + 1;
-    if (line.rfind(kMark, 0) == 0) note(Record::What::kView, party, line.substr(kMark.size()));
+    if (line.rfind(kMark, 0) == 0) note(Record::What::kView, actor, line.substr(kMark.size()));
   }
 }
 
 void Fleet::look_at_nodes() {
-  for (auto& [party, node] : nodes_) {
-    if (!scenario_.operators.empty() && party.kind == PartyKind::kNode) look_at_log(party, node);
+  for (auto& [actor, node] : nodes_) {
+    if (!scenario_.operators.empty() && actor.kind == ActorKind::kNode) look_at_log(actor, node);
     if (!node.wanted || node.machine->running()) continue;
     node.wanted = false;
-    refuse_to(party, true);
-    if (party.kind == PartyKind::kNode) callers_->lost(party.number, scenario_.clients.notice);
+    refuse_to(actor, true);
+    if (actor.kind == ActorKind::kNode)
+      clients_->lost(actor.number, scenario_.client_behavior.failure_detection);
     const int status = node.machine->status();
-    note(Record::What::kCrash, party,
+    note(Record::What::kCrash, actor,
          WIFSIGNALED(status) ? "ended by signal " + std::to_string(WTERMSIG(status))
                              : "ended with status " + std::to_string(WEXITSTATUS(status)));
   }
   if (history_.now() - looked_ >= kUsageEvery) {
     looked_ = history_.now();
-    for (auto& [party, node] : nodes_) {
+    for (auto& [actor, node] : nodes_) {
       if (!node.wanted) continue;
       const Machine::Usage usage = node.machine->usage();
       Record r;
       r.what = Record::What::kUsage;
-      r.by = party;
+      r.by = actor;
       r.work = usage.cpu_s;
       r.status = static_cast<int>(usage.memory_kb);
       r.count = usage.descriptors;
-      r.tier = static_cast<int>(party.kind == PartyKind::kNode ? callers_->kept(party.number)
+      r.tier = static_cast<int>(actor.kind == ActorKind::kNode ? clients_->kept(actor.number)
                                                                : node.calls->kept());
       history_.add(r);
     }
     std::size_t open = 0;
-    for (const auto& [party, server] : servers_) open += server->connections();
+    for (const auto& [actor, server] : servers_) open += server->connections();
     Record r;
     r.what = Record::What::kOpen;
-    r.by = kTheDiscovery;
+    r.by = kDiscoveryActor;
     r.count = static_cast<int>(open);
     history_.add(r);
     history_.flush();
@@ -364,11 +365,11 @@
       std::chrono::duration_cast<asio::steady_timer::duration>(std::chrono::duration<double>(kTick)));
   tick_.async_wait([this](error_code cancelled) {
     if (cancelled) return;
-    const double late = std::chrono::duration<double>(Historian::Steady::now() - tick_.expiry()).count();
+    const double late = std::chrono::duration<double>(HistoryWriter::Steady::now() - tick_.expiry()).count();
     if (late >= kWorthNoting) {
       Record r;
       r.what = Record::What::kLate;
-      r.by = kTheDiscovery;
+      r.by = kDiscoveryActor;
       r.work = late;
       history_.add(r);
     }
@@ -376,44 +377,44 @@
   });
 }
 
-// ---------------------------------------------------------------- a day
+// ---------------------------------------------------------------- a run
 
 void Fleet::start_nodes() {
-  for (auto& [party, server] : servers_) {
-    const auto& all = party.kind == PartyKind::kBackend ? scenario_.backends : scenario_.servers;
-    if (all.at(static_cast<std::size_t>(party.number)).up) {
+  for (auto& [actor, server] : servers_) {
+    const auto& all = actor.kind == ActorKind::kBackend ? scenario_.backends : scenario_.servers;
+    if (all.at(static_cast<std::size_t>(actor.number)).up) {
       server->up(false);
     } else {
-      refuse_to(party, true);
+      refuse_to(actor, true);
     }
   }
   discovery_->up();
-  std::vector<Party> inner;
-  for (const auto& [party, node] : nodes_) {
-    const bool beside = party.kind == PartyKind::kInner;
-    if (!beside || servers_.at({PartyKind::kServer, party.number})->is_up()) start_node(party);
-    if (beside && nodes_.at(party).wanted) inner.push_back(party);
+  std::vector<Actor> sidecar;
+  for (const auto& [actor, node] : nodes_) {
+    const bool beside = actor.kind == ActorKind::kSidecar;
+    if (!beside || servers_.at({ActorKind::kServer, actor.number})->is_up()) start_node(actor);
+    if (beside && nodes_.at(actor).wanted) sidecar.push_back(actor);
   }
   // The servers' own nodes are looked at as the front looks at its own.
-  const auto healthy = std::make_shared<std::size_t>(0);
-  for (const Party& party : inner) {
+  const auto is_healthy = std::make_shared<std::size_t>(0);
+  for (const Actor& actor : sidecar) {
     asio::co_spawn(
         io_,
-        [](Fleet& fleet, Party who, std::shared_ptr<std::size_t> count) -> asio::awaitable<void> {
+        [](Fleet& fleet, Actor who, std::shared_ptr<std::size_t> count) -> asio::awaitable<void> {
           asio::steady_timer timer(fleet.io_);
           error_code ignored;
-          while (!co_await fleet.nodes_.at(who).calls->healthy()) {
+          while (!co_await fleet.nodes_.at(who).calls->is_healthy()) {
             timer.expires_after(std::chrono::milliseconds(20));
             co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
           }
           *count += 1;
-        }(*this, party, healthy),
+        }(*this, actor, is_healthy),
         asio::detached);
   }
   const double until = history_.now() + kUpWithin;
-  while (callers_->up() < static_cast<std::size_t>(scenario_.copies) || *healthy < inner.size()) {
+  while (clients_->up() < static_cast<std::size_t>(scenario_.replicas) || *is_healthy < sidecar.size()) {
     io_.run_for(std::chrono::milliseconds(10));
-    for (auto& [party, node] : nodes_) {
+    for (auto& [actor, node] : nodes_) {
       const bool ended = node.wanted && !node.machine->running();
       if (ended || history_.now() > until)
         throw std::runtime_error(options_.program + " did not come up; see " + node.machine->folder() +
@@ -422,14 +423,14 @@
   }
 }
 
-// The callers make them; here they are put beside the faults.
+// The clients make them; here they are put beside the faults.
 void Fleet::note_floods() {
   for (const bench::Flood& flood : scenario_.floods) {
     const std::string text = "flood of " + scenario_.tenants.at(flood.tenant).name +
-                             (flood.copy < 0 ? "" : " through node:" + std::to_string(flood.copy));
-    at(flood.at, [this, text] { note(Record::What::kFault, kTheDiscovery, text); });
+                             (flood.replica < 0 ? "" : " through node:" + std::to_string(flood.replica));
+    at(flood.at, [this, text] { note(Record::What::kFault, kDiscoveryActor, text); });
     if (std::isfinite(flood.lasts))
-      at(flood.at + flood.lasts, [this, text] { note(Record::What::kHealed, kTheDiscovery, text); });
+      at(flood.at + flood.lasts, [this, text] { note(Record::What::kHealed, kDiscoveryActor, text); });
   }
 }
 
@@ -441,21 +442,21 @@
   begin.what = Record::What::kBegin;
   begin.limit = scenario_.seconds;
   history_.add(begin);
-  std::vector<Party> writers{kTheCallers, kTheDiscovery};
-  for (const auto& [party, server] : servers_) writers.push_back(party);
-  for (const Party& party : writers) note(Record::What::kParty, party);
+  std::vector<Actor> writers{kClientsActor, kDiscoveryActor};
+  for (const auto& [actor, server] : servers_) writers.push_back(actor);
+  for (const Actor& actor : writers) note(Record::What::kActorJoined, actor);
   go_through(plan(scenario_, options_.seed), 0);
   note_floods();
   look_at_clock();
   look_at_nodes();
-  callers_->start();
-  const double end = scenario_.seconds + kAfterwards;
-  while (!callers_->done() && history_.now() < end) io_.run_for(std::chrono::milliseconds(20));
-  // What a server works on for callers that have gone is still to be seen where it was sent: a moment more.
+  clients_->start();
+  const double end = scenario_.seconds + kDrainTime;
+  while (!clients_->done() && history_.now() < end) io_.run_for(std::chrono::milliseconds(20));
+  // What a server works on for clients that have gone is still to be seen where it was sent: a moment more.
   const double quiet = history_.now() + 2 * kLookAtNodes;
   while (history_.now() < quiet) io_.run_for(std::chrono::milliseconds(10));
-  if (callers_->done()) {
-    for (const Party& party : writers) note(Record::What::kClosed, party);
+  if (clients_->done()) {
+    for (const Actor& actor : writers) note(Record::What::kClosed, actor);
   }
   history_.flush();
   finish();
@@ -463,7 +464,7 @@
 }
 
 void Fleet::finish() {
-  for (auto& [party, node] : nodes_) {
+  for (auto& [actor, node] : nodes_) {
     node.wanted = node.starved = false;
     node.machine->kill();
   }
--- a/fleet_rig/run/fleet.h
+++ b/fleet_rig/run/fleet.h
@@ -1,5 +1,5 @@
-// Plays a scenario with a fleet of real processes: nodes as machines, everything between any two parties
-// through relays, servers, discovery and callers as stand-ins in one event loop here. What they saw is in the
+// Plays a scenario with a fleet of real processes: nodes as machines, everything between any two actors
+// through relays, servers, discovery and clients as stand-ins in one event loop here. What they saw is in the
 // history file.
 #pragma once
 
@@ -27,7 +27,7 @@
 
 namespace thymewood::fleet {
 
-inline constexpr Party kTheCallers{PartyKind::kCallers, 0}, kTheDiscovery{PartyKind::kDiscovery, 0};
+inline constexpr Actor kClientsActor{ActorKind::kClients, 0}, kDiscoveryActor{ActorKind::kDiscovery, 0};
 
 class Fleet {
  public:
@@ -45,19 +45,19 @@
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  // Starts all, plays the day, and ends all. Throws std::runtime_error when a node does not come up.
+  // Starts all, plays the run, and ends all. Throws std::runtime_error when a node does not come up.
   // Returns the path of the history.
   std::string play();
 
-  // Where a node is reached by callers, through its relay; for tests.
-  TcpRelay& relay(const Party& from, const Party& to);
-  Machine& machine(const Party& node) { return *nodes_.at(node).machine; }
+  // Where a node is reached by clients, through its relay; for tests.
+  TcpRelay& relay(const Actor& from, const Actor& to);
+  Machine& machine(const Actor& node) { return *nodes_.at(node).machine; }
 
  private:
   struct Node {
     std::unique_ptr<Machine> machine;
-    std::unique_ptr<Asker> calls;  // of the server beside it, in the second tier
-    bool wanted = false;           // it should be running: an end of its own is a crash
+    std::unique_ptr<HttpClient> calls;  // of the server beside it, in the second tier
+    bool wanted = false;                // it should be running: an end of its own is a crash
     bool starved = false;
     int lives = 0;
     double started_at = 0;    // s on the history's clock
@@ -68,13 +68,13 @@
   void build_relays();
   void build_servers();
   void start_nodes();
-  void write_config(const Party& node);
-  std::string peers_of(const Party& node) const;
-  void start_node(const Party& node);
-  boost::asio::awaitable<void> admit_when_listening(Party node, int life);
-  void stop_node(const Party& node);
-  boost::asio::awaitable<void> restart(Party node, double down);
-  boost::asio::awaitable<void> starve(Party node, double share);
+  void write_config(const Actor& node);
+  std::string peers_of(const Actor& node) const;
+  void start_node(const Actor& node);
+  boost::asio::awaitable<void> admit_when_listening(Actor node, int life);
+  void stop_node(const Actor& node);
+  boost::asio::awaitable<void> restart(Actor node, double down);
+  boost::asio::awaitable<void> starve(Actor node, double share);
 
   void at(double seconds, std::function<void()> what);
   void go_through(std::vector<Step> steps, std::size_t next);
@@ -83,32 +83,32 @@
   void end_fault(const Fault& fault, const Step& step);
   void lay(const Step& step, bool on);
   void change(const bench::Change& c);
-  void crowd(const Party& node, int count);
-  void start_server(const Party& server);
-  void stop_server(const Party& server);
-  void refuse_to(const Party& party, bool on);
-  void note(Record::What what, const Party& by, const std::string& text = "");
+  void crowd(const Actor& node, int count);
+  void start_server(const Actor& server);
+  void stop_server(const Actor& server);
+  void refuse_to(const Actor& actor, bool on);
+  void note(Record::What what, const Actor& by, const std::string& text = "");
 
   void note_floods();
   void look_at_clock();
   void look_at_nodes();
-  void look_at_log(const Party& party, Node& node);
+  void look_at_log(const Actor& actor, Node& node);
   void finish();
 
   bench::Scenario scenario_;
-  bench::Cast cast_;
+  bench::Topology topology_;
   Options options_;
   boost::asio::io_context io_{1};
   AddressBlock addresses_;
-  Historian history_;
+  HistoryWriter history_;
   LinkTable links_;
-  std::map<std::pair<Party, Party>, std::unique_ptr<TcpRelay>> relays_;
+  std::map<std::pair<Actor, Actor>, std::unique_ptr<TcpRelay>> relays_;
   std::unique_ptr<UdpHub> hub_;
-  std::map<Party, Node> nodes_;
-  std::map<Party, std::unique_ptr<Server>> servers_;
-  std::unique_ptr<Discovery> discovery_;
-  std::unique_ptr<Callers> callers_;
-  std::map<Party, std::vector<std::shared_ptr<boost::asio::ip::tcp::socket>>> crowds_;
+  std::map<Actor, Node> nodes_;
+  std::map<Actor, std::unique_ptr<ServerStandIn>> servers_;
+  std::unique_ptr<DiscoveryStandIn> discovery_;
+  std::unique_ptr<ClientPool> clients_;
+  std::map<Actor, std::vector<std::shared_ptr<boost::asio::ip::tcp::socket>>> crowds_;
   std::vector<std::unique_ptr<boost::asio::steady_timer>> timers_;
   boost::asio::steady_timer tick_, look_;
   double looked_ = 0;
--- a/fleet_rig/run/fleet_faults.cpp
+++ b/fleet_rig/run/fleet_faults.cpp
@@ -1,4 +1,4 @@
-// What is done to a fleet while its day goes on: faults of machines, links and discovery, and changes of
+// What is done to a fleet while its run goes on: faults of machines, links and discovery, and changes of
 // servers.
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -61,7 +61,7 @@
   at(then, [this, steps = std::move(steps), next]() mutable { go_through(std::move(steps), next); });
 }
 
-void Fleet::note(Record::What what, const Party& by, const std::string& text) {
+void Fleet::note(Record::What what, const Actor& by, const std::string& text) {
   Record r;
   r.what = what;
   r.by = by;
@@ -76,43 +76,43 @@
   if (options_.progress) options_.progress(history_.now(), (begins ? "" : "over: ") + step.note);
   if (begins) {
     begin_fault(fault, step);
-    note(Record::What::kFault, kTheDiscovery, step.note);
+    note(Record::What::kFault, kDiscoveryActor, step.note);
   } else {
     end_fault(fault, step);
-    note(Record::What::kHealed, kTheDiscovery, step.note);
+    note(Record::What::kHealed, kDiscoveryActor, step.note);
   }
 }
 
 void Fleet::begin_fault(const Fault& fault, const Step& step) {
-  for (const Party& party : step.who) {
-    if (party.kind == PartyKind::kDiscovery) break;
-    Node& node = nodes_.at(party);
+  for (const Actor& actor : step.who) {
+    if (actor.kind == ActorKind::kDiscovery) break;
+    Node& node = nodes_.at(actor);
     if (FaultPlan* const plan = node.machine->faults()) set_faults(*plan, fault, true);
     switch (fault.what) {
       case Fault::What::kKill:
-        if (node.wanted && party.kind == PartyKind::kNode)
-          callers_->lost(party.number, scenario_.clients.notice);
-        stop_node(party);
+        if (node.wanted && actor.kind == ActorKind::kNode)
+          clients_->lost(actor.number, scenario_.client_behavior.failure_detection);
+        stop_node(actor);
         break;
       case Fault::What::kRestart:
-        asio::co_spawn(io_, restart(party, std::isfinite(fault.lasts) ? fault.lasts : 0), asio::detached);
+        asio::co_spawn(io_, restart(actor, std::isfinite(fault.lasts) ? fault.lasts : 0), asio::detached);
         break;
       case Fault::What::kPause:
-        note(Record::What::kAway, party);
+        note(Record::What::kPaused, actor);
         node.machine->pause();
         break;
       case Fault::What::kStarve:
-        note(Record::What::kAway, party);
+        note(Record::What::kPaused, actor);
         node.starved = true;
-        asio::co_spawn(io_, starve(party, fault.share), asio::detached);
+        asio::co_spawn(io_, starve(actor, fault.share), asio::detached);
         break;
       case Fault::What::kHangup:
         // Never in its first second, nor before it is ready.
-        if (history_.now() - node.started_at > kFirstSecond && callers_->is_up(party.number))
+        if (history_.now() - node.started_at > kFirstSecond && clients_->is_up(actor.number))
           node.machine->signal(SIGHUP);
         break;
       case Fault::What::kCrowd:
-        crowd(party, fault.count);
+        crowd(actor, fault.count);
         break;
       case Fault::What::kDescriptors:
         node.machine->limit_descriptors(static_cast<std::uint64_t>(fault.count));
@@ -141,25 +141,25 @@
 }
 
 void Fleet::end_fault(const Fault& fault, const Step& step) {
-  for (const Party& party : step.who) {
-    if (party.kind == PartyKind::kDiscovery) break;
-    Node& node = nodes_.at(party);
+  for (const Actor& actor : step.who) {
+    if (actor.kind == ActorKind::kDiscovery) break;
+    Node& node = nodes_.at(actor);
     if (FaultPlan* const plan = node.machine->faults()) set_faults(*plan, fault, false);
     switch (fault.what) {
       case Fault::What::kKill:
-        if (!node.wanted) start_node(party);
+        if (!node.wanted) start_node(actor);
         break;
       case Fault::What::kPause:
         node.machine->resume();
-        note(Record::What::kBack, party);
+        note(Record::What::kResumed, actor);
         break;
       case Fault::What::kStarve:
         node.starved = false;
         node.machine->resume();
-        note(Record::What::kBack, party);
+        note(Record::What::kResumed, actor);
         break;
       case Fault::What::kCrowd:
-        crowds_.erase(party);
+        crowds_.erase(actor);
         break;
       case Fault::What::kDescriptors:
         node.machine->limit_descriptors(0);
@@ -201,23 +201,23 @@
       const auto at = relays_.find(ends);
       if (at != relays_.end()) at->second->changed();
     }
-    if (!on && way.from == kTheDiscovery && !links_.way(way.from, way.to).cut()) discovery_->healed(way.to);
+    if (!on && way.from == kDiscoveryActor && !links_.way(way.from, way.to).cut()) discovery_->healed(way.to);
   }
 }
 
-void Fleet::refuse_to(const Party& party, bool on) {
+void Fleet::refuse_to(const Actor& actor, bool on) {
   for (const auto& [ends, relay] : relays_) {
-    if (ends.second == party) relay->refuse(on);
+    if (ends.second == actor) relay->refuse(on);
   }
 }
 
 // Clients that connect, say nothing, and stay until they are closed on.
-void Fleet::crowd(const Party& node, int count) {
+void Fleet::crowd(const Actor& node, int count) {
   std::vector<std::shared_ptr<asio::ip::tcp::socket>>& held = crowds_[node];
   for (int i = 0; i < count; ++i) {
     const auto socket = std::make_shared<asio::ip::tcp::socket>(io_);
     held.push_back(socket);
-    socket->async_connect(relay(kTheCallers, node).where(), [socket](error_code bad) {
+    socket->async_connect(relay(kClientsActor, node).where(), [socket](error_code bad) {
       if (bad) return;
       socket->async_wait(asio::ip::tcp::socket::wait_read, [socket](error_code) {
         error_code ignored;
@@ -229,33 +229,33 @@
 
 // ---------------------------------------------------------------- servers
 
-void Fleet::start_server(const Party& party) {
-  Server& server = *servers_.at(party);
-  if (server.is_up()) stop_server(party);
+void Fleet::start_server(const Actor& actor) {
+  ServerStandIn& server = *servers_.at(actor);
+  if (server.is_up()) stop_server(actor);
   server.fail(0);
   server.mute(0);
   server.up(true);
-  refuse_to(party, false);
-  note(Record::What::kUp, party);
-  const Party inner{PartyKind::kInner, party.number};
-  if (party.kind == PartyKind::kServer && nodes_.contains(inner) && !nodes_.at(inner).wanted)
-    start_node(inner);
+  refuse_to(actor, false);
+  note(Record::What::kUp, actor);
+  const Actor sidecar{ActorKind::kSidecar, actor.number};
+  if (actor.kind == ActorKind::kServer && nodes_.contains(sidecar) && !nodes_.at(sidecar).wanted)
+    start_node(sidecar);
 }
 
-void Fleet::stop_server(const Party& party) {
-  servers_.at(party)->down();
-  refuse_to(party, true);
-  note(Record::What::kDown, party);
-  const Party inner{PartyKind::kInner, party.number};
-  if (party.kind == PartyKind::kServer && nodes_.contains(inner)) stop_node(inner);
+void Fleet::stop_server(const Actor& actor) {
+  servers_.at(actor)->down();
+  refuse_to(actor, true);
+  note(Record::What::kDown, actor);
+  const Actor sidecar{ActorKind::kSidecar, actor.number};
+  if (actor.kind == ActorKind::kServer && nodes_.contains(sidecar)) stop_node(sidecar);
 }
 
 void Fleet::change(const bench::Change& c) {
   using What = bench::Change::What;
   if (options_.progress) options_.progress(history_.now(), "change of servers");
   if (c.what == What::kRestart) {
-    const Party node{PartyKind::kNode, c.copy};
-    callers_->lost(c.copy, scenario_.clients.notice);
+    const Actor node{ActorKind::kNode, c.replica};
+    clients_->lost(c.replica, scenario_.client_behavior.failure_detection);
     stop_node(node);
     return at(history_.now() + c.down, [this, node] { start_node(node); });
   }
@@ -263,9 +263,9 @@
                           std::chrono::system_clock::now().time_since_epoch())
                           .count();
   for (std::size_t i = c.first; i <= c.last; ++i) {
-    const Party party{c.backends ? PartyKind::kBackend : PartyKind::kServer, static_cast<int>(i)};
-    Server& server = *servers_.at(party);
-    std::optional<Discovery::Status> told;
+    const Actor actor{c.backends ? ActorKind::kBackend : ActorKind::kServer, static_cast<int>(i)};
+    ServerStandIn& server = *servers_.at(actor);
+    std::optional<DiscoveryStandIn::Status> new_status;
     switch (c.what) {
       case What::kSlow:
         server.slow_down(c.factor);
@@ -277,27 +277,27 @@
         server.mute(c.part);
         break;
       case What::kDrain:
-        told = Discovery::Status::kDraining;
+        new_status = DiscoveryStandIn::Status::kDraining;
         break;
       case What::kStop:
-        stop_server(party);
-        told = Discovery::Status::kGone;
+        stop_server(actor);
+        new_status = DiscoveryStandIn::Status::kRemoved;
         break;
       case What::kStart:
-        start_server(party);
-        told = Discovery::Status::kUp;
+        start_server(actor);
+        new_status = DiscoveryStandIn::Status::kUp;
         break;
       case What::kRestart:
         break;
     }
-    if (!told) continue;
-    const auto tell = [this, party, status = *told, now_ms] {
-      discovery_->change(party, status, status == Discovery::Status::kUp ? now_ms : 0);
+    if (!new_status) continue;
+    const auto notify = [this, actor, status = *new_status, now_ms] {
+      discovery_->change(actor, status, status == DiscoveryStandIn::Status::kUp ? now_ms : 0);
     };
-    if (c.told_after > 0) {
-      at(history_.now() + c.told_after, tell);
+    if (c.notify_delay > 0) {
+      at(history_.now() + c.notify_delay, notify);
     } else {
-      tell();
+      notify();
     }
   }
 }
--- a/fleet_rig/run/main.cpp
+++ b/fleet_rig/run/main.cpp
@@ -1,6 +1,6 @@
-// thymewood_fleet: plays days with a fleet of real processes and says what they show.
+// thymewood_fleet: plays scenarios with a fleet of real processes and says what they show.
 //
-// Exit status: 0 all passed, 1 a rule broke, a judge could not see or the rig ran late, 2 it could not be
+// Exit status: 0 all passed, 1 a rule broke, a checker could not see or the rig ran late, 2 it could not be
 // played.
 #include <unistd.h>
 
@@ -33,27 +33,27 @@
 
 std::string name_of(const std::string& file) { return std::filesystem::path(file).stem().string(); }
 
-Day play_one(const Choice& choice, const std::string& file, const std::string& program,
-             const std::string& label, std::uint64_t seed) {
+ScenarioRun play_one(const Choice& choice, const std::string& file, const std::string& program,
+                     const std::string& label, std::uint64_t seed) {
   bench::Scenario scenario = bench::read_scenario(file, choice.times);
   if (choice.alone) {
     scenario.operators.clear();
     scenario.views_within = 0;
   }
-  DayOptions options;
+  ScenarioRunOptions options;
   options.program = program;
   options.folder = choice.logs + "/" + name_of(file) + "-" + label + "-" + std::to_string(seed);
   options.seed = seed;
   options.slack = choice.slack;
-  constexpr int kTries = 3;
-  options.tries = kTries;
+  constexpr int kMaxRuns = 3;
+  options.max_runs = kMaxRuns;
   if (!choice.quiet && ::isatty(STDERR_FILENO) != 0) {
     options.progress = [&](double seconds, const std::string& what) {
       std::fprintf(stderr, "\r%-16s %5.1f of %.0f s  %-50.50s", name_of(file).c_str(), seconds,
                    scenario.seconds, what.c_str());
     };
   }
-  Day day = play_day(scenario, options);
+  ScenarioRun day = run_scenario(scenario, options);
   if (options.progress) std::fprintf(stderr, "\r%80s\r", "");
   return day;
 }
@@ -63,7 +63,7 @@
   print_head(stdout);
   for (const std::string& file : choice.files) {
     for (const std::uint64_t seed : choice.seeds) {
-      const Day day = play_one(choice, file, choice.node, "now", seed);
+      const ScenarioRun day = play_one(choice, file, choice.node, "now", seed);
       print_row(stdout, name_of(file), "now", seed, day);
       print_findings(stdout, day.verdict);
       if (!choice.report.empty()) write_report(choice.report, name_of(file), day);
@@ -89,7 +89,7 @@
                                                                 {"then", choice.against}};
       if (seed % 2 == 0) std::swap(programs[0], programs[1]);
       for (const auto& [label, program] : programs) {
-        const Day day = play_one(choice, file, program, label, seed);
+        const ScenarioRun day = play_one(choice, file, program, label, seed);
         print_row(stdout, name_of(file), label, seed, day);
         print_findings(stdout, day.verdict, 1);
         Sums& sums = all[{name_of(file), label}];
@@ -122,7 +122,7 @@
   return well ? 0 : 1;
 }
 
-// Days that are drawn from seeds; a failing one prints the command that plays it again.
+// Scenarios that are drawn from seeds; a failing one prints the command that plays it again.
 int soak(const Choice& choice, std::uint64_t first, std::uint64_t last) {
   std::vector<std::uint64_t> failed;
   print_head(stdout);
@@ -130,16 +130,16 @@
     const std::string name = "soak-" + std::to_string(seed);
     const std::string folder = choice.logs + "/" + name;
     std::filesystem::create_directories(folder);
-    const std::string text = soak_day(seed);
+    const std::string text = soak_scenario(seed);
     std::ofstream(folder + "/day.toml") << text;
-    DayOptions options;
+    ScenarioRunOptions options;
     options.program = choice.node;
     options.folder = folder;
     options.seed = seed;
     options.slack = choice.slack;
-    constexpr int kTries = 3;
-    options.tries = kTries;
-    const Day day = play_day(bench::parse_scenario(text, name), options);
+    constexpr int kMaxRuns = 3;
+    options.max_runs = kMaxRuns;
+    const ScenarioRun day = run_scenario(bench::parse_scenario(text, name), options);
     print_row(stdout, name, "now", seed, day);
     print_findings(stdout, day.verdict);
     if (day.verdict.passed()) {
@@ -156,13 +156,13 @@
   return failed.empty() ? 0 : 1;
 }
 
-int judge_file(const std::string& history, const std::string& scenario_file, double slack) {
+int check_file(const std::string& history, const std::string& scenario_file, double slack) {
   const bench::Scenario scenario = bench::read_scenario(scenario_file);
   Rules rules = Rules::of(scenario);
   rules.slack = slack;
-  Day day;
+  ScenarioRun day;
   const History read = History::read(history);
-  day.verdict = judge(read, rules);
+  day.verdict = check_history(read, rules);
   day.figures = figures_of(read, scenario);
   print_head(stdout);
   print_row(stdout, name_of(scenario_file), "", 0, day);
@@ -210,7 +210,7 @@
   if (soaks->parsed()) return soak(choice, first, last);
   if (runs->parsed()) return run(choice);
   if (tables->parsed()) return table(choice);
-  if (judges->parsed()) return judge_file(history, scenario, choice.slack);
+  if (judges->parsed()) return check_file(history, scenario, choice.slack);
   return print_relay_cost(connections);
 }
 
--- a/fleet_rig/run/node_config.cpp
+++ b/fleet_rig/run/node_config.cpp
@@ -38,20 +38,20 @@
   return c.dedup_scope == DedupScope::kAll ? "all" : c.dedup_scope == DedupScope::kZone ? "zone" : "cell";
 }
 
-void settings(Writer& out, const bench::Scenario& s, const NodeTold& told) {
+void settings(Writer& out, const bench::Scenario& s, const NodeParameters& node) {
   out.Key("settings");
   out.StartObject();
   out.Key("azs");
   out.StartArray();
-  int zones = told.zone;
+  int zones = node.zone;
   for (const bench::ScenarioServer& server : s.servers) zones = std::max(zones, server.zone);
   for (const bench::ScenarioServer& server : s.backends) zones = std::max(zones, server.zone);
   for (int i = 0; i <= zones; ++i) out.String(("z" + std::to_string(i)).c_str());
   out.EndArray();
-  whole(out, "zone", told.zone);
-  whole(out, "position", told.position);
-  whole(out, "peersTotal", told.count);
-  whole(out, "stage", told.tier);
+  whole(out, "zone", node.zone);
+  whole(out, "position", node.position);
+  whole(out, "peersTotal", node.count);
+  whole(out, "stage", node.tier);
   out.Key("stages");
   out.StartArray();
   out.String("front");
@@ -62,11 +62,11 @@
   number(out, "overShareWorth", s.over_quota_weight);
   out.Key("bounds");
   out.StartObject();
-  flag(out, "cancel", told.cancel);
-  flag(out, "secondCopies", told.can_hedge);
+  flag(out, "cancel", node.cancel);
+  flag(out, "secondCopies", node.can_hedge);
   flag(out, "retryAfter", true);
   flag(out, "probes", false);
-  flag(out, "peers", !told.peers.empty());
+  flag(out, "peers", !node.peers.empty());
   whole(out, "maxAttempts", s.max_attempts);
   number(out, "maxRetryAfter", s.max_retry_after);
   out.EndObject();
@@ -75,12 +75,12 @@
   for (const bench::LoadClass& c : s.classes) {
     out.StartObject();
     text(out, "name", c.name);
-    number(out, "aim", c.told.latency_objective);
-    number(out, "giveUp", c.told.client_timeout);
-    number(out, "lateWorth", c.told.late_value);
-    text(out, "effect", effect_of(c.told));
-    text(out, "group", scope_of(c.told));
-    number(out, "dedupWindow", c.told.dedup_window);
+    number(out, "aim", c.settings.latency_objective);
+    number(out, "giveUp", c.settings.client_timeout);
+    number(out, "lateWorth", c.settings.late_value);
+    text(out, "effect", effect_of(c.settings));
+    text(out, "group", scope_of(c.settings));
+    number(out, "dedupWindow", c.settings.dedup_window);
     out.EndObject();
   }
   out.EndArray();
@@ -108,36 +108,36 @@
 
 }  // namespace
 
-std::string node_config(const bench::Scenario& s, const NodeTold& told) {
+std::string node_config(const bench::Scenario& s, const NodeParameters& node) {
   rapidjson::StringBuffer buffer;
   Writer out(buffer);
   out.StartObject();
-  text(out, "name", told.name);
-  text(out, "listen", told.listen);
-  text(out, "discovery", told.discovery);
+  text(out, "name", node.name);
+  text(out, "listen", node.listen);
+  text(out, "discovery", node.discovery);
   constexpr std::size_t kHex = 17;
   char seed[kHex];
-  std::snprintf(seed, sizeof seed, "%016llx", static_cast<unsigned long long>(told.seed));
+  std::snprintf(seed, sizeof seed, "%016llx", static_cast<unsigned long long>(node.seed));
   text(out, "seed", seed);
   out.Key("limits");
   out.StartObject();
   number(out, "cores", 1);
-  whole(out, "memory_mb", told.memory_mb);
-  whole(out, "sockets", told.sockets);
+  whole(out, "memory_mb", node.memory_mb);
+  whole(out, "sockets", node.sockets);
   out.EndObject();
-  if (!told.known.empty()) {
+  if (!node.known.empty()) {
     out.Key("known");
-    out.RawValue(told.known.data(), told.known.size(), rapidjson::kObjectType);
+    out.RawValue(node.known.data(), node.known.size(), rapidjson::kObjectType);
   }
-  if (!told.peer_listen.empty()) {
-    text(out, "peer_listen", told.peer_listen);
-    text(out, "peers_all", told.peers_all);
+  if (!node.peer_listen.empty()) {
+    text(out, "peer_listen", node.peer_listen);
+    text(out, "peers_all", node.peers_all);
     out.Key("peers");
     out.StartArray();
-    for (const std::string& peer : told.peers) out.String(peer.c_str());
+    for (const std::string& peer : node.peers) out.String(peer.c_str());
     out.EndArray();
   }
-  settings(out, s, told);
+  settings(out, s, node);
   out.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
--- a/fleet_rig/run/node_config.h
+++ b/fleet_rig/run/node_config.h
@@ -9,7 +9,7 @@
 
 namespace thymewood::fleet {
 
-struct NodeTold {
+struct NodeParameters {
   std::string name = "n0", listen, discovery;  // "ADDRESS:PORT"
   std::uint64_t seed = 1;
   int position = 0, count = 1, tier = 0, zone = 0;
@@ -22,6 +22,6 @@
   std::vector<std::string> peers;
 };
 
-std::string node_config(const bench::Scenario& scenario, const NodeTold& told);
+std::string node_config(const bench::Scenario& scenario, const NodeParameters& node);
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/run/relay_cost.cpp
+++ b/fleet_rig/run/relay_cost.cpp
@@ -135,7 +135,7 @@
     return made->where();
   });
   const Side relay([&echo](asio::io_context& io, std::shared_ptr<void>& held) {
-    const Party from{bench::PartyKind::kCallers, 0}, to{bench::PartyKind::kNode, 0};
+    const Actor from{bench::ActorKind::kClients, 0}, to{bench::ActorKind::kNode, 0};
     const auto table = std::make_shared<LinkTable>();
     const auto made = std::make_shared<TcpRelay>(
         io, *table, from, to, tcp::endpoint(asio::ip::address_v4::loopback(), 0), echo.where(), 1);
--- a/fleet_rig/run/scenario_run.cpp
+++ b/fleet_rig/run/scenario_run.cpp
@@ -28,9 +28,9 @@
 
 }  // namespace
 
-Day play_day(const bench::Scenario& scenario, const DayOptions& options) {
-  for (int tries = 1;; ++tries) {
-    Day out;
+ScenarioRun run_scenario(const bench::Scenario& scenario, const ScenarioRunOptions& options) {
+  for (int run = 1;; ++run) {
+    ScenarioRun out;
     {
       Fleet fleet(scenario, {options.program, options.folder, options.seed, options.progress, {}});
       out.history = fleet.play();
@@ -38,9 +38,9 @@
     const History history = History::read(out.history);
     Rules rules = Rules::of(scenario);
     rules.slack = options.slack;
-    out.verdict = judge(history, rules);
+    out.verdict = check_history(history, rules);
     out.figures = figures_of(history, scenario);
-    if (!out.verdict.void_run || tries >= options.tries) return out;
+    if (!out.verdict.void_run || run >= options.max_runs) return out;
   }
 }
 
@@ -52,7 +52,7 @@
 }
 
 void print_row(std::FILE* to, const std::string& day, const std::string& node, std::uint64_t seed,
-               const Day& d) {
+               const ScenarioRun& d) {
   const Figures& f = d.figures;
   const double wanted = std::max(1.0, f.wanted);
   std::fprintf(to,
@@ -60,8 +60,8 @@
                "%6.2f %6.2f %6.2f %7.0f "
                "%6.3f %6llu %6zu%s\n",
                day.c_str(), node.c_str(), static_cast<unsigned long long>(seed), f.wanted,
-               kPercent * f.served_part(), kPercent * f.in_time_part(), kPercent * f.refused / wanted,
-               kPercent * f.failed / wanted, f.tries, f.first_tier, f.second_tier, f.worst_second,
+               kPercent * f.served_part(), kPercent * f.in_time_part(), kPercent * f.rejected / wanted,
+               kPercent * f.failed / wanted, f.client_attempts, f.first_tier, f.second_tier, f.worst_second,
                kMilli * f.p50, kMilli * f.p99, f.recovery, kPercent * f.least_node, kPercent * f.least_tenant,
                f.most_server, f.cpu_us, d.verdict.latest, static_cast<unsigned long long>(d.verdict.excused),
                d.verdict.broken.size(),
@@ -83,15 +83,16 @@
     std::fprintf(to, "  could not see: %s\n", verdict.blind[i].c_str());
 }
 
-void write_report(const std::string& folder, const std::string& day, const Day& d) {
+void write_report(const std::string& folder, const std::string& day, const ScenarioRun& d) {
   std::filesystem::create_directories(folder);
   const std::string stem = folder + "/" + day;
   {
     std::ofstream data(stem + ".dat");
     for (std::size_t i = 0; i < d.figures.seconds.size(); ++i) {
       const Second& s = d.figures.seconds[i];
-      data << i << ' ' << s.wanted << ' ' << s.served << ' ' << s.refused << ' ' << s.failed << ' ' << s.tries
-           << ' ' << s.first_tier << ' ' << s.second_tier << ' ' << s.connections << '\n';
+      data << i << ' ' << s.wanted << ' ' << s.served << ' ' << s.rejected << ' ' << s.failed << ' '
+           << s.client_attempts << ' ' << s.first_tier << ' ' << s.second_tier << ' ' << s.connections
+           << '\n';
     }
   }
   {
--- a/fleet_rig/shim/call_shim.cpp
+++ b/fleet_rig/shim/call_shim.cpp
@@ -30,9 +30,9 @@
   if (at != MAP_FAILED) held_plan = static_cast<CallPlan*>(at);
 }
 
-template <class Call>
-Call next(const char* name) {
-  return reinterpret_cast<Call>(::dlsym(RTLD_NEXT, name));
+template <class ClientRequest>
+ClientRequest next(const char* name) {
+  return reinterpret_cast<ClientRequest>(::dlsym(RTLD_NEXT, name));
 }
 
 bool is_hit(FaultyCall call) {
--- a/fleet_rig/shim/shim.cpp
+++ b/fleet_rig/shim/shim.cpp
@@ -32,9 +32,9 @@
   return held;
 }
 
-template <class Call>
-Call next(const char* name) {
-  return reinterpret_cast<Call>(::dlsym(RTLD_NEXT, name));
+template <class ClientRequest>
+ClientRequest next(const char* name) {
+  return reinterpret_cast<ClientRequest>(::dlsym(RTLD_NEXT, name));
 }
 
 bool is_file(int fd) {
@@ -67,8 +67,8 @@
 }
 
 // `call` takes a length; half of one byte is none, so that goes whole.
-template <class Call>
-ssize_t faulty(FaultPlan& p, std::size_t size, Call call) {
+template <class ClientRequest>
+ssize_t faulty(FaultPlan& p, std::size_t size, ClientRequest call) {
   switch (fate_of_write(p)) {
     case Fate::kFails:
       return -1;
--- a/fleet_rig/soak/soak_scenario.cpp
+++ b/fleet_rig/soak/soak_scenario.cpp
@@ -15,9 +15,9 @@
 constexpr double kFirstFault = 0.5, kLastFault = 4;  // s
 constexpr double kUtilization = 0.5;                 // of what the servers can do
 
-class DayWriter {
+class ScenarioWriter {
  public:
-  explicit DayWriter(std::uint64_t seed) : random_(seed) {}
+  explicit ScenarioWriter(std::uint64_t seed) : random_(seed) {}
 
   std::string write() {
     draw_sizes();
@@ -179,6 +179,6 @@
 
 }  // namespace
 
-std::string soak_day(std::uint64_t seed) { return DayWriter(seed).write(); }
+std::string soak_scenario(std::uint64_t seed) { return ScenarioWriter(seed).write(); }
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/soak/soak_scenario.h
+++ b/fleet_rig/soak/soak_scenario.h
@@ -1,6 +1,6 @@
-// A fleet's day that is drawn from a seed, as the text of a scenario: the size of the fleet, what its clients
+// A fleet's run that is drawn from a seed, as the text of a scenario: the size of the fleet, what its clients
 // ask and for how long they wait, and several faults, some of them at once. Pure: the same seed gives the
-// same day.
+// same run.
 #pragma once
 
 #include <cstdint>
@@ -8,6 +8,6 @@
 
 namespace thymewood::fleet {
 
-std::string soak_day(std::uint64_t seed);
+std::string soak_scenario(std::uint64_t seed);
 
 }  // namespace thymewood::fleet
--- a/tests/bench/concurrency_scenarios_test.cpp
+++ b/tests/bench/concurrency_scenarios_test.cpp
@@ -1,5 +1,5 @@
 // The room that the module learns, shown by whole scenarios in virtual time: below what the servers can do
-// nothing is turned away, beyond it as much is served in time as they can do, and no rule is ever broken. The
+// nothing is rejected, beyond it as much is served in time as they can do, and no rule is ever broken. The
 // scenarios are those of bench/scenarios, with fixed seeds: the same figures each time.
 #include <gtest/gtest.h>
 
@@ -24,7 +24,7 @@
   std::string name;
   double times = 1;
   double seconds = 0;  // 0: as the file says
-  double bound = 0;    // the most turned away, or the least kept
+  double bound = 0;    // the most rejected, or the least kept
 };
 
 // For the names that the test runner lists.
@@ -48,7 +48,7 @@
 
 class BelowCapacity : public testing::TestWithParam<Case> {};
 
-TEST_P(BelowCapacity, NothingIsTurnedAway) { EXPECT_LE(played(GetParam()).unsent_share(), GetParam().bound); }
+TEST_P(BelowCapacity, NothingIsRejected) { EXPECT_LE(played(GetParam()).unsent_share(), GetParam().bound); }
 
 constexpr double kMostTurnedAway = 0.001;
 
@@ -74,7 +74,7 @@
 
 class BeyondCapacity : public testing::TestWithParam<Case> {};
 
-TEST_P(BeyondCapacity, AsMuchIsServedInTimeAsTheServersCanDo) {
+TEST_P(BeyondCapacity, GoodputMatchesServerCapacity) {
   EXPECT_GE(played(GetParam()).kept(), GetParam().bound);
 }
 
@@ -98,7 +98,7 @@
                     Case{"wide", 1.2, 6, 0.85}),
     name_of);
 
-TEST(ConcurrencyLimit, ServiceDoesNotFallAsLoadRises) {
+TEST(ConcurrencyLimit, GoodputDoesNotFallAsLoadRises) {
   const auto kept = [](double times) {
     return play(scenario_of("steady", times, 15), Front::kModule, kSeed).kept();
   };
@@ -109,50 +109,52 @@
   EXPECT_LT(play(scenario_of("steady", 1.2, 15), Front::kDirect, kSeed).kept(), 0.3);
 }
 
-TEST(ConcurrencyLimit, WhatIsServedHardlyWavers) {
+TEST(ConcurrencyLimit, GoodputIsStable) {
   const Report r = play(scenario_of("steady", 2, 30), Front::kModule, kSeed);
   for (std::size_t i = 5; i < r.seconds.size(); ++i)
     EXPECT_GE(r.seconds[i].in_time, 0.8 * r.seconds[i].capacity) << "in second " << i;
 }
 
-// ---------------------------------------------------------------- days on which servers and copies fail
+// ---------------------------------------------------------------- scenarios on which servers and replicas
+// fail
 
-class HardDays : public testing::TestWithParam<Case> {};
+class FaultScenarios : public testing::TestWithParam<Case> {};
 
-TEST_P(HardDays, AsMuchIsServedInTimeAsTheServersThatAreWellCanDo) {
+TEST_P(FaultScenarios, GoodputMatchesTheCapacityOfHealthyServers) {
   EXPECT_GE(played(GetParam()).kept(), GetParam().bound);
 }
 
-INSTANTIATE_TEST_SUITE_P(Scenarios, HardDays,
-                         testing::Values(Case{"day_replaced", 0.5, 0, 0.99},
-                                         Case{"day_replaced", 0.7, 0, 0.99},
-                                         Case{"day_failing", 0.5, 0, 0.97}, Case{"day_failing", 0.7, 0, 0.97},
-                                         Case{"day_silent", 0.5, 0, 0.98}, Case{"day_silent", 0.7, 0, 0.98},
-                                         // What the dead copy held, and who came while none was up, is lost.
-                                         Case{"day_restart", 0.5, 0, 0.95}, Case{"day_restart", 0.7, 0, 0.95},
-                                         Case{"day_half_gone", 0.5, 0, 0.98},
-                                         Case{"day_half_gone", 0.7, 0, 0.97}),
-                         name_of);
-
-// Danger: a copy that starts under full load takes the first answers, all of which waited, for an idle tier.
-TEST(ConcurrencyLimit, ACopyThatStartsFromNothingUnderLoadServesAsBeforeWithinASecond) {
+INSTANTIATE_TEST_SUITE_P(
+    Scenarios, FaultScenarios,
+    testing::Values(Case{"day_replaced", 0.5, 0, 0.99}, Case{"day_replaced", 0.7, 0, 0.99},
+                    Case{"day_failing", 0.5, 0, 0.97}, Case{"day_failing", 0.7, 0, 0.97},
+                    Case{"day_silent", 0.5, 0, 0.98}, Case{"day_silent", 0.7, 0, 0.98},
+                    // What the dead replica held, and who came while none was up, is lost.
+                    Case{"day_restart", 0.5, 0, 0.95}, Case{"day_restart", 0.7, 0, 0.95},
+                    Case{"day_half_gone", 0.5, 0, 0.98}, Case{"day_half_gone", 0.7, 0, 0.97}),
+    name_of);
+
+// Danger: a replica that starts under full load takes the first answers, all of which waited, for an idle
+// tier.
+TEST(ConcurrencyLimit, ReplicaRestartedUnderLoadRecoversWithinASecond) {
   const Report r = play(scenario_of("day_restart", 0.7), Front::kModule, kSeed);
   for (const std::size_t up : {12U, 29U, 44U}) {
     for (std::size_t i = up + 2; i < up + 6; ++i)
-      EXPECT_LE(r.seconds[i].refused + r.seconds[i].failed, 0.01 * r.seconds[i].offered) << "in second " << i;
+      EXPECT_LE(r.seconds[i].rejected + r.seconds[i].failed, 0.01 * r.seconds[i].offered)
+          << "in second " << i;
   }
 }
 
 // Against a front that knows what each server can do and holds.
-TEST(ConcurrencyLimit, AServerTenTimesFasterGetsItsShare) {
+TEST(ConcurrencyLimit, ServerTenTimesFasterGetsItsShare) {
   const Scenario s = scenario_of("one_fast", 0.8, 15);
   const Report r = play(s, Front::kModule, kSeed), oracle = play(s, Front::kOracle, kSeed);
-  EXPECT_EQ(oracle.refused + oracle.failed, 0);
+  EXPECT_EQ(oracle.rejected + oracle.failed, 0);
   EXPECT_LE(r.latency.quantile(0.99), 1.5 * oracle.latency.quantile(0.99));
 }
 
 // A twentieth of these calls take longer than the aim by themselves, which no front can help.
-TEST(ConcurrencyLimit, AnAimOfThreeTimesTheMeanIsNoReasonToRefuse) {
+TEST(ConcurrencyLimit, LatencyObjectiveOfThreeTimesTheMeanCausesNoRejections) {
   for (const double times : {0.5, 0.8, 0.9}) {
     const Scenario s = scenario_of("tight", times);
     const Report r = play(s, Front::kModule, kSeed), oracle = play(s, Front::kOracle, kSeed);
@@ -163,25 +165,25 @@
   EXPECT_GE(play(scenario_of("tight", 2), Front::kModule, kSeed).kept(), 0.88) << "beyond capacity";
 }
 
-// What was seen on sockets: a node that had been idle refused 95% of eight callers, for good.
-TEST(ConcurrencyLimit, AnIdleWhileDoesNotLeadToALastingStateOfRefusals) {
+// What was seen on sockets: a node that had been idle refused 95% of eight clients, for good.
+TEST(ConcurrencyLimit, IdlePeriodDoesNotCausePersistentRejections) {
   for (const char* name : {"closed_8", "closed_32", "closed_128"}) {
     const Report r = play(scenario_of(name, 1), Front::kModule, kSeed);
     const Scenario s = scenario_of(name, 1);
     for (std::size_t i = 35; i + 1 < r.seconds.size(); ++i) {
       EXPECT_EQ(r.seconds[i].unsent, 0) << name << " in second " << i;
-      EXPECT_GT(r.seconds[i].in_time, 45 * s.callers[0].count) << name << " in second " << i;
+      EXPECT_GT(r.seconds[i].in_time, 45 * s.closed_loops[0].count) << name << " in second " << i;
     }
   }
 }
 
-TEST(ConcurrencyLimit, ASharedDependencyThatRecoversLeavesNothingBehind) {
+TEST(ConcurrencyLimit, RecoversFullyAfterASharedDependencyDoes) {
   const Report r = play(scenario_of("shared_slow", 0.8), Front::kModule, kSeed);
   for (std::size_t i = 30; i < r.seconds.size(); ++i)
     EXPECT_LE(r.seconds[i].unsent, 0.01 * r.seconds[i].offered) << "in second " << i;
 }
 
-TEST(ConcurrencyLimit, TheSameSeedPlaysTheSame) {
+TEST(ConcurrencyLimit, RunIsDeterminedByTheSeed) {
   const auto once = [](std::uint64_t seed) {
     return play(scenario_of("crowding", 2, 8), Front::kModule, seed);
   };
--- a/tests/bench/model_test.cpp
+++ b/tests/bench/model_test.cpp
@@ -28,7 +28,7 @@
 
 // ---------------------------------------------------------------- capacity
 
-TEST(ServerModel, WorksOnAsManyAsItHasWorkersAndTheRestWaitsInOrder) {
+TEST(ServerModel, RunsOneRequestPerWorkerAndQueuesOthersInOrder) {
   ServerModel server({.workers = 2, .queue = 10}, kLongAgo);
   for (std::uint64_t i = 0; i < 5; ++i) ASSERT_TRUE(server.arrive(0, i, 1));
   EXPECT_EQ(server.running(), 2);
@@ -40,7 +40,7 @@
   EXPECT_EQ(server.next(), std::nullopt);
 }
 
-TEST(ServerModel, TurnsAwayWhatItsQueueCannotHold) {
+TEST(ServerModel, RejectsBeyondItsQueue) {
   ServerModel server({.workers = 1, .queue = 1}, kLongAgo);
   EXPECT_TRUE(server.arrive(0, 0, 1));
   EXPECT_TRUE(server.arrive(0, 1, 1));
@@ -48,14 +48,14 @@
   EXPECT_EQ(ended_by(server, 5), (std::vector<std::uint64_t>{0, 1}));
 }
 
-TEST(ServerModel, WithoutWorkersToldNothingWaits) {
+TEST(ServerModel, NothingQueuesWithUnlimitedWorkers) {
   ServerModel server({.workers = 0}, kLongAgo);
   for (std::uint64_t i = 0; i < 1000; ++i) ASSERT_TRUE(server.arrive(0, i, 0.02));
   EXPECT_EQ(ended_by(server, 0.02).size(), 1000u);
   EXPECT_TRUE(std::isinf(server.rate(0, 1)));
 }
 
-TEST(ServerModel, IsSlowerWhileCrowded) {
+TEST(ServerModel, IsSlowerWhileOverloaded) {
   ServerModel server({.workers = 4, .crowd_at = 2, .crowd = 3}, kLongAgo);
   ASSERT_TRUE(server.arrive(0, 0, 1));
   ASSERT_TRUE(server.arrive(0, 1, 1));
@@ -65,7 +65,7 @@
   EXPECT_EQ(ended_by(server, 3), (std::vector<std::uint64_t>{2}));
 }
 
-TEST(ServerModel, IsColdAfterAStartAndWarmsInAStraightLine) {
+TEST(ServerModel, WarmsUpLinearlyAfterAStart) {
   ServerModel server({.workers = 1, .cold = 0.25, .ramp_s = 10}, 100);
   EXPECT_DOUBLE_EQ(server.warmth(100), 0.25);
   EXPECT_DOUBLE_EQ(server.warmth(105), 0.625);
@@ -78,7 +78,7 @@
   EXPECT_DOUBLE_EQ(server.warmth(200), 0.25);
 }
 
-TEST(ServerModel, APauseHoldsUpWhatRunsAndWhatASharedDependencySlowsBeginsSlow) {
+TEST(ServerModel, PauseDelaysRunningWorkAndSlowdownAppliesToNewWork) {
   ServerModel server({.workers = 1, .pause_every_s = 1, .pause_s = 0.5}, kLongAgo);
   ASSERT_TRUE(server.arrive(0.8, 0, 0.4));
   EXPECT_TRUE(ended_by(server, 1.6).empty());
@@ -92,7 +92,7 @@
   EXPECT_DOUBLE_EQ(slowed.rate(1, 1), 1.0 / 3);
 }
 
-TEST(ServerModel, HandsOutWhatAProcessThatEndsHadTaken) {
+TEST(ServerModel, ReturnsUnfinishedRequestsWhenTheProcessEnds) {
   ServerModel server({.workers = 1, .queue = 5}, kLongAgo);
   for (std::uint64_t i = 0; i < 4; ++i) ASSERT_TRUE(server.arrive(0, i, 1));
   std::vector<std::uint64_t> lost = server.take_all();
@@ -103,7 +103,7 @@
 
 // ---------------------------------------------------------------- figures
 
-TEST(Histogram, QuantilesAreWithinTwoPercentOfTheSorted) {
+TEST(Histogram, QuantilesAreWithinTwoPercentOfTheExact) {
   Random random(5);
   Histogram histogram;
   std::vector<double> all;
@@ -124,7 +124,7 @@
   EXPECT_EQ(Histogram().quantile(0.5), 0);
 }
 
-TEST(Histogram, KeepsWhatIsOutOfRangeAtItsEnds) {
+TEST(Histogram, ClampsOutOfRangeValues) {
   Histogram histogram;
   histogram.add(-1);
   histogram.add(1e12);
@@ -132,7 +132,7 @@
   EXPECT_GT(histogram.quantile(1), 3900);
 }
 
-TEST(Service, DrawsHaveTheMeanThatCapacityIsReckonedBy) {
+TEST(Service, DrawsMatchTheExpectedMean) {
   Random random(9);
   for (const Service& s :
        {Service{Service::Form::kConstant, 0.02}, Service{Service::Form::kExponential, 0.02},
@@ -148,7 +148,7 @@
 
 const std::string kPlain = "[[class]]\nmean_ms = 10\n[[servers]]\ncount = 2\nworkers = 4\n";
 
-TEST(Scenario, LoadIsInMultiplesOfWhatTheServersCanDo) {
+TEST(Scenario, LoadIsAMultipleOfServerCapacity) {
   const Scenario s =
       parse_scenario(kPlain + "[[load]]\nx = 0.5\n[[load]]\nat = 10\nx = 1\nramp = true\n", "a.toml", 2);
   EXPECT_DOUBLE_EQ(s.full_rate(), 800);
@@ -180,7 +180,7 @@
 
 class BadScenario : public testing::TestWithParam<BadFile> {};
 
-TEST_P(BadScenario, IsRefusedWithItsLine) {
+TEST_P(BadScenario, IsAnErrorWithItsLine) {
   try {
     parse_scenario(GetParam().text, "bad.toml");
     FAIL() << "it was taken";
@@ -229,7 +229,7 @@
   EXPECT_EQ(rules.breaks()[0].substr(0, rule.size()), rule) << rules.breaks()[0];
 }
 
-TEST(RuleMonitor, ACleanHistoryBreaksNothing) {
+TEST(RuleMonitor, CorrectHistoryHasNoViolations) {
   RuleMonitor rules = monitor();
   for (std::size_t c = 0; c < 4; ++c) {
     const std::string id = "r" + std::to_string(c);
@@ -244,7 +244,7 @@
   EXPECT_EQ(rules.broken(), 0u) << rules.breaks()[0];
 }
 
-TEST(RuleMonitor, SeesALateASecondAndAMissingAnswer) {
+TEST(RuleMonitor, ReportsLateDuplicateAndMissingAnswers) {
   RuleMonitor late = monitor();
   late.taken(0, "r", 0, 2);
   late.answered(2.1, "r", Final::kFailed);
@@ -267,21 +267,21 @@
   EXPECT_GE(after.broken(), 1u);
 }
 
-TEST(RuleMonitor, SeesAnUnsafeRequestSentTwice) {
+TEST(RuleMonitor, ReportsANonIdempotentRequestSentTwice) {
   RuleMonitor open = monitor();
   open.taken(0, "r", 2, 2);
   open.sent(0, "r", 0, 0);
   open.sent(0.1, "r", 0, 0);  // the first may still run
   expect_broken(open, "no-double-effect");
-  RuleMonitor refused = monitor();
-  refused.taken(0, "r", 2, 2);
-  refused.sent(0, "r", 0, 0);
-  refused.ended("r", 0, true);
-  refused.answered(1, "r", Final::kRefused);
-  expect_broken(refused, "no-double-effect");
+  RuleMonitor rejected = monitor();
+  rejected.taken(0, "r", 2, 2);
+  rejected.sent(0, "r", 0, 0);
+  rejected.ended("r", 0, true);
+  rejected.answered(1, "r", Final::kRejected);
+  expect_broken(rejected, "no-double-effect");
 }
 
-TEST(RuleMonitor, SeesAKeyedRequestLeaveItsCellOrItsTime) {
+TEST(RuleMonitor, ReportsAKeyedRequestOutsideItsScopeOrWindow) {
   RuleMonitor cell = monitor();
   cell.taken(0, "r", 1, 2);
   cell.sent(0, "r", 0, 0);
@@ -298,22 +298,22 @@
   expect_broken(time, "no-double-effect");
 }
 
-TEST(RuleMonitor, SeesWorkAfterADrainFromTheFirstTimeItWasTold) {
+TEST(RuleMonitor, ReportsWorkAfterADrainCountedFromTheFirstNotification) {
   RuleMonitor rules = monitor();
   rules.taken(0, "r", 0, 9);
-  rules.told(1, 0, 2, false);
-  rules.told(1.9, 0, 2, false);
+  rules.endpoint_notified(1, 0, 2, false);
+  rules.endpoint_notified(1.9, 0, 2, false);
   rules.sent(2, "r", 0, 2);
-  rules.sent(2.5, "r", 1, 2);  // another copy, which was not told
+  rules.sent(2.5, "r", 1, 2);  // another replica, which was not told
   EXPECT_EQ(rules.broken(), 0u);
   rules.sent(2.1, "r", 0, 2);
   expect_broken(rules, "drains-kept");
-  rules.told(3, 0, 2, true);
+  rules.endpoint_notified(3, 0, 2, true);
   rules.sent(9, "r", 0, 2);
   EXPECT_EQ(rules.broken(), 1u);
 }
 
-TEST(RuleMonitor, SeesAColdServerPushedOverOnce) {
+TEST(RuleMonitor, ReportsAnOverloadedColdServerOnce) {
   RuleMonitor rules = monitor();
   for (int i = 0; i < 8; ++i) rules.came(i * 0.1, 0, 0.5, 1);  // 4 s of work within a second: the limit
   EXPECT_EQ(rules.broken(), 0u);
--- a/tests/bench/player_test.cpp
+++ b/tests/bench/player_test.cpp
@@ -32,7 +32,7 @@
     "3000\n"
     "[[servers]]\nworkers = 1\n";
 
-TEST(Player, ACallerAloneFindsWhatTheServerTakes) {
+TEST(Player, SingleClientSeesTheServiceTime) {
   const Report r = play_direct(kOneWorker + "[[callers]]\ncount = 1\n");
   EXPECT_NEAR(r.offered, 18 / 0.101, 3);
   EXPECT_EQ(r.in_time, r.offered);
@@ -41,7 +41,7 @@
   EXPECT_EQ(r.wasted, 0);
 }
 
-TEST(Player, BeyondCapacityTheOracleCountsWhatTheServersCanDo) {
+TEST(Player, OracleIsLimitedByServerCapacityUnderOverload) {
   const Report r = play_direct(kOneWorker + "[[load]]\nx = 3\n");
   EXPECT_NEAR(r.possible, 18 * 10, 1);
   EXPECT_NEAR(r.offered, 18 * 30, 60);
@@ -50,20 +50,20 @@
   EXPECT_GT(r.wasted, 0.8 * r.work) << "it works on what nobody waits for any more";
 }
 
-TEST(Player, BelowCapacityItCountsWhatIsAskedFor) {
+TEST(Player, OracleIsLimitedByTheLoadBelowCapacity) {
   const Report r = play_direct(kOneWorker + "[[load]]\nrate = 2\n");
   EXPECT_NEAR(r.possible, 36, 0.1);
   EXPECT_EQ(r.failed, 0);
   EXPECT_NEAR(r.work, 0.1 * r.served, 0.3);
 }
 
-TEST(Player, AChangeOfSpeedMovesCapacityWithIt) {
+TEST(Player, SpeedChangeMovesCapacity) {
   const Report r = play_direct(kOneWorker + "[[load]]\nrate = 1\n[[change]]\nat = 10\nfactor = 2\n");
   EXPECT_NEAR(r.seconds[5].capacity, 10, 1e-9);
   EXPECT_NEAR(r.seconds[15].capacity, 5, 1e-9);
 }
 
-TEST(Player, AServerThatStopsResetsWhatItHadAndIsMissed) {
+TEST(Player, StoppedServerResetsItsRequestsAndReducesCapacity) {
   const std::string two =
       "seconds = 20\nsettle = 0\n[[class]]\nservice = \"constant\"\nmean_ms = 500\neffect = \"unsafe\"\n"
       "aim_ms = 2000\ngive_up_ms = 4000\n[[servers]]\ncount = 2\nworkers = 10\n[[load]]\nrate = 10\n"
@@ -76,14 +76,14 @@
   EXPECT_EQ(r.seconds[15].in_time, r.seconds[15].offered) << "the other serves all";
 }
 
-TEST(Player, WorkAfterADrainShowsWithAFrontThatDoesNotHeedIt) {
+TEST(Player, WorkAfterADrainIsReportedForAFrontThatIgnoresIt) {
   expect_broken_by_direct_alone(kOneWorker +
                                     "[[servers]]\nworkers = 1\n[[load]]\nrate = 5\n[[change]]\nat = 8\n"
                                     "what = \"drain\"\nfirst = 0\nlast = 0\ntold_after_ms = 300\n",
                                 "drains-kept", 10);
 }
 
-TEST(Player, AColdServerThatIsPushedOverShows) {
+TEST(Player, OverloadedColdServerIsReported) {
   expect_broken_by_direct_alone(
       "seconds = 12\nsettle = 0\nramp_s = 9\nstart_capacity = 0.1\n[[class]]\nservice = \"constant\"\n"
       "mean_ms = 20\n[[servers]]\ncount = 2\nworkers = 4\ncold = 0.1\nramp_s = 9\n[[load]]\nx = 0.9\n"
@@ -92,18 +92,18 @@
       "cold-servers", 0);
 }
 
-TEST(Player, QueuesThatAreFullAreTurnedAwayAndSentElsewhere) {
+TEST(Player, RequestsRejectedByFullQueuesAreSentElsewhere) {
   const std::string full =
       "seconds = 10\nsettle = 0\n[[class]]\nservice = \"constant\"\nmean_ms = 50\neffect = \"unsafe\"\n"
       "[[servers]]\nworkers = 1\nqueue = 0\n[[servers]]\nworkers = 20\n[[load]]\nrate = 100\n";
   const Report r = play_module(full);
   EXPECT_EQ(r.broken, 0u) << r.breaks[0];
-  EXPECT_EQ(r.served + r.refused, r.offered);
-  EXPECT_LE(r.refused, 0.005 * r.offered) << "the other server has room for all but a few at the start";
+  EXPECT_EQ(r.served + r.rejected, r.offered);
+  EXPECT_LE(r.rejected, 0.005 * r.offered) << "the other server has room for all but a few at the start";
   EXPECT_EQ(r.wasted, 0) << "what is turned away has not run";
 }
 
-TEST(Player, AServerThatFailsOrFallsSilentDoesSoInPart) {
+TEST(Player, PartialFailureAndSilenceAffectTheGivenShare) {
   const auto of = [](const std::string& what) {
     return play_direct(
         "seconds = 40\nsettle = 0\n[[class]]\nservice = \"constant\"\nmean_ms = 20\n"
@@ -117,9 +117,9 @@
   }
 }
 
-TEST(Player, ACopyThatRestartsLosesWhatItHeldAndNothingElse) {
-  const auto of = [](int copies) {
-    return play_module("seconds = 20\nsettle = 0\ncopies = " + std::to_string(copies) +
+TEST(Player, RestartedReplicaLosesOnlyItsInFlightRequests) {
+  const auto of = [](int replicas) {
+    return play_module("seconds = 20\nsettle = 0\ncopies = " + std::to_string(replicas) +
                        "\n[[class]]\nservice = \"constant\"\nmean_ms = 100\n[[servers]]\nworkers = 20\n"
                        "[[load]]\nrate = 50\n[[change]]\nat = 10\nwhat = \"restart\"\ndown_ms = 2000\n");
   };
@@ -130,20 +130,20 @@
   EXPECT_LT(beside.failed, 10) << "some of half a tenth of a second; then the other copy serves";
 }
 
-// Callers who come again by themselves: what they want counts once, and how much is made of it shows.
-TEST(Player, CallersWhoComeAgainCountOnceAndTheirTriesShow) {
+// Clients who come again by themselves: what they want counts once, and how much is made of it shows.
+TEST(Player, RetriesCountOnceAsOfferedAndEachAsAnAttempt) {
   const std::string fails = kOneWorker + "[[load]]\nrate = 2\n[[change]]\nat = 0\nwhat = \"fail\"\n";
   const Report once = play_direct(fails);
   EXPECT_DOUBLE_EQ(once.amplification(), 1);
-  EXPECT_DOUBLE_EQ(once.tries, once.offered);
+  EXPECT_DOUBLE_EQ(once.client_attempts, once.offered);
   const Report again = play_direct(fails + "[clients]\nretries = 3\nwait_ms = 100\n");
   EXPECT_DOUBLE_EQ(again.offered, once.offered) << "the same load";
-  EXPECT_DOUBLE_EQ(again.tries, 4 * again.offered);
+  EXPECT_DOUBLE_EQ(again.client_attempts, 4 * again.offered);
   EXPECT_DOUBLE_EQ(again.failed, again.offered) << "each counts once";
-  // Half of 3 s a try and 1 s between: the first at 0, the second at 1, the third at 2; none is left for a
-  // fourth.
+  // Half of 3 s an attempt and 1 s between: the first at 0, the second at 1, the third at 2; none is left for
+  // a fourth.
   const Report late = play_direct(fails + "[clients]\nretries = 9\nwait_ms = 1000\ntry_share = 0.5\n");
-  EXPECT_DOUBLE_EQ(late.tries, 3 * late.offered);
+  EXPECT_DOUBLE_EQ(late.client_attempts, 3 * late.offered);
   // One that fails half of the time is served in the end by all but one in sixteen.
   const Report half = play_direct(kOneWorker +
                                   "[[load]]\nrate = 3\n[[change]]\nat = 0\nwhat = \"fail\"\npart = "
@@ -152,7 +152,7 @@
   EXPECT_EQ(half.broken, 0u);
 }
 
-TEST(Player, ClosedLoopsWaitAsTheyAreTold) {
+TEST(Player, ClosedLoopsHonorTheirThinkAndRetryTimes) {
   const auto offered = [](const char* after) {
     return play_module(
         "seconds = 10\nsettle = 0\nmax_retry_after_ms = 1000\n[[class]]\naim_ms = 100\nmean_ms = 50\n"
--- a/tests/bench/rig_test.cpp
+++ b/tests/bench/rig_test.cpp
@@ -26,7 +26,7 @@
   return out;
 }
 
-TEST(Rig, WhatItWritesTheNodeReads) {
+TEST(Rig, NodeParsesTheWrittenConfiguration) {
   const Scenario s = parse_scenario(
       "copies = 3\nmax_attempts = 4\nmax_retry_after_ms = 700\n[[class]]\nname = \"look\"\naim_ms = "
       "250\n[[class]]\n"
@@ -51,39 +51,39 @@
   EXPECT_EQ(config.known.members[1].endpoint.port(), 1002);
 }
 
-TEST(Rig, TheStandInWorksAsTheModelSays) {
+TEST(Rig, ModelServerFollowsTheModel) {
   // One worker of 50 ms, asked without a node at 5 times what it can do, with room for four that wait.
   const Scenario s = scenario_of(
       "service = \"constant\"\nmean_ms = 50\n[[servers]]\nworkers = 1\nqueue = 4\n[[load]]\nx = 5\n");
   const Seen seen = play_on_sockets(s, "", true, folder(), 1);
-  std::size_t served = 0, turned_away = 0;
-  for (const Load::Ended& e : seen.ended) {
+  std::size_t served = 0, rejected = 0;
+  for (const LoadGenerator::Ended& e : seen.ended) {
     EXPECT_TRUE(e.heard);
     served += e.how == Final::kServed ? 1 : 0;
-    turned_away += e.how == Final::kRefused ? 1 : 0;
+    rejected += e.how == Final::kRejected ? 1 : 0;
     EXPECT_TRUE(e.how != Final::kServed || e.answered - e.due >= 0.049) << e.id;
   }
-  EXPECT_EQ(served + turned_away, seen.ended.size());
-  EXPECT_GT(turned_away, served);
+  EXPECT_EQ(served + rejected, seen.ended.size());
+  EXPECT_GT(rejected, served);
   EXPECT_LE(served, 45u) << "2 s of one worker, and what waits";
   EXPECT_GT(served, 10u);
   EXPECT_NEAR(seen.work, 0.05 * static_cast<double>(served), 1e-9);
 }
 
-TEST(Rig, LatencyCountsFromWhenARequestWasDue) {
+TEST(Rig, LatencyIsMeasuredFromTheDueTime) {
   // All connections are held by one long request each; those that follow open new ones and are not held up.
   const Scenario s =
       scenario_of("service = \"constant\"\nmean_ms = 300\n[[servers]]\nworkers = 1\n[[load]]\nrate = 10\n");
   const Seen seen = play_on_sockets(s, "", true, folder(), 1);
   double longest = 0;
-  for (const Load::Ended& e : seen.ended) {
+  for (const LoadGenerator::Ended& e : seen.ended) {
     EXPECT_LT(e.sent - e.due, 1) << "it was held back";
     longest = std::max(longest, e.answered - e.due);
   }
   EXPECT_GT(longest, 0.8) << "the queue has to show";
 }
 
-TEST(Rig, ANodeServesAScenarioAndBreaksNoRule) {
+TEST(Rig, NodeServesAScenarioWithoutViolations) {
   const Scenario s = scenario_of(
       "mean_ms = 10\n[[class]]\nname = \"close\"\neffect = \"unsafe\"\naim_ms = 2000\ngive_up_ms = "
       "4000\nmean_ms = 10\n"
@@ -91,27 +91,27 @@
   const Seen seen = play_on_sockets(s, NODE_PROGRAM, false, folder(), 1);
   EXPECT_TRUE(seen.nodes_lived);
   ASSERT_GT(seen.ended.size(), 100u);
-  for (const Load::Ended& e : seen.ended) EXPECT_TRUE(e.heard) << e.id;
+  for (const LoadGenerator::Ended& e : seen.ended) EXPECT_TRUE(e.heard) << e.id;
   const RuleMonitor rules = check_rules(s, seen);
   EXPECT_EQ(rules.broken(), 0u) << rules.breaks()[0];
 }
 
-TEST(Rig, ItsVerdictSeesAnEffectTwiceAndALostRequest) {
+TEST(Rig, RuleCheckReportsADoubleEffectAndALostRequest) {
   const Scenario s = scenario_of("effect = \"unsafe\"\n[[servers]]\ncount = 2\n[[load]]\nrate = 1\n");
-  const Load::Ended asked{"r1", 0, 0, 1, 1, 2, Final::kServed, true};
+  const LoadGenerator::Ended asked{"r1", 0, 0, 1, 1, 2, Final::kServed, true};
   Seen once;
   once.ended = {asked};
-  once.came = {{1.1, 0, "r1", 0.1, 0, true}, {1.2, 1, "r1", 0.1, 0, false}};  // the first was turned away
+  once.came = {{1.1, 0, "r1", 0.1, 0, true}, {1.2, 1, "r1", 0.1, 0, false}};  // the first was rejected
   EXPECT_EQ(check_rules(s, once).broken(), 0u);
   Seen twice = once;
-  twice.came[0].turned_away = false;
+  twice.came[0].rejected = false;
   EXPECT_EQ(check_rules(s, twice).broken(), 1u);
   Seen lost = once;
   lost.ended[0].heard = false;
   EXPECT_EQ(check_rules(s, lost).broken(), 1u);
 }
 
-TEST(Rig, WhatIsNotPlayedIsRefused) {
+TEST(Rig, UnsupportedScenarioIsAnError) {
   const Scenario s = scenario_of("[[servers]]\n[[load]]\nrate = 1\n[[change]]\nat = 1\nwhat = \"drain\"\n");
   EXPECT_THROW(play_on_sockets(s, NODE_PROGRAM, false, folder(), 1), std::runtime_error);
 }
--- a/tests/bench/second_tier_test.cpp
+++ b/tests/bench/second_tier_test.cpp
@@ -21,7 +21,7 @@
          "\n";
 }
 
-TEST(SecondTier, ACallTakesItsOwnWorkAndThatOfItsCallsOneAfterAnother) {
+TEST(SecondTier, LatencyIsOwnWorkPlusSequentialCalls) {
   for (const Front front : {Front::kModule, Front::kDirect, Front::kOracle}) {
     const Report r = play_with(front, two_tiers("safe", 4, 4) + "[[callers]]\ncount = 1\n");
     constexpr double kNet = 0.0002;  // s; the scenario's default
@@ -34,13 +34,13 @@
   }
 }
 
-TEST(SecondTier, AServerHoldsItsSlotOverItsCalls) {
+TEST(SecondTier, ServerKeepsItsSlotDuringCalls) {
   const Report r = play_with(Front::kModule, two_tiers("safe", 1, 8) + "[[callers]]\ncount = 8\n");
   EXPECT_NEAR(r.in_time / 18, 2 / 0.1, 1) << "20 a second, not the 40 that the workers alone could begin";
   EXPECT_NEAR(r.seconds[10].capacity, 20, 0.1);
 }
 
-TEST(SecondTier, BoundsWhatTheTiersCanDoTogether) {
+TEST(SecondTier, LimitsTheCombinedCapacity) {
   const Report r = play_with(Front::kDirect, two_tiers("safe", 10, 1) + "[[load]]\nrate = 5\n");
   EXPECT_NEAR(r.seconds[10].capacity, 2 / 0.05, 0.1) << "two backends of one worker, 50 ms a request";
   const Report slow =
@@ -49,7 +49,7 @@
   EXPECT_NEAR(slow.seconds[10].capacity, 10, 0.1);
 }
 
-TEST(SecondTier, ThatFailsMakesTheFirstFailAndIsTriedBySafeCallsAlone) {
+TEST(SecondTier, FailurePropagatesAndOnlyIdempotentCallsAreRetried) {
   const std::string fail = "[[load]]\nrate = 10\n[[change]]\nat = 0\nwhat = \"fail\"\nbackends = true\n";
   const Report safe = play_with(Front::kModule, two_tiers("safe", 4, 4) + fail);
   EXPECT_EQ(safe.served, 0);
@@ -62,7 +62,7 @@
   EXPECT_LE(unsafe.attempts, unsafe.offered);
 }
 
-TEST(SecondTier, AServerThatStopsOverItsCallsResetsThem) {
+TEST(SecondTier, ServerThatStopsDuringCallsResetsThem) {
   const std::string text = two_tiers("unsafe", 4, 4) +
                            "[[load]]\nrate = 20\n[[change]]\nat = 10\nwhat = \"stop\"\nfirst = 0\nlast = 0\n"
                            "[[change]]\nat = 14\nwhat = \"start\"\nfirst = 0\nlast = 0\n";
@@ -74,7 +74,7 @@
   EXPECT_NEAR(r.seconds[17].capacity, 80, 1);
 }
 
-TEST(SecondTier, ABackendThatStopsIsToldToTheServersOwnCopies) {
+TEST(SecondTier, SidecarsAreNotifiedOfABackendThatStops) {
   const Report r = play_with(
       Front::kModule, two_tiers("safe", 4, 4) +
                           "[[load]]\nrate = 20\n[[change]]\nat = 10\nwhat = \"stop\"\nfirst = 1\nlast = 1\n"
@@ -89,7 +89,7 @@
   EXPECT_EQ(heedless.breaks[0].rfind("drains-kept", 0), 0u) << heedless.breaks[0];
 }
 
-TEST(SecondTier, TheSameSeedGivesTheSamePlay) {
+TEST(SecondTier, RunIsDeterminedByTheSeed) {
   const std::string text = two_tiers("keyed", 2, 1) + "[clients]\nretries = 3\n[[load]]\nx = 1.5\n";
   const Report a = play_with(Front::kModule, text), b = play_with(Front::kModule, text);
   EXPECT_EQ(a.attempts, b.attempts);
@@ -99,13 +99,13 @@
   EXPECT_EQ(a.broken, 0u);
 }
 
-// A slow second tier is a lasting load on the first, and callers come again: what they make of it shows.
-TEST(SecondTier, ThatIsSlowShowsInTriesAndWaste) {
+// A slow second tier is a lasting load on the first, and clients come again: what they make of it shows.
+TEST(SecondTier, SlowBackendsRaiseRetriesAndWastedWork) {
   const std::string text = two_tiers("safe", 8, 2) +
                            "[clients]\nretries = 3\ntry_share = 0.5\n[[load]]\nrate = 40\n"
                            "[[change]]\nat = 5\nfactor = 4\nbackends = true\n";
   const Report direct = play_with(Front::kDirect, text);
-  EXPECT_GT(direct.tries / direct.offered, 2) << "without anybody who refuses, all come again";
+  EXPECT_GT(direct.client_attempts / direct.offered, 2) << "without anybody who refuses, all come again";
   EXPECT_GT(direct.wasted, 0.5 * direct.work);
 }
 
@@ -117,7 +117,7 @@
     "= 4\n"
     "[[load]]\nrate = 100\n";
 
-TEST(Floods, ComeBesideTheLoadAndBelongToTheirTenant) {
+TEST(Floods, AddToTheLoadAndCountForTheirTenant) {
   const Report r =
       play_with(Front::kModule, kTenants + "[[flood]]\ntenant = \"b\"\nat = 5\nlasts = 10\nrate = 200\n");
   EXPECT_NEAR(r.tenants[0].offered, 1000, 100);
@@ -128,7 +128,7 @@
   EXPECT_EQ(r.tenants[0].in_time, r.tenants[0].offered);
 }
 
-TEST(Floods, ThroughOneCopyMeetNoOther) {
+TEST(Floods, ThroughOneReplicaReachNoOther) {
   const Report r =
       play_with(Front::kModule, kTenants +
                                     "[[flood]]\ntenant = \"b\"\nat = 5\nlasts = 10\nrate = 200\nnode = 1\n"
@@ -137,7 +137,7 @@
   EXPECT_GT(r.tenants[1].served, 0.9 * r.tenants[1].offered) << "while it is down they go to the other";
 }
 
-TEST(Floods, OfNobodyAreErrorsWithTheirLine) {
+TEST(Floods, OfAnUnknownTenantAreErrorsWithTheirLine) {
   for (const char* wrong :
        {"tenant = \"c\"\nrate = 5\n", "tenant = \"a\"\n", "tenant = \"a\"\nrate = 5\nnode = 2\n",
         "tenant = \"a\"\nrate = 5\nspeed = 1\n"}) {
--- a/tests/fleet_rig/checkers_test.cpp
+++ b/tests/fleet_rig/checkers_test.cpp
@@ -1,4 +1,4 @@
-// Each judge on histories that are planted: what it has to see, and what it must not blame.
+// Each checker on histories that are planted: what it has to see, and what it must not blame.
 #include "checkers.h"
 
 #include <gtest/gtest.h>
@@ -13,9 +13,9 @@
 namespace {
 
 using What = Record::What;
-const Party kFront{PartyKind::kCallers, 0}, kList{PartyKind::kDiscovery, 0};
-Party node(int n) { return {PartyKind::kNode, n}; }
-Party server(int n) { return {PartyKind::kServer, n}; }
+const Actor kFront{ActorKind::kClients, 0}, kList{ActorKind::kDiscovery, 0};
+Actor node(int n) { return {ActorKind::kNode, n}; }
+Actor server(int n) { return {ActorKind::kServer, n}; }
 
 constexpr int kIdempotent = 0, kIdempotentWithKey = 1, kNotIdempotent = 2;
 
@@ -32,12 +32,12 @@
   return out;
 }
 
-// A history that is written as a run writes it: with its beginning, its parties and their ends.
+// A history that is written as a run writes it: with its beginning, its actors and their ends.
 class Story {
  public:
   Story() {
     add({.t = 0.001, .what = What::kBegin, .by = kList, .limit = 20});
-    add({.t = 0.002, .what = What::kParty, .by = kFront});
+    add({.t = 0.002, .what = What::kActorJoined, .by = kFront});
   }
   Story& add(const Record& record) {
     history_.records.push_back(record);
@@ -46,7 +46,7 @@
   Story& ask(double t, const std::string& id, int request_class = kNotIdempotent, int to = 0,
              double time = 1) {
     return add({.t = t,
-                .what = What::kAsk,
+                .what = What::kRequestSent,
                 .by = kFront,
                 .to = node(to),
                 .id = id,
@@ -56,7 +56,7 @@
   }
   Story& came(double t, const std::string& id, int at, int from = 0, bool taken = true, double left = 0) {
     return add({.t = t,
-                .what = What::kCame,
+                .what = What::kServerReceived,
                 .by = server(at),
                 .to = node(from),
                 .id = id,
@@ -65,18 +65,18 @@
                 .work = 0.1});
   }
   Story& answer(double t, const std::string& id, int status) {
-    return add({.t = t, .what = What::kAnswer, .by = kFront, .to = node(0), .id = id, .status = status});
+    return add({.t = t, .what = What::kResponse, .by = kFront, .to = node(0), .id = id, .status = status});
   }
   Story& just(double t, What what, const std::string& id) {
     return add({.t = t, .what = what, .by = kFront, .to = node(0), .id = id});
   }
-  Story& of(double t, What what, const Party& by, const Party& to = {}, bool yes = false) {
+  Story& of(double t, What what, const Actor& by, const Actor& to = {}, bool yes = false) {
     return add({.t = t, .what = what, .by = by, .to = to, .yes = yes});
   }
   Verdict verdict(bool ended = true) {
     if (ended) add({.t = 19, .what = What::kClosed, .by = kFront});
     history_.sort();
-    return judge(history_, rules());
+    return check_history(history_, rules());
   }
   History& history() { return history_; }
 
@@ -101,73 +101,79 @@
 
 // ---------------------------------------------------------------- one final answer
 
-TEST(FinalAnswer, GivenInTimeIsWell) {
+TEST(FinalAnswer, WithinTheDeadlinePasses) {
   expect_well(Story().ask(1, "a").came(1.1, "a", 0).answer(1.5, "a", 200).verdict());
   expect_well(Story().ask(1, "a").answer(1.1, "a", 503).verdict());
 }
 
-TEST(FinalAnswer, TooLateLostNeverAndTwiceAreEachSeen) {
+TEST(FinalAnswer, LateLostMissingAndDuplicateAnswersAreReported) {
   expect_only(Story().ask(1, "a").answer(2.2, "a", 200).verdict(), "one-final-answer");
-  expect_only(Story().ask(1, "a").just(1.4, What::kBroken, "a").verdict(), "one-final-answer");
-  expect_only(Story().ask(1, "a").just(2.3, What::kGaveUp, "a").verdict(), "one-final-answer");
+  expect_only(Story().ask(1, "a").just(1.4, What::kConnectionBroken, "a").verdict(), "one-final-answer");
+  expect_only(Story().ask(1, "a").just(2.3, What::kClientLeft, "a").verdict(), "one-final-answer");
   expect_only(Story().ask(1, "a").answer(1.2, "a", 200).answer(1.3, "a", 200).verdict(), "one-final-answer");
 }
 
-TEST(FinalAnswer, IsNotOwedToACallerWhoLeavesEarly) {
-  expect_well(Story().ask(1, "a").just(1.4, What::kGaveUp, "a").verdict());
+TEST(FinalAnswer, IsNotRequiredForAClientThatDisconnectsEarly) {
+  expect_well(Story().ask(1, "a").just(1.4, What::kClientLeft, "a").verdict());
 }
 
-TEST(FinalAnswer, OfANodeThatWasKilledOrCutOffIsExcusedAndCounted) {
+TEST(FinalAnswer, OfAKilledOrPartitionedNodeIsExcusedAndCounted) {
   const Verdict killed =
-      Story().ask(1, "a").of(1.2, What::kDown, node(0)).just(1.3, What::kBroken, "a").verdict();
+      Story().ask(1, "a").of(1.2, What::kDown, node(0)).just(1.3, What::kConnectionBroken, "a").verdict();
   expect_well(killed);
   EXPECT_EQ(killed.excused, 1u);
   expect_well(Story()
-                  .of(0.5, What::kAway, node(0))
+                  .of(0.5, What::kPaused, node(0))
                   .ask(1, "a")
-                  .just(2.3, What::kGaveUp, "a")
-                  .of(3, What::kBack, node(0))
+                  .just(2.3, What::kClientLeft, "a")
+                  .of(3, What::kResumed, node(0))
                   .verdict());
   expect_well(Story()
                   .of(0.5, What::kBadLink, node(0), kFront)
                   .ask(1, "a")
-                  .just(2.3, What::kGaveUp, "a")
+                  .just(2.3, What::kClientLeft, "a")
                   .of(3, What::kGoodLink, node(0), kFront)
                   .verdict());
 }
 
 TEST(FinalAnswer, OfAnotherNodeOrAnotherTimeIsNotExcused) {
-  expect_only(Story().ask(1, "a").of(1.2, What::kDown, node(1)).just(1.3, What::kBroken, "a").verdict(),
-              "one-final-answer");
+  expect_only(
+      Story().ask(1, "a").of(1.2, What::kDown, node(1)).just(1.3, What::kConnectionBroken, "a").verdict(),
+      "one-final-answer");
   expect_only(Story()
                   .of(0.5, What::kDown, node(0))
                   .of(0.9, What::kUp, node(0))
                   .ask(1, "a")
-                  .just(1.3, What::kBroken, "a")
+                  .just(1.3, What::kConnectionBroken, "a")
+                  .verdict(),
+              "one-final-answer");
+  // A link to a server is not that to its clients.
+  expect_only(Story()
+                  .of(0.5, What::kBadLink, node(0), server(0))
+                  .ask(1, "a")
+                  .just(2.3, What::kClientLeft, "a")
                   .verdict(),
               "one-final-answer");
-  // A link to a server is not that to its callers.
-  expect_only(
-      Story().of(0.5, What::kBadLink, node(0), server(0)).ask(1, "a").just(2.3, What::kGaveUp, "a").verdict(),
-      "one-final-answer");
 }
 
-TEST(FinalAnswer, IsOwedByANodeThatWasToldToEnd) {
-  expect_only(Story().of(0.9, What::kTerm, node(0)).ask(1, "a").just(1.3, What::kBroken, "a").verdict(),
-              "one-final-answer");
-  expect_well(Story().of(0.9, What::kTerm, node(0)).ask(1.7, "a").just(1.8, What::kBroken, "a").verdict());
+TEST(FinalAnswer, IsRequiredFromADrainingNode) {
+  expect_only(
+      Story().of(0.9, What::kTerm, node(0)).ask(1, "a").just(1.3, What::kConnectionBroken, "a").verdict(),
+      "one-final-answer");
+  expect_well(
+      Story().of(0.9, What::kTerm, node(0)).ask(1.7, "a").just(1.8, What::kConnectionBroken, "a").verdict());
 }
 
 // ---------------------------------------------------------------- no double effect
 
-TEST(DoubleEffect, OfAnUnsafeCallThatRanTwice) {
+TEST(DoubleEffect, OfANonIdempotentRequestThatRanTwiceIsReported) {
   expect_only(Story().ask(1, "a").came(1.1, "a", 0).came(1.3, "a", 1).answer(1.5, "a", 200).verdict(),
               "no-double-effect");
   expect_well(
       Story().ask(1, "a").came(1.1, "a", 0, 0, false).came(1.3, "a", 1).answer(1.5, "a", 200).verdict());
 }
 
-TEST(DoubleEffect, OfAKeyedCallOutOfItsCellOrItsTime) {
+TEST(DoubleEffect, OfAKeyedRequestOutsideItsScopeOrWindowIsReported) {
   expect_well(Story()
                   .ask(1, "a", kIdempotentWithKey, 0, 9)
                   .came(1.1, "a", 0)
@@ -190,26 +196,26 @@
               "no-double-effect");
 }
 
-TEST(DoubleEffect, OfARefusalOfWhatMayHaveRun) {
+TEST(DoubleEffect, OfARejectionAfterAPossibleRunIsReported) {
   expect_only(Story().ask(1, "a").came(1.1, "a", 0).answer(1.5, "a", 503).verdict(), "no-double-effect");
   expect_well(Story().ask(1, "a").came(1.1, "a", 0).answer(1.5, "a", 502).verdict());
   expect_well(Story().ask(1, "a").came(1.1, "a", 0, 0, false).answer(1.5, "a", 503).verdict());
   expect_well(Story().ask(1, "a", kIdempotent).came(1.1, "a", 0).answer(1.5, "a", 503).verdict());
 }
 
-TEST(DoubleEffect, OfASendAfterTheAnswerAndNotOfOneThatWasOnItsWay) {
+TEST(DoubleEffect, OfAnAttemptSentAfterTheAnswerIsReportedAndOneInFlightIsNot) {
   expect_only(Story().ask(1, "a", kIdempotent).answer(1.2, "a", 502).came(1.6, "a", 0).verdict(),
               "no-double-effect");
   expect_well(
       Story().ask(1, "a", kIdempotent).answer(1.2, "a", 502).came(1.6, "a", 0, 0, true, 1.1).verdict());
 }
 
-// ---------------------------------------------------------------- drains, cold servers, callers who left
+// ---------------------------------------------------------------- drains, cold servers, clients who left
 
-TEST(Drains, CountFromWhenThatNodeWasTold) {
+TEST(Drains, CountFromTheNodesOwnNotification) {
   const auto story = [](double came, int from, double left = 0) {
     return Story()
-        .of(1, What::kTold, node(0), server(0), false)
+        .of(1, What::kNotified, node(0), server(0), false)
         .ask(came - 0.1, "a", kIdempotent, from)
         .came(came, "a", 0, from, true, left)
         .answer(came + 0.1, "a", 200)
@@ -221,16 +227,16 @@
   expect_well(story(2.2, 0, 1.9));  // it had left the node in time
 }
 
-TEST(Drains, AreForgottenWhenTheServerIsWantedAgainOrTheNodeStartsAnew) {
+TEST(Drains, AreClearedWhenTheServerIsReadyAgainOrTheNodeRestarts) {
   expect_well(Story()
-                  .of(1, What::kTold, node(0), server(0), false)
-                  .of(1.5, What::kTold, node(0), server(0), true)
+                  .of(1, What::kNotified, node(0), server(0), false)
+                  .of(1.5, What::kNotified, node(0), server(0), true)
                   .ask(3, "a")
                   .came(3.1, "a", 0)
                   .answer(3.2, "a", 200)
                   .verdict());
   expect_well(Story()
-                  .of(1, What::kTold, node(0), server(0), false)
+                  .of(1, What::kNotified, node(0), server(0), false)
                   .of(1.5, What::kDown, node(0))
                   .of(1.8, What::kUp, node(0))
                   .ask(3, "a")
@@ -239,14 +245,14 @@
                   .verdict());
 }
 
-TEST(ColdServers, ArePushedOverByTheSumOfAllNodes) {
+TEST(ColdServers, AreOverloadedByTheSumOfAllNodes) {
   const auto story = [](int nodes, double cold) {
     Story s;
     for (int i = 0; i < 20; ++i) {
       const std::string id = "a" + std::to_string(i);
       s.ask(1 + i * 0.01, id, kIdempotent, i % nodes);
       s.add({.t = 1.001 + i * 0.01,
-             .what = What::kCame,
+             .what = What::kServerReceived,
              .by = server(0),
              .to = node(i % nodes),
              .id = id,
@@ -263,11 +269,11 @@
   expect_well(story(10, 0));    // it is warm
 }
 
-TEST(Abandoned, IsASendLongAfterItsCallerHasClosed) {
+TEST(Abandoned, SendLongAfterTheClientDisconnectedIsReported) {
   const auto story = [](double came, double left) {
     return Story()
         .ask(1, "a", kIdempotent)
-        .just(1.3, What::kGaveUp, "a")
+        .just(1.3, What::kClientLeft, "a")
         .came(came, "a", 0, 0, true, left)
         .verdict();
   };
@@ -276,17 +282,17 @@
   expect_well(story(3.5, 1.4));
   // That the node was stopped is no excuse: the close was there to be seen when it woke.
   expect_only(Story()
-                  .of(0.9, What::kAway, node(0))
+                  .of(0.9, What::kPaused, node(0))
                   .ask(1, "a", kIdempotent)
-                  .just(1.3, What::kGaveUp, "a")
-                  .of(3.4, What::kBack, node(0))
+                  .just(1.3, What::kClientLeft, "a")
+                  .of(3.4, What::kResumed, node(0))
                   .came(3.5, "a", 0)
                   .verdict(),
               "abandoned");
   expect_well(Story()
                   .of(0.9, What::kBadLink, kFront, node(0))
                   .ask(1, "a", kIdempotent)
-                  .just(1.3, What::kGaveUp, "a")
+                  .just(1.3, What::kClientLeft, "a")
                   .came(3.5, "a", 0)
                   .of(4, What::kGoodLink, kFront, node(0))
                   .verdict());
@@ -313,21 +319,21 @@
   return s;
 }
 
-TEST(Levels, OfDescriptorsAndMemoryHaveToComeBack) {
+TEST(Levels, OfDescriptorsAndMemoryMustReturnToTheBaseline) {
   expect_well(with_usage(60, 12000).verdict());
   expect_only(with_usage(100, 9000).verdict(), "levels");
-  expect_well(with_usage(100, 9000, 8, 50).verdict());  // its callers keep them open
+  expect_well(with_usage(100, 9000, 8, 50).verdict());  // its clients keep them open
   expect_only(with_usage(40, 30000).verdict(), "levels");
   expect_well(with_usage(100, 30000, 15).verdict());  // too soon to say
 }
 
-TEST(Crashes, AreSeen) {
+TEST(Crashes, AreReported) {
   expect_only(Story().ask(1, "a").answer(1.1, "a", 503).of(2, What::kCrash, node(3)).verdict(), "crash");
 }
 
 // ---------------------------------------------------------------- sight
 
-TEST(Sight, AJudgeThatCanNotSeeSaysSo) {
+TEST(Sight, CheckerWithoutItsInputReportsItself) {
   EXPECT_FALSE(Story().ask(1, "a").answer(1.1, "a", 200).verdict(false).passed())
       << "a party that was killed";
   EXPECT_FALSE(Story().verdict().passed()) << "nobody asked anything";
@@ -338,10 +344,10 @@
   cut.history().unread = 1;
   EXPECT_FALSE(cut.verdict().passed()) << "a line that is cut short";
   History none;
-  EXPECT_FALSE(judge(none, rules()).passed());
+  EXPECT_FALSE(check_history(none, rules()).passed());
 }
 
-TEST(Sight, LatenessOfTheRigIsGivenToAllTimesAndVoidsTheRunWhereItIsLarge) {
+TEST(Sight, RigLatenessExtendsAllSlacksAndVoidsTheRunBeyondALimit) {
   const auto story = [](double late) {
     return Story()
         .ask(1, "a")
@@ -354,9 +360,9 @@
   EXPECT_TRUE(story(1.5).void_run);
 }
 
-TEST(Records, ComeBackFromTheirLinesAsTheyWere) {
+TEST(Records, RoundTripThroughTheirLines) {
   Record r{.t = 1.25,
-           .what = What::kCame,
+           .what = What::kServerReceived,
            .by = server(3),
            .to = node(2),
            .id = "x\"y",
@@ -384,10 +390,10 @@
     EXPECT_FALSE(from_line(bad)) << bad;
 }
 
-TEST(Records, FromBeforeTheBeginningCountBackFromIt) {
+TEST(Records, FromBeforeTheBeginningHaveNegativeTimes) {
   const std::string path = testing::TempDir() + "/history_" + std::to_string(::getpid()) + ".jsonl";
   {
-    Historian historian(path);
+    HistoryWriter historian(path);
     historian.add({.what = What::kUp, .by = node(1)});
     historian.begin(5);
     historian.add({.what = What::kBegin, .by = kList});
@@ -405,7 +411,7 @@
 
 // ---------------------------------------------------------------- figures
 
-TEST(Figures, CountWantsTriesAndAttemptsAtEachTier) {
+TEST(Figures, CountOperationsClientAttemptsAndAttemptsAtEachTier) {
   bench::Scenario s = bench::parse_scenario(
       "seconds = 10\n[[class]]\nname = \"c\"\naim_ms = 1000\n[[load]]\nrate = 5\n[[servers]]\ncount = 4\n",
       "t");
@@ -413,12 +419,16 @@
   for (int i = 0; i < 100; ++i) {
     const double t = 0.1 * i + 0.01;
     const std::string id = "w" + std::to_string(i);
-    story.add({.t = t, .what = What::kWant, .by = kFront, .first = id});
+    story.add({.t = t, .what = What::kOperationBegan, .by = kFront, .first = id});
     story.ask(t + 0.001, id, 0);
     story.came(t + 0.01, id, 0);
     if (i % 4 == 0) story.came(t + 0.02, id, 1);
     const bool lost = i >= 40 && i < 60;  // a fault from 4 to 6 s
-    story.add({.t = t + 0.05, .what = What::kEnd, .by = kFront, .first = id, .status = lost ? 503 : 200});
+    story.add({.t = t + 0.05,
+               .what = What::kOperationEnded,
+               .by = kFront,
+               .first = id,
+               .status = lost ? 503 : 200});
   }
   story.add({.t = 4, .what = What::kFault, .by = kList, .note = "x"});
   story.add({.t = 6, .what = What::kHealed, .by = kList, .note = "x"});
@@ -426,15 +436,15 @@
   const Figures f = figures_of(story.history(), s);
   EXPECT_DOUBLE_EQ(f.wanted, 100);
   EXPECT_DOUBLE_EQ(f.served, 80);
-  EXPECT_DOUBLE_EQ(f.refused, 20);
-  EXPECT_DOUBLE_EQ(f.tries, 1);
+  EXPECT_DOUBLE_EQ(f.rejected, 20);
+  EXPECT_DOUBLE_EQ(f.client_attempts, 1);
   EXPECT_DOUBLE_EQ(f.first_tier, 1.25);
   EXPECT_DOUBLE_EQ(f.worst_second, 0);
   EXPECT_DOUBLE_EQ(f.recovery, 0) << "well from the second in which it was over";
   ASSERT_EQ(f.faults.size(), 1u);
 }
 
-TEST(Figures, RecoveryIsFromTheEndOfTheLastFaultUntilItStaysWell) {
+TEST(Figures, RecoveryRunsFromTheLastFaultsEndUntilServiceStaysNormal) {
   bench::Scenario s = bench::parse_scenario(
       "seconds = 20\n[[class]]\nname = \"c\"\n[[load]]\nrate = 5\n[[servers]]\ncount = 4\n", "t");
   const auto recovery = [&s](double until) {
@@ -442,9 +452,13 @@
     for (int i = 0; i < 200; ++i) {
       const double t = 0.1 * i + 0.01;
       const std::string id = "w" + std::to_string(i);
-      story.add({.t = t, .what = What::kWant, .by = kFront, .first = id});
+      story.add({.t = t, .what = What::kOperationBegan, .by = kFront, .first = id});
       const bool lost = t > 4 && t < until;
-      story.add({.t = t + 0.01, .what = What::kEnd, .by = kFront, .first = id, .status = lost ? 0 : 200});
+      story.add({.t = t + 0.01,
+                 .what = What::kOperationEnded,
+                 .by = kFront,
+                 .first = id,
+                 .status = lost ? 0 : 200});
     }
     story.add({.t = 4, .what = What::kFault, .by = kList, .note = "x"});
     story.add({.t = 6, .what = What::kHealed, .by = kList, .note = "x"});
--- a/tests/fleet_rig/machine_test.cpp
+++ b/tests/fleet_rig/machine_test.cpp
@@ -56,7 +56,7 @@
   EXPECT_LE(s.machine->usage().descriptors, 5) << "none of ours";
 }
 
-TEST(Machine, IsGoneWhenKilledWithAllThatItStarted) {
+TEST(Machine, KillEndsTheWholeProcessGroup) {
   Scripted s("kill", "sleep 1000 & echo child $!\nwait");
   s.machine->start();
   ASSERT_TRUE(s.says("child"));
@@ -68,7 +68,7 @@
   EXPECT_TRUE(eventually([&] { return is_gone(child); }));
 }
 
-TEST(Machine, StartsAgainWithOrWithoutItsDisk) {
+TEST(Machine, RestartsWithOrWithoutItsDisk) {
   Scripted s("disk",
              "[ -e kept ] || [ -e $TMPDIR/kept ] && echo found\ntouch $TMPDIR/kept\necho up\nsleep 1000");
   s.machine->start();
@@ -81,7 +81,7 @@
   EXPECT_EQ(s.machine->log().find("found"), std::string::npos);
 }
 
-TEST(Machine, ThatEndsByItselfHasCrashedUnlessItEndsWell) {
+TEST(Machine, UnexpectedNonzeroExitCountsAsACrash) {
   Scripted well("well", "exit 0"), badly("badly", "exit 3"), signalled("signalled", "kill -SEGV $$");
   for (Scripted* s : {&well, &badly, &signalled}) {
     s->machine->start();
@@ -93,7 +93,7 @@
   EXPECT_TRUE(signalled.machine->crashed());
 }
 
-TEST(Machine, WhoseProgramIsNotThereEndsBeforeItListens) {
+TEST(Machine, MissingProgramExitsBeforeListening) {
   Machine machine({"/nowhere/at/all", folder_of("none"), {}, 0});
   machine.start();
   ASSERT_TRUE(eventually([&] { return !machine.running(); }));
@@ -102,7 +102,7 @@
   std::filesystem::remove_all(machine.folder());
 }
 
-TEST(Machine, IsStoppedWhenPauseReturnsAndGoesOnAfterwards) {
+TEST(Machine, IsStoppedWhenPauseReturnsAndRunsAfterResume) {
   Scripted s("pause", "i=0\nwhile :; do i=$((i+1)); echo $i; sleep 0.01; done");
   s.machine->start();
   ASSERT_TRUE(s.says("3"));
@@ -119,7 +119,7 @@
   EXPECT_FALSE(s.machine->running()) << "a stopped one can be killed";
 }
 
-TEST(Machine, WithAFullDiskGoesOnAndWritesNothingUntilThereIsRoom) {
+TEST(Machine, RunsWithAFullDiskAndWritesNothingUntilSpaceIsFreed) {
   Scripted s("full",
              "trap '' XFSZ\ni=0\nwhile :; do i=$((i+1)); echo line $i; echo x > $TMPDIR/file 2>/dev/null; "
              "sleep 0.01; done 2>/dev/null");
@@ -136,7 +136,7 @@
   EXPECT_TRUE(eventually([&] { return s.machine->log().size() > before.size(); }));
 }
 
-TEST(Machine, HasAsManyDescriptorsAsItIsGiven) {
+TEST(Machine, RespectsItsDescriptorLimit) {
   Scripted s("scarce", "while :; do ulimit -n; sleep 0.02; done");
   s.machine->start();
   ASSERT_TRUE(eventually([&] { return s.machine->log().size() > 2; }));
@@ -185,7 +185,7 @@
 }
 
 // A stopped node holds its listening socket: connections come up, and nobody answers.
-TEST(Machine, APausedNodeStillTakesConnectionsIn) {
+TEST(Machine, PausedNodeStillAcceptsConnections) {
   node::ConfigText config;
   const std::string folder = folder_of("node");
   std::filesystem::create_directories(folder);
--- a/tests/fleet_rig/membership_test.cpp
+++ b/tests/fleet_rig/membership_test.cpp
@@ -1,5 +1,5 @@
 // Nodes that know each other, as processes with faults between them: judged on how they see the fleet and on
-// the rules alike. Their times are a fifth of the usual, so that a day is short.
+// the rules alike. Their times are a fifth of the usual, so that a run is short.
 #include <algorithm>
 
 #include "scenario_fixture.h"
@@ -25,7 +25,7 @@
 hold_ms = 400
 calm_ms = 600
 """
-)") + kDayClasses + R"(
+)") + kTestClasses + R"(
 [[node]]
 count = 3
 zone = 0
@@ -60,12 +60,12 @@
 rate = 60
 )";
 
-struct Played : PlayedDay {
+struct Played : CheckedRun {
   // How a node saw the fleet at the end.
   SeenView last(int number) const {
     SeenView out;
     for (const Record& r : history.records) {
-      if (r.by == Party{PartyKind::kNode, number}) {
+      if (r.by == Actor{ActorKind::kNode, number}) {
         if (const auto seen = seen_view(r)) out = *seen;
       }
     }
@@ -74,16 +74,16 @@
   bool ever(int number, const std::string& confidence, double from = 0) const {
     return std::any_of(history.records.begin(), history.records.end(), [&](const Record& r) {
       const auto seen = seen_view(r);
-      return seen && r.t >= from && r.by == Party{PartyKind::kNode, number} && seen->confidence == confidence;
+      return seen && r.t >= from && r.by == Actor{ActorKind::kNode, number} && seen->confidence == confidence;
     });
   }
 };
 
 Played play(const std::string& name, const std::string& faults) {
-  return {play_here(kHead + faults, "views_" + name)};
+  return {run_and_check(kHead + faults, "views_" + name)};
 }
 
-TEST(FleetMembership, MostAreKilledAtOnceAndTheRestKnowThemselvesCutOffUntilTheyAreBack) {
+TEST(FleetMembership, SurvivorsOfAMassFailureKnowTheyArePartitionedUntilTheOthersReturn) {
   const Played p = play("killed", "[[fault]]\nat = 2\nlasts = 5\nwhat = \"kill\"\nwho = \"node:0-2\"\n");
   for (const int survivor : {3, 4}) EXPECT_TRUE(p.ever(survivor, "cut off", 2));
   for (int i = 0; i < 5; ++i) {
@@ -94,7 +94,7 @@
   }
 }
 
-TEST(FleetMembership, OneIsStoppedAndAnotherCutOffOneWayAndNobodyBelievesThatAllDied) {
+TEST(FleetMembership, PausedAndOneWayPartitionedNodesAreNotTakenForAMassFailure) {
   const Played p =
       play("paused",
            "[[fault]]\nat = 2\nlasts = 4\nwhat = \"pause\"\nwho = \"node:1\"\n"
@@ -103,7 +103,7 @@
   for (const int i : {0, 2, 3, 4}) EXPECT_FALSE(p.ever(i, "cut off", 2)) << i << ": a way round is found";
 }
 
-TEST(FleetMembership, AZoneIsCutOffFlappingAndHealsAndAPlannedRestartIsNoFailure) {
+TEST(FleetMembership, FlappingZonePartitionHealsAndAPlannedRestartIsNoFailure) {
   const Played p = play(
       "cut",
       "[[fault]]\nat = 1\nlasts = 2.4\nflap = 0.4\nwhat = \"cut\"\nwho = \"node:3-4\"\nto = \"node:0-2\"\n"
--- a/tests/fleet_rig/model_test.cpp
+++ b/tests/fleet_rig/model_test.cpp
@@ -14,10 +14,10 @@
 namespace thymewood::fleet {
 namespace {
 
-using bench::Cast;
-using bench::PartyKind;
+using bench::ActorKind;
 using bench::Scenario;
 using bench::Selector;
+using bench::Topology;
 
 constexpr const char* kHead =
     "seconds = 10\n[[class]]\nname = \"c\"\n[[load]]\nrate = 5\n[[servers]]\ncount = 3\nzone = "
@@ -35,9 +35,9 @@
   }
 }
 
-std::vector<int> numbers(const std::vector<Party>& all) {
+std::vector<int> numbers(const std::vector<Actor>& all) {
   std::vector<int> out;
-  for (const Party& party : all) out.push_back(party.number);
+  for (const Actor& actor : all) out.push_back(actor.number);
   return out;
 }
 
@@ -46,12 +46,12 @@
   const std::optional<Selector> selector = Selector::parse(text, why);
   EXPECT_TRUE(selector) << why;
   bench::Random random(seed);
-  return numbers(selector->pick(scenario_of("").cast(), random));
+  return numbers(selector->pick(scenario_of("").topology(), random));
 }
 
 // ---------------------------------------------------------------- who
 
-TEST(Selectors, NameOneSomeAllAndAPart) {
+TEST(Selectors, SelectOneARangeAllAndAShare) {
   EXPECT_EQ(picked("node:2"), std::vector<int>{2});
   EXPECT_EQ(picked("server:1-3"), (std::vector<int>{1, 2, 3}));
   EXPECT_EQ(picked("node:*"), (std::vector<int>{0, 1, 2, 3}));
@@ -65,17 +65,17 @@
   EXPECT_EQ(drawn.size(), 4u) << "each is drawn now and then";
 }
 
-TEST(Selectors, OfAZoneAreItsNodesAndServers) {
+TEST(Selectors, OfAZoneSelectItsNodesAndServers) {
   std::string why;
   bench::Random random(1);
-  const std::vector<Party> zone = Selector::parse("zone:1", why)->pick(scenario_of("").cast(), random);
+  const std::vector<Actor> zone = Selector::parse("zone:1", why)->pick(scenario_of("").topology(), random);
   EXPECT_EQ(
       zone,
-      (std::vector<Party>{
-          {PartyKind::kNode, 2}, {PartyKind::kNode, 3}, {PartyKind::kServer, 3}, {PartyKind::kServer, 4}}));
+      (std::vector<Actor>{
+          {ActorKind::kNode, 2}, {ActorKind::kNode, 3}, {ActorKind::kServer, 3}, {ActorKind::kServer, 4}}));
 }
 
-TEST(Selectors, ThatMeanNobodyAreErrorsWithTheirLine) {
+TEST(Selectors, ThatMatchNothingAreErrorsWithTheirLine) {
   for (const char* who : {"node:4", "node:3-9", "server:x", "nodes", "zone:9", "zone:", "node:120%",
                           "node:2-1", "callers:1", "backend:0", "inner:*", ""}) {
     const std::string error =
@@ -87,7 +87,7 @@
 
 // ---------------------------------------------------------------- the tables of a fleet
 
-TEST(FleetTables, WhatCanNotBeIsAnErrorThatNamesTheLine) {
+TEST(FleetTables, InvalidValueIsAnErrorThatNamesTheLine) {
   const std::pair<const char*, const char*> wrong[] = {
       {"[[fault]]\nwhat = \"explode\"\nwho = \"node:0\"\n", "has to be one of kill"},
       {"[[fault]]\nwhat = \"pause\"\nwho = \"server:0\"\n", "meets nodes alone"},
@@ -113,7 +113,7 @@
   EXPECT_NE(error_of("copies = 2\n"), "") << "beside [[node]]";
 }
 
-TEST(FleetTables, ThePlayerInVirtualTimeNamesWhatItCanNotPlay) {
+TEST(FleetTables, VirtualTimePlayerNamesUnsupportedTables) {
   for (const char* text : {"[[fault]]\nwhat = \"kill\"\nwho = \"node:0\"\n", "[clients]\nnotice_s = 1\n"}) {
     const Scenario s = bench::parse_scenario(
         "seconds = 1\n[[class]]\nname = \"c\"\n[[load]]\nrate = 5\n[[servers]]\ncount = 3\n" +
@@ -128,7 +128,7 @@
   }
 }
 
-TEST(FleetTables, AllDaysCanBeReadAndPlanned) {
+TEST(FleetTables, AllScenariosCanBeReadAndPlanned) {
   int days = 0;
   for (const auto& entry : std::filesystem::directory_iterator(FLEET_SCENARIOS)) {
     const Scenario s = bench::read_scenario(entry.path());
@@ -144,7 +144,7 @@
 
 // ---------------------------------------------------------------- when
 
-TEST(Planner, TheSameSeedGivesTheSamePlanAndAnotherAnother) {
+TEST(Planner, PlanIsDeterminedByTheSeed) {
   const Scenario s = scenario_of(
       "[[fault]]\nat = 1\nlasts = 2\nwhat = \"kill\"\nwho = \"node:50%\"\n"
       "[[fault]]\nat = 2\nlasts = 2\nwhat = \"pause\"\nwho = \"node:50%\"\n");
@@ -159,7 +159,7 @@
   EXPECT_GT(all.size(), 10u) << "the two faults are drawn apart from each other";
 }
 
-TEST(Planner, WhatBeginsEndsForTheSameOnes) {
+TEST(Planner, FaultEndsForTheSameActorsItBeganFor) {
   const std::vector<Step> steps =
       plan(scenario_of("[[fault]]\nat = 1\nlasts = 2\nwhat = \"kill\"\nwho = \"node:50%\"\n"), 5);
   ASSERT_EQ(steps.size(), 2u);
@@ -170,7 +170,7 @@
   EXPECT_DOUBLE_EQ(steps[1].at, 3);
 }
 
-TEST(Planner, FlapsAndStaggers) {
+TEST(Planner, ExpandsFlappingAndStaggeredFaults) {
   const std::vector<Step> flaps =
       plan(scenario_of("[[fault]]\nat = 1\nlasts = 1.5\nflap = 0.5\nwhat = \"cut\"\nwho = \"node:0\"\n"), 1);
   std::vector<double> times;
@@ -184,12 +184,12 @@
   EXPECT_DOUBLE_EQ(staggered[2].at, 3);
 }
 
-bool has(const std::vector<Way>& ways, Party from, Party to) {
+bool has(const std::vector<Way>& ways, Actor from, Actor to) {
   return std::find(ways.begin(), ways.end(), Way{from, to}) != ways.end();
 }
 
-TEST(Planner, ACutIsBothWaysAndACutToOneWay) {
-  const Party node{PartyKind::kNode, 0}, server{PartyKind::kServer, 3}, callers{PartyKind::kCallers, 0};
+TEST(Planner, CutIsBidirectionalAndCutToIsOneWay) {
+  const Actor node{ActorKind::kNode, 0}, server{ActorKind::kServer, 3}, callers{ActorKind::kClients, 0};
   const auto ways = [](const std::string& what, const std::string& to) {
     return plan(scenario_of("[[fault]]\nat = 1\nwhat = \"" + what + "\"\nwho = \"node:0\"\nto = \"" + to +
                             "\"\n"),
@@ -212,21 +212,21 @@
   EXPECT_TRUE(has(ways("cut", ""), callers, node)) << "from everyone else";
 }
 
-TEST(Planner, AZoneIsCutFromAllOthersAndNotWithinItself) {
+TEST(Planner, ZonePartitionLeavesLinksWithinTheZone) {
   const std::vector<Way> ways =
       plan(scenario_of("[[fault]]\nat = 1\nwhat = \"cut\"\nwho = \"zone:1\"\n"), 1).front().ways;
-  const Party inside{PartyKind::kNode, 2}, outside{PartyKind::kNode, 0}, own{PartyKind::kServer, 3},
-      other{PartyKind::kServer, 0};
+  const Actor inside{ActorKind::kNode, 2}, outside{ActorKind::kNode, 0}, own{ActorKind::kServer, 3},
+      other{ActorKind::kServer, 0};
   EXPECT_TRUE(has(ways, inside, other) && has(ways, other, inside) && has(ways, own, outside));
   EXPECT_TRUE(has(ways, inside, outside) && has(ways, outside, inside)) << "datagrams too";
   EXPECT_FALSE(has(ways, inside, own) || has(ways, own, inside) || has(ways, outside, other));
-  // A bridge: callers and discovery stand in no zone; they are cut off too, unless 'to' says whom.
-  EXPECT_TRUE(has(ways, inside, {PartyKind::kDiscovery, 0}));
+  // A bridge: clients and discovery stand in no zone; they are cut off too, unless 'to' says whom.
+  EXPECT_TRUE(has(ways, inside, {ActorKind::kDiscovery, 0}));
 }
 
 // ---------------------------------------------------------------- what a link does
 
-TEST(Direction, AddsUpWhatIsLaidOnItAndForgetsWhatIsLifted) {
+TEST(Direction, CombinesActiveFaultsAndDropsEndedOnes) {
   Direction d;
   d.lay(1, {.delay = 0.1});
   d.lay(2, {.delay = 0.2, .loss = 0.5, .rate = 1000});
@@ -243,7 +243,7 @@
   EXPECT_DOUBLE_EQ(d.shape().delay, 0);
 }
 
-TEST(Direction, AStreamStaysInOrderAndKeepsToItsRate) {
+TEST(Direction, StreamStaysInOrderAndWithinItsRate) {
   Direction d;
   d.lay(1, {.delay = 0.05, .jitter = 0.1, .loss = 0.2});
   bench::Random random(1);
@@ -261,7 +261,7 @@
   EXPECT_NEAR(last, 1, 1e-9) << "1,000 bytes at 1,000 a second";
 }
 
-TEST(Direction, DatagramsAreLostDoubledAndOvertakenAsOftenAsItSays) {
+TEST(Direction, DatagramLossDuplicationAndReorderingMatchTheirShares) {
   bench::Random random(1);
   const auto count = [&random](const Shape& shape) {
     Direction d;
--- a/tests/fleet_rig/net_test.cpp
+++ b/tests/fleet_rig/net_test.cpp
@@ -17,13 +17,13 @@
 namespace {
 
 using namespace std::chrono_literals;
-using bench::PartyKind;
+using bench::ActorKind;
 using node::eventually;
 using node::Fd;
 using node::Wire;
 namespace asio = boost::asio;
 
-const Party kNear{PartyKind::kNode, 0}, kFar{PartyKind::kServer, 0};
+const Actor kNear{ActorKind::kNode, 0}, kFar{ActorKind::kServer, 0};
 constexpr auto kAWhile = 150ms;  // for what must not come
 
 // An event loop in a thread of its own; what is done to relays is done there, and is done when in() returns.
@@ -113,7 +113,7 @@
     EXPECT_TRUE(near.is_open() && far.is_open());
     return {std::move(near), std::move(far)};
   }
-  // A dial that does not wait: whether it comes up within a while.
+  // A connection attempt that does not wait: whether it comes up within a while.
   bool comes_up(std::chrono::milliseconds wait) {
     pending_ = Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
     const sockaddr_in where = node::loopback(relay_->where().port());
@@ -132,7 +132,7 @@
   std::unique_ptr<TcpRelay> relay_;
 };
 
-TEST_F(TcpLink, WithoutFaultsCarriesBothWays) {
+TEST_F(TcpLink, ForwardsBothWaysWithoutFaults) {
   Pair p = connect();
   p.near.write("there");
   EXPECT_EQ(read_some(p.far), "there");
@@ -141,7 +141,7 @@
   EXPECT_EQ(relay_->connections(), 1u);
 }
 
-TEST_F(TcpLink, CarriesMegabytesBothWaysAtOnce) {
+TEST_F(TcpLink, ForwardsMegabytesBothWaysConcurrently) {
   Pair p = connect();
   constexpr std::size_t kAll = 3'000'000;
   const auto pump = [](Wire& wire, char c) {
@@ -168,7 +168,7 @@
   EXPECT_EQ(at_far, kAll);
 }
 
-TEST_F(TcpLink, ACutHoldsBackBothWaysAndHealsWithNothingLost) {
+TEST_F(TcpLink, PartitionDelaysBothWaysAndLosesNothingOnceHealed) {
   Pair p = connect();
   lay(true, true, {.cut = true});
   p.near.write("there");
@@ -180,7 +180,7 @@
   EXPECT_EQ(read_some(p.near), "back");
 }
 
-TEST_F(TcpLink, ACutOfOneWayLeavesTheOtherOpen) {
+TEST_F(TcpLink, OneWayPartitionLeavesTheOtherWayOpen) {
   Pair p = connect();
   lay(true, false, {.cut = true});
   p.near.write("there");
@@ -197,17 +197,17 @@
 }
 
 // A real network drops what opens a connection, whichever way is cut.
-TEST_F(TcpLink, NoNewConnectionComesUpThroughACut) {
+TEST_F(TcpLink, NoConnectionIsEstablishedThroughAPartition) {
   for (const bool forth : {true, false}) {
     lay(forth, !forth, {.cut = true});
     EXPECT_FALSE(comes_up(300ms)) << forth;
     lift();
-    // The kernel tries again after a second; and who dials now comes up at once.
+    // The kernel attempts again after a second; and who connection attempt now comes up at once.
     EXPECT_TRUE(comes_up(5000ms)) << forth;
   }
 }
 
-TEST_F(TcpLink, ACloseAndAResetWaitBehindACutToo) {
+TEST_F(TcpLink, CloseAndResetAreDelayedByAPartition) {
   Pair p = connect();
   Pair q = connect();
   lay(true, true, {.cut = true});
@@ -220,7 +220,7 @@
   EXPECT_EQ(read_some(q.far), "!");
 }
 
-TEST_F(TcpLink, AHalfClosePassesAndTheOtherHalfGoesOn) {
+TEST_F(TcpLink, HalfCloseIsForwardedAndTheOtherHalfStaysOpen) {
   Pair p = connect();
   p.near.write("last");
   ::shutdown(p.near.fd(), SHUT_WR);
@@ -237,7 +237,7 @@
   }));
 }
 
-TEST_F(TcpLink, AResetIsPassedOnEitherWay) {
+TEST_F(TcpLink, ResetIsForwardedInEitherDirection) {
   Pair p = connect();
   p.near.reset();
   EXPECT_EQ(read_some(p.far), "!");
@@ -247,7 +247,7 @@
 }
 
 // A buffer must not hide that the receiver has gone: the sender hears of it although its bytes were taken.
-TEST_F(TcpLink, AResetIsHeardBySomeoneWhoKeepsSending) {
+TEST_F(TcpLink, ResetReachesASenderThatKeepsSending) {
   Pair p = connect();
   lay(true, false, {.delay = 0.05});
   p.near.write(std::string(100000, 'x'));
@@ -255,7 +255,7 @@
   EXPECT_TRUE(eventually([&] { return !p.near.write("more"); }));
 }
 
-TEST_F(TcpLink, ResetEndsWhatIsOpenAndNothingElse) {
+TEST_F(TcpLink, ResetClosesOnlyOpenConnections) {
   Pair p = connect();
   p.near.write("x");
   EXPECT_EQ(read_some(p.far), "x");
@@ -267,7 +267,7 @@
   EXPECT_EQ(read_some(q.far), "y");
 }
 
-TEST_F(TcpLink, RefusesNewConnectionsAndKeepsTheOpenOnes) {
+TEST_F(TcpLink, RefusesNewConnectionsAndLeavesOpenOnes) {
   Pair p = connect();
   loop_.in([&] { relay_->refuse(true); });
   EXPECT_FALSE(dial().is_open());
@@ -279,7 +279,7 @@
   EXPECT_EQ(read_some(q.far), "y");
 }
 
-TEST_F(TcpLink, ACutOutlastsARefusal) {
+TEST_F(TcpLink, PartitionOutlastsARefusal) {
   lay(true, true, {.cut = true});
   loop_.in([&] { relay_->refuse(true); });
   EXPECT_FALSE(dial().is_open());
@@ -289,7 +289,7 @@
   EXPECT_TRUE(comes_up(5000ms));
 }
 
-TEST_F(TcpLink, DelaysOneWayAlone) {
+TEST_F(TcpLink, DelayAppliesToOneDirectionOnly) {
   Pair p = connect();
   lay(true, false, {.delay = 0.2});
   auto begin = std::chrono::steady_clock::now();
@@ -303,7 +303,7 @@
   EXPECT_LT(back, 200ms);
 }
 
-TEST_F(TcpLink, KeepsToARate) {
+TEST_F(TcpLink, RateLimitIsRespected) {
   Pair p = connect();
   lay(true, false, {.rate = 50000});
   const auto begin = std::chrono::steady_clock::now();
@@ -313,7 +313,7 @@
   EXPECT_GE(std::chrono::steady_clock::now() - begin, 390ms);
 }
 
-TEST_F(TcpLink, TellsWhoseItIsAndWhenItsLastBytesLeft) {
+TEST_F(TcpLink, ReportsItsOriginAndWhenItsLastBytesLeft) {
   Pair p = connect();
   lay(true, false, {.delay = 0.2});
   sockaddr_in peer{};
@@ -333,13 +333,13 @@
   EXPECT_FALSE(origin);
 }
 
-TEST_F(TcpLink, ATargetThatDoesNotListenEndsTheConnection) {
+TEST_F(TcpLink, ConnectionEndsWhenTheTargetDoesNotListen) {
   listen_.reset();
   Wire near = dial();
   EXPECT_EQ(read_some(near), "!");
 }
 
-TEST(RelayCost, IsMeasuredWhileConnectionsAreHeld) {
+TEST(RelayCost, IsMeasuredWhileConnectionsAreOpen) {
   const RelayCost cost = measure_relay_cost(50, 100);
   EXPECT_EQ(cost.held, 50u);
   EXPECT_GT(cost.direct_p50, 0);
@@ -348,7 +348,7 @@
 
 // ---------------------------------------------------------------- addresses
 
-TEST(AddressBlock, IsNobodyElsesWhileItIsHeld) {
+TEST(AddressBlock, IsExclusiveWhileReserved) {
   asio::io_context io;
   auto first = std::make_unique<AddressBlock>(io);
   const AddressBlock second(io);
@@ -374,7 +374,7 @@
       socklen_t size = sizeof where;
       ::getsockname(sockets_[i].get(), reinterpret_cast<sockaddr*>(&where), &size);
       const auto local = asio::ip::address_v4::loopback();
-      peers.push_back({party(i), {local, 0}, {local, ntohs(where.sin_port)}});
+      peers.push_back({actor(i), {local, 0}, {local, ntohs(where.sin_port)}});
     }
     loop_.in([&] {
       hub_ = std::make_unique<UdpHub>(loop_.io, table_, peers,
@@ -384,7 +384,7 @@
   ~Datagrams() override {
     loop_.in([&] { hub_.reset(); });
   }
-  static Party party(int i) { return {PartyKind::kNode, i}; }
+  static Actor actor(int i) { return {ActorKind::kNode, i}; }
   void send(int from, const UdpHub::Endpoint& to, const std::string& text) {
     const sockaddr_in where = node::loopback(to.port());
     ::sendto(sockets_[from].get(), text.data(), text.size(), 0, reinterpret_cast<const sockaddr*>(&where),
@@ -401,7 +401,7 @@
     return {std::string(room, static_cast<std::size_t>(std::max<ssize_t>(n, 0))), ntohs(from.sin_port)};
   }
   void lay(int from, int to, const Shape& shape) {
-    loop_.in([&] { table_.way(party(from), party(to)).lay(1, shape); });
+    loop_.in([&] { table_.way(actor(from), actor(to)).lay(1, shape); });
   }
 
   Loop loop_;
@@ -410,7 +410,7 @@
   std::unique_ptr<UdpHub> hub_;
 };
 
-TEST_F(Datagrams, ComeFromTheirSendersFace) {
+TEST_F(Datagrams, HaveTheSendersProxyAddress) {
   send(0, hub_->face(1), "one");
   EXPECT_EQ(receive(1), std::make_pair(std::string("one"), static_cast<int>(hub_->face(0).port())));
   send(2, hub_->all(), "all");
@@ -419,7 +419,7 @@
   EXPECT_EQ(receive(2, kAWhile).first, "") << "not to oneself";
 }
 
-TEST_F(Datagrams, OfAStrangerGoNowhere) {
+TEST_F(Datagrams, FromAnUnknownSenderAreDropped) {
   const Fd stranger(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
   const sockaddr_in where = node::loopback(hub_->face(1).port());
   ::sendto(stranger.get(), "x", 1, 0, reinterpret_cast<const sockaddr*>(&where), sizeof where);
@@ -429,7 +429,7 @@
   EXPECT_EQ(hub_->counts().strange, 1u);
 }
 
-TEST_F(Datagrams, AreCutOneWayAloneAndForOnePairAlone) {
+TEST_F(Datagrams, ArePartitionedPerPairAndDirection) {
   lay(0, 1, {.cut = true});
   send(0, hub_->face(1), "lost");
   send(1, hub_->face(0), "back");
@@ -439,7 +439,7 @@
   EXPECT_EQ(receive(1, kAWhile).first, "");
 }
 
-TEST_F(Datagrams, AreDelayedDoubledAndOvertaken) {
+TEST_F(Datagrams, AreDelayedDuplicatedAndReordered) {
   lay(0, 1, {.delay = 0.2});
   const auto begin = std::chrono::steady_clock::now();
   send(0, hub_->face(1), "slow");
--- a/tests/fleet_rig/report_test.cpp
+++ b/tests/fleet_rig/report_test.cpp
@@ -23,8 +23,8 @@
   return out;
 }
 
-Day a_day(std::vector<std::pair<double, double>> faults) {
-  Day out;
+ScenarioRun a_day(std::vector<std::pair<double, double>> faults) {
+  ScenarioRun out;
   for (int i = 0; i < 10; ++i) {
     Second s;
     s.wanted = 10 + i;
@@ -39,7 +39,7 @@
   return out;
 }
 
-TEST(Report, HasItsRowItsFindingsAndAPlotOfEachKindWithTheFaultsShaded) {
+TEST(Report, ContainsRowFindingsAndPlotsWithFaultsShaded) {
   const std::string folder = testing::TempDir() + "/fleet_report_" + std::to_string(::getpid());
   write_report(folder, "with", a_day({{3, 6}}));
   write_report(folder, "without", a_day({}));
@@ -57,7 +57,7 @@
   std::filesystem::remove_all(folder);
 }
 
-TEST(Report, WithoutAPlaceToWriteIsAnError) {
+TEST(Report, UnwritableFolderIsAnError) {
   EXPECT_ANY_THROW(write_report("/proc/no/such/folder", "day", a_day({})));
 }
 
--- a/tests/fleet_rig/scenario_fixture.h
+++ b/tests/fleet_rig/scenario_fixture.h
@@ -1,5 +1,5 @@
-// Plays a short day with the node that was built, and holds what every day has to keep: the rules, judges
-// that could see, and a rig that was in time. What is peculiar to a day is for its test.
+// Plays a short run with the node that was built, and holds what every run has to keep: the rules, checkers
+// that could see, and a rig that was in time. What is peculiar to a run is for its test.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 constexpr double kTestSlack = 0.5;
 
 // A class that is keyed and one that must not run twice.
-constexpr const char* kDayClasses = R"([[class]]
+constexpr const char* kTestClasses = R"([[class]]
 name = "note"
 share = 55
 aim_ms = 800
@@ -35,21 +35,21 @@
 mean_ms = 30
 )";
 
-struct PlayedDay {
-  Day day;
+struct CheckedRun {
+  ScenarioRun day;
   History history;
 };
 
 // `text` is the scenario.
-inline PlayedDay play_here(const std::string& text, const std::string& name) {
+inline CheckedRun run_and_check(const std::string& text, const std::string& name) {
   const bench::Scenario scenario = bench::parse_scenario(text, name);
-  DayOptions options;
+  ScenarioRunOptions options;
   options.program = NODE_PROGRAM;
   options.folder = testing::TempDir() + "/fleet_" + std::to_string(::getpid()) + "_" + name;
   options.slack = kTestSlack;
-  options.tries = 3;
-  PlayedDay out;
-  out.day = play_day(scenario, options);
+  options.max_runs = 3;
+  CheckedRun out;
+  out.day = run_scenario(scenario, options);
   out.history = History::read(out.day.history);
   for (const Finding& f : out.day.verdict.broken) ADD_FAILURE() << f.t << " s, " << f.rule << ": " << f.what;
   for (const std::string& what : out.day.verdict.blind) ADD_FAILURE() << "could not see: " << what;
--- a/tests/fleet_rig/shim_test.cpp
+++ b/tests/fleet_rig/shim_test.cpp
@@ -67,7 +67,7 @@
   std::FILE* from_ = nullptr;
 };
 
-TEST_F(Shim, WithoutFaultsLeavesAllAsItIs) {
+TEST_F(Shim, ChangesNothingWithoutFaults) {
   EXPECT_EQ(ask("write"), "write 10 0");
   EXPECT_EQ(ask("writev"), "writev 10 0");
   EXPECT_EQ(ask("fsync"), "fsync 0 0");
@@ -79,7 +79,7 @@
   EXPECT_EQ(faults_.plan().renames, 1u);
 }
 
-TEST_F(Shim, FailsWritesToFilesAloneAndAsOftenAsItIsTold) {
+TEST_F(Shim, FailsOnlyFileWritesAndAtTheGivenRate) {
   faults_.plan().write_errno = ENOSPC;
   for (const char* word : {"write", "pwrite", "writev"}) EXPECT_EQ(ask(word), failed(word, ENOSPC));
   EXPECT_EQ(size(), 0u);
@@ -104,7 +104,7 @@
   EXPECT_EQ(size(), 5u + 2 + 5);
 }
 
-TEST_F(Shim, FailsSyncsOrLiesAndFailsRenames) {
+TEST_F(Shim, FailsOrSkipsSyncsAndFailsRenames) {
   faults_.plan().sync_errno = EIO;
   EXPECT_EQ(ask("fsync"), failed("fsync", EIO));
   EXPECT_EQ(ask("fdatasync"), failed("fdatasync", EIO));
@@ -117,7 +117,7 @@
   EXPECT_TRUE(std::filesystem::exists(folder_ + "/data"));
 }
 
-TEST_F(Shim, DelaysWhatTouchesTheDisk) {
+TEST_F(Shim, DelaysDiskOperations) {
   ask("write");
   faults_.plan().delay_us = 100000;
   const auto begin = std::chrono::steady_clock::now();
@@ -126,7 +126,7 @@
   EXPECT_GE(std::chrono::steady_clock::now() - begin, std::chrono::milliseconds(200));
 }
 
-TEST_F(Shim, ShiftsTheTimeOfDayAndNoOtherClock) {
+TEST_F(Shim, ShiftsOnlyTheTimeOfDayClock) {
   const auto read = [this] {
     std::istringstream in(ask("clock"));
     std::string word;
@@ -143,7 +143,7 @@
   EXPECT_GE(read().first, before.first);
 }
 
-TEST(MachineFaults, AreInForceInTheProcessThatItStarts) {
+TEST(MachineFaults, ApplyToTheStartedProcess) {
   const std::string folder = testing::TempDir() + "/shim_machine_" + std::to_string(::getpid());
   const std::string program = folder + "_program";
   std::ofstream(program) << "#!/bin/sh\necho word | " << SHIM_WORKER << " . ; "
--- a/tests/fleet_rig/views_test.cpp
+++ b/tests/fleet_rig/views_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using What = Record::What;
-Party node(int n) { return {PartyKind::kNode, n}; }
+Actor node(int n) { return {ActorKind::kNode, n}; }
 
 Record view(double t, int by, int live, int bound, int reached) {
   Record r;
@@ -39,7 +39,7 @@
   Rules rules;
   rules.views_within = 5;
   Verdict out;
-  judge_views(h, rules, out);
+  check_views(h, rules, out);
   return out;
 }
 
@@ -92,7 +92,7 @@
             0u)
       << "one that was told to end may be left out";
   // A node that is stopped goes on when it wakes: it has to be reckoned with.
-  EXPECT_EQ(judged({of(8, What::kAway, 1), view(10, 0, 2, 2, 2), view(10, 2, 2, 3, 2)}).of("fleet-views"),
+  EXPECT_EQ(judged({of(8, What::kPaused, 1), view(10, 0, 2, 2, 2), view(10, 2, 2, 3, 2)}).of("fleet-views"),
             1u);
 }
 
--- a/tests/policy/endpoint_lease_test.cpp
+++ b/tests/policy/endpoint_lease_test.cpp
@@ -166,22 +166,22 @@
 // that it turns away.
 TEST(WatchBackoff, AFleetThatAsksTogetherIsServed) {
   for (const int nodes : {50, 300, 900}) {
-    for (const double all_calls : {0.5, 4.0, 8.0}) {
+    for (const double work_of_all : {0.5, 4.0, 8.0}) {
       for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        bench::CrowdPlan plan;
+        bench::HerdPlan plan;
         plan.nodes = nodes;
-        plan.all_calls = all_calls;
+        plan.work_of_all = work_of_all;
         plan.restarted_part = 0.1;
-        const auto result = bench::play_crowd(
+        const auto result = bench::simulate_herd(
             plan,
             [] {
               const auto retry = std::make_shared<WatchBackoff>(10);
-              return bench::PausePolicy(
+              return bench::BackoffPolicy(
                   [retry](const auto& failure, auto& dice) { return retry->pause_after(failure, dice); });
             },
             seed);
-        EXPECT_LT(result.last(), 30) << nodes << " nodes, " << all_calls << " s for all, seed " << seed;
-        EXPECT_GT(result.part_within(6), 0.5);
+        EXPECT_LT(result.last(), 30) << nodes << " nodes, " << work_of_all << " s for all, seed " << seed;
+        EXPECT_GT(result.share_within(6), 0.5);
       }
     }
   }
