--- a/fleet_rig/history/checkers.h
+++ b/fleet_rig/history/checkers.h
@@ -1,9 +1,9 @@
-// What a fleet's history says of the rules, over all its processes. Each checker reads the history alone, and
-// is pure.
+// The invariants that a fleet's history has to keep, over all its processes. Each checker reads the history
+// alone and has no side effects.
 //
-// What nobody can have promised is excused: an answer of a node that was killed or stopped meanwhile, or that
-// had to come over a link that was broken. What a checker needs and can't see makes it blind, and a run with
-// a blind checker has not passed.
+// What no node can promise is excused: an answer of a node that was killed or paused meanwhile, or that had
+// to cross a faulty link. A checker whose input is missing says so in Verdict::blind, and such a run has not
+// passed.
 #pragma once
 
 #include <string>
@@ -45,20 +45,11 @@
   std::size_t of(const std::string& rule) const;
 };
 
+// Runs all checkers: see answer_checkers.h, server_checkers.h, run_checkers.h and views.cpp.
 Verdict check_history(const History& history, const Rules& rules);
 
-// Each by itself; `verdict.latest` has to be known.
-void check_completeness(const History& history, const Rules& rules, Verdict& verdict);
-void check_final_answers(const History& history, const Rules& rules, Verdict& verdict);
-void check_double_effects(const History& history, const Rules& rules, Verdict& verdict);
-void check_drains(const History& history, const Rules& rules, Verdict& verdict);
-void check_cold_servers(const History& history, const Rules& rules, Verdict& verdict);
-// fleet-views: a node that says that it reckons with fewer nodes than there are (`bound-kept` in its words),
-// or sees another fleet than there is though nothing has changed for `views_within`.
+// fleet-views: a node that reckons with fewer nodes than run, or whose view of the replica set still differs
+// from what runs `views_within` after the last change. `verdict.latest` has to be known.
 void check_views(const History& history, const Rules& rules, Verdict& verdict);
-// levels: a node that holds more descriptors or memory long after the last fault than any did before the
-// first. Scenarios that begin with a fault, or end soon after one, say nothing of it.
-void check_usage(const History& history, const Rules& rules, Verdict& verdict);
-void check_abandoned(const History& history, const Rules& rules, Verdict& verdict);
 
 }  // namespace thymewood::fleet
--- /dev/null
+++ b/fleet_rig/history/fault_windows.cpp
@@ -0,0 +1,46 @@
+#include "fault_windows.h"
+
+namespace thymewood::fleet {
+namespace {
+
+using What = Record::What;
+
+// s after SIGTERM; a request that a node accepts within it still has to be answered.
+constexpr double kGracefulShutdown = 0.7;
+
+}  // namespace
+
+FaultWindows::FaultWindows(const History& history) {
+  for (const Record& r : history.records) {
+    switch (r.what) {
+      case What::kDown:
+      case What::kCrash:
+      case What::kPaused:
+        actors_.begin(r.by, r.t);
+        break;
+      case What::kUp:
+      case What::kResumed:
+        actors_.end(r.by, r.t);
+        break;
+      case What::kTerm:
+        draining_.begin(r.by, r.t + kGracefulShutdown);
+        break;
+      case What::kBadLink:
+        links_.begin({r.by, r.to}, r.t);
+        break;
+      case What::kGoodLink:
+        links_.end({r.by, r.to}, r.t);
+        break;
+      default:
+        break;
+    }
+  }
+}
+
+bool FaultWindows::excuse(const Actor& a, const Actor& b, double from, double to) const {
+  return actors_.overlap(a, from, to) || actors_.overlap(b, from, to) || draining_.overlap(a, from, from) ||
+         draining_.overlap(b, from, from) || links_.overlap({a, b}, from, to) ||
+         links_.overlap({b, a}, from, to);
+}
+
+}  // namespace thymewood::fleet
--- /dev/null
+++ b/fleet_rig/history/run_checkers.cpp
@@ -0,0 +1,110 @@
+#include "run_checkers.h"
+
+#include <algorithm>
+#include <limits>
+#include <map>
+#include <set>
+#include <string>
+
+namespace thymewood::fleet {
+namespace {
+
+using What = Record::What;
+constexpr double kMinBaseline = 2;  // s of a run before its first fault, for a level to compare with
+constexpr double kSettleTime = 8;   // s; idle connections are closed within 5 s, then their memory is free
+constexpr double kLastUsageWithin = 2;  // s before the run's end; a node without one had ended
+constexpr double kDescriptorFactor = 1.5, kDescriptorMargin = 32;
+constexpr double kMemoryFactor = 1.25, kMemoryMarginKb = 8192;  // an allocator retains freed memory
+
+bool disturbs(const Record& r) {
+  switch (r.what) {
+    case What::kFault:
+    case What::kHealed:
+    case What::kTerm:
+      return true;
+    case What::kUp:
+    case What::kDown:
+      return r.t > 0;  // all start before
+    default:
+      return false;
+  }
+}
+
+}  // namespace
+
+void CompletenessChecker::check() {
+  bool begun = false;
+  std::set<Actor> open;
+  for (const Record& r : history_.records) {
+    if (r.what == What::kBegin) begun = true;
+    if (r.what == What::kActorJoined) open.insert(r.by);
+    if (r.what == What::kClosed) open.erase(r.by);
+    if (r.what == What::kLate) verdict_.latest = std::max(verdict_.latest, r.work);
+    if (r.what == What::kCrash)
+      verdict_.broken.push_back({"crash", bench::name_of(r.by) + ": " + r.note, r.t});
+  }
+  if (!begun) verdict_.blind.emplace_back("the run's beginning is not there");
+  if (history_.unread > 0)
+    verdict_.blind.push_back(std::to_string(history_.unread) + " lines of the history could not be read");
+  for (const Actor& actor : open)
+    verdict_.blind.push_back(bench::name_of(actor) + " has not written to its end");
+  verdict_.void_run = verdict_.latest > rules_.most_late;
+}
+
+UsageChecker::Phases UsageChecker::phases() const {
+  Phases out;
+  out.first_fault = std::numeric_limits<double>::infinity();
+  for (const Record& r : history_.records) {
+    if (disturbs(r)) {
+      out.first_fault = std::min(out.first_fault, r.t);
+      out.last_fault = std::max(out.last_fault, r.t);
+    }
+    if (r.what == What::kUsage) out.end = r.t;
+  }
+  return out;
+}
+
+UsageChecker::Baseline UsageChecker::baseline_before(double first_fault) const {
+  Baseline out;
+  for (const Record& r : history_.records) {
+    if (r.what != What::kUsage || r.t >= first_fault) continue;
+    out.descriptors = std::max<double>(out.descriptors, r.count - r.tier);
+    out.memory_kb = std::max<double>(out.memory_kb, r.status);
+  }
+  return out;
+}
+
+void UsageChecker::check() {
+  const Phases phases = this->phases();
+  if (phases.first_fault < kMinBaseline || phases.end < phases.last_fault + kSettleTime) return;
+  const Baseline before = baseline_before(phases.first_fault);
+  if (before.descriptors == 0) {
+    verdict_.blind.emplace_back("no node's usage before the first fault");
+    return;
+  }
+  std::map<Actor, const Record*> newest;
+  for (const Record& r : history_.records) {
+    if (r.what == What::kUsage) newest[r.by] = &r;
+  }
+  for (const auto& [actor, usage] : newest) {
+    if (usage->t >= phases.end - kLastUsageWithin) check_node(*usage, before);
+  }
+}
+
+void UsageChecker::check_node(const Record& usage, const Baseline& before) {
+  const int descriptors = usage.count - usage.tier;  // without those that clients keep open
+  if (descriptors > kDescriptorFactor * before.descriptors + kDescriptorMargin)
+    verdict_.broken.push_back({"levels",
+                               bench::name_of(usage.by) + " holds " + std::to_string(descriptors) +
+                                   " descriptors at the end, and none held more than " +
+                                   std::to_string(static_cast<int>(before.descriptors)) + " before",
+                               usage.t});
+  if (usage.status > kMemoryFactor * before.memory_kb + kMemoryMarginKb)
+    verdict_.broken.push_back({"levels",
+                               bench::name_of(usage.by) + " takes " + std::to_string(usage.status) +
+                                   " kB at the end, and none took more than " +
+                                   std::to_string(static_cast<int>(before.memory_kb)) + " before",
+                               usage.t});
+}
+
+}  // namespace thymewood::fleet
