--- a/bench/model/scenario.cpp
+++ b/bench/model/scenario.cpp
@@ -21,6 +21,12 @@
 
 double Service::expected() const { return form == Form::kBimodal ? mean + slow_share * (slow - mean) : mean; }
 
+const LoadClass& Scenario::class_named(const std::string& class_name) const {
+  const auto found =
+      std::find_if(classes.begin(), classes.end(), [&](const LoadClass& c) { return c.name == class_name; });
+  return found == classes.end() ? classes.front() : *found;
+}
+
 double Scenario::mean_work() const {
   double sum = 0, shares = 0;
   for (const LoadClass& c : classes) {
--- a/bench/model/scenario.h
+++ b/bench/model/scenario.h
@@ -127,6 +127,7 @@
 
   std::vector<double> settle_after;  // s; load steps and changes, after each of which `settle` is left out
 
+  const LoadClass& class_named(const std::string& class_name) const;  // the first class where there is none
   double mean_work() const;        // s; over the classes by their shares, on an idle server of speed 1
   double full_rate() const;        // requests a second of all servers that are up from the beginning
   double load_at(double t) const;  // of the open loop
@@ -141,6 +142,19 @@
 Scenario read_scenario(const std::string& path, double times = 1);
 Scenario parse_scenario(const std::string& text, const std::string& name, double times = 1);
 
+// The place of an entry, drawn by the entries' shares; 0 where there is none.
+template <class Entries>
+std::size_t draw_by_share(Random& random, const Entries& entries) {
+  double sum = 0;
+  for (const auto& entry : entries) sum += entry.share;
+  double left = random.unit() * sum;
+  for (std::size_t i = 0; i + 1 < entries.size(); ++i) {
+    left -= entries[i].share;
+    if (left < 0) return i;
+  }
+  return entries.empty() ? 0 : entries.size() - 1;
+}
+
 // The open loop's arrivals: a Poisson process whose rate follows the steps.
 class Arrivals {
  public:
--- a/bench/rig/load_generator.cpp
+++ b/bench/rig/load_generator.cpp
@@ -10,6 +10,8 @@
 #include <boost/beast/http.hpp>
 #include <cmath>
 
+#include "http_messages.h"
+
 namespace thymewood::bench {
 
 namespace asio = boost::asio;
@@ -24,13 +26,14 @@
 }
 
 std::string text_of(const RequestClass& settings, const std::string& name, const std::string& id) {
-  const bool get = settings.idempotency == Idempotency::kIdempotent;
-  std::string text = (get ? "GET /" : "POST /") + name + "/" + id +
-                     " HTTP/1.1\r\nHost: rig\r\nX-Request-ID: " + id + "\r\nX-Priority-Class: " + name +
-                     "\r\nX-Timeout-Ms: " + std::to_string(std::lround(settings.client_timeout * 1000)) +
-                     "\r\n";
-  if (settings.idempotency == Idempotency::kIdempotentWithKey) text += "Idempotency-Key: " + id + "\r\n";
-  return text + (get ? "\r\n" : "Content-Length: 4\r\n\r\nbody");
+  fleet::RequestHead head;
+  head.host = "rig";
+  head.class_name = name;
+  head.operation = head.id = id;
+  if (settings.idempotency == Idempotency::kIdempotentWithKey) head.key = id;
+  head.timeout_ms = std::lround(settings.client_timeout * 1000);
+  head.has_body = settings.idempotency != Idempotency::kIdempotent;
+  return fleet::request_text(head);
 }
 
 }  // namespace
@@ -45,7 +48,7 @@
       seed_(seed),
       random_(seed),
       observer_(std::move(observer)),
-      free_(replicas_.size()) {}
+      idle_connections_(replicas_.size()) {}
 
 double LoadGenerator::now() const {
   return std::chrono::duration<double>(std::chrono::steady_clock::now() - begin_).count();
@@ -55,7 +58,7 @@
   asio::co_spawn(io_, open_loop(), asio::detached);
   for (const ClosedLoop& group : scenario_.closed_loops) {
     for (int i = 0; i < group.count; ++i)
-      asio::co_spawn(io_, caller(group, i % static_cast<int>(replicas_.size())), asio::detached);
+      asio::co_spawn(io_, closed_loop_client(group, i % static_cast<int>(replicas_.size())), asio::detached);
   }
 }
 
@@ -66,21 +69,22 @@
   for (double due = arrivals.after(0); due <= scenario_.seconds; due = arrivals.after(due)) {
     timer.expires_at(begin_ + span(due));
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-    asio::co_spawn(io_, one(static_cast<int>(random_.below(replicas_.size())), due), asio::detached);
+    asio::co_spawn(io_, send_detached(static_cast<int>(random_.below(replicas_.size())), due),
+                   asio::detached);
   }
   timer.expires_at(begin_ + span(scenario_.seconds));
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   arrivals_over_ = true;
 }
 
-asio::awaitable<void> LoadGenerator::one(int replica, double due) { co_await ask(replica, due); }
+asio::awaitable<void> LoadGenerator::send_detached(int replica, double due) { co_await send(replica, due); }
 
-asio::awaitable<void> LoadGenerator::caller(const ClosedLoop& group, int replica) {
+asio::awaitable<void> LoadGenerator::closed_loop_client(const ClosedLoop& group, int replica) {
   asio::steady_timer timer(io_, begin_ + span(group.from));
   error_code ignored;
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   while (now() < std::min(group.to, scenario_.seconds)) {
-    const Ended ended = co_await ask(replica, now());
+    const Ended ended = co_await send(replica, now());
     const double wait = ended.how == Final::kRejected ? std::max(0.0, group.after_refusal) : group.think;
     if (wait <= 0) continue;
     timer.expires_after(span(wait));
@@ -88,31 +92,20 @@
   }
 }
 
-std::size_t LoadGenerator::draw_class() {
-  double sum = 0;
-  for (const LoadClass& c : scenario_.classes) sum += c.share;
-  double left = random_.unit() * sum;
-  for (std::size_t i = 0; i + 1 < scenario_.classes.size(); ++i) {
-    left -= scenario_.classes[i].share;
-    if (left < 0) return i;
-  }
-  return scenario_.classes.size() - 1;
-}
-
-// On a kept connection, or a new one. A kept one that the node has closed meanwhile is no answer: the request
-// has not been read, and goes on a new one once.
-asio::awaitable<LoadGenerator::Ended> LoadGenerator::ask(int replica, double due) {
+// Uses an idle connection, or a new one. Where the node has closed an idle connection meanwhile, the request
+// has not been read, and goes on another.
+asio::awaitable<LoadGenerator::Ended> LoadGenerator::send(int replica, double due) {
   ++under_way_;
   Ended out;
   out.id = "r" + std::to_string(++requests_);
-  out.request_class = draw_class();
+  out.request_class = draw_by_share(random_, scenario_.classes);
   out.replica = replica;
   out.due = due;
   const LoadClass& c = scenario_.classes[out.request_class];
   const std::string text = text_of(c.settings, c.name, out.id);
-  auto& kept = free_[static_cast<std::size_t>(replica)];
+  auto& idle = idle_connections_[static_cast<std::size_t>(replica)];
   for (;;) {
-    const bool fresh = kept.empty();
+    const bool fresh = idle.empty();
     std::shared_ptr<Socket> socket;
     error_code problem;
     if (fresh) {
@@ -121,8 +114,8 @@
                                      asio::redirect_error(asio::use_awaitable, problem));
       if (!problem) socket->set_option(tcp::no_delay(true), problem);
     } else {
-      socket = std::move(kept.back());
-      kept.pop_back();
+      socket = std::move(idle.back());
+      idle.pop_back();
     }
     out.sent = now();
     // A client that waits for longer than it said has lost its request.
@@ -148,7 +141,7 @@
     const unsigned status = problem ? 0 : answer.result_int();
     if (status == 200) out.how = answer.body() == out.id ? Final::kServed : Final::kFailed;
     if (status == 429 || status == 503) out.how = Final::kRejected;
-    if (!problem && answer.keep_alive()) kept.push_back(std::move(socket));
+    if (!problem && answer.keep_alive()) idle.push_back(std::move(socket));
     break;
   }
   --under_way_;
--- a/bench/rig/load_generator.h
+++ b/bench/rig/load_generator.h
@@ -43,10 +43,9 @@
 
   double now() const;
   boost::asio::awaitable<void> open_loop();
-  boost::asio::awaitable<void> caller(const ClosedLoop& group, int replica);
-  boost::asio::awaitable<Ended> ask(int replica, double due);
-  boost::asio::awaitable<void> one(int replica, double due);
-  std::size_t draw_class();
+  boost::asio::awaitable<void> closed_loop_client(const ClosedLoop& group, int replica);
+  boost::asio::awaitable<Ended> send(int replica, double due);
+  boost::asio::awaitable<void> send_detached(int replica, double due);
 
   boost::asio::io_context& io_;
   const Scenario& scenario_;
@@ -55,7 +54,7 @@
   std::uint64_t seed_;
   Random random_;
   Observer observer_;
-  std::vector<std::vector<std::shared_ptr<Socket>>> free_;  // kept connections, by replica
+  std::vector<std::vector<std::shared_ptr<Socket>>> idle_connections_;  // by replica
   std::uint64_t requests_ = 0;
   std::size_t under_way_ = 0;
   bool arrivals_over_ = false;
--- a/bench/rig/model_server.cpp
+++ b/bench/rig/model_server.cpp
@@ -1,6 +1,5 @@
 #include "model_server.h"
 
-#include <algorithm>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 #include <boost/asio/redirect_error.hpp>
@@ -10,6 +9,8 @@
 #include <chrono>
 #include <limits>
 
+#include "http_messages.h"
+
 namespace thymewood::bench {
 
 namespace asio = boost::asio;
@@ -58,20 +59,16 @@
     co_await http::async_read(socket, buffer, request, asio::redirect_error(asio::use_awaitable, problem));
     if (problem) co_return;
     const std::string id(request["X-Request-ID"]);
-    const bool done = co_await work_on(id, std::string(request["X-Priority-Class"]));
-    http::response<http::string_body> answer(done ? http::status::ok : http::status::service_unavailable, 11);
-    if (!done) answer.set("X-Not-Processed", "1");
-    answer.body() = id;
-    answer.prepare_payload();
+    const bool done = co_await process(id, std::string(request["X-Priority-Class"]));
+    const auto answer =
+        fleet::server_response(done ? http::status::ok : http::status::service_unavailable, id);
     co_await http::async_write(socket, answer, asio::redirect_error(asio::use_awaitable, problem));
     if (problem) co_return;
   }
 }
 
-asio::awaitable<bool> ModelServer::work_on(const std::string& id, const std::string& class_name) {
-  const auto found = std::find_if(scenario_.classes.begin(), scenario_.classes.end(),
-                                  [&](const LoadClass& c) { return c.name == class_name; });
-  const LoadClass& c = found == scenario_.classes.end() ? scenario_.classes.front() : *found;
+asio::awaitable<bool> ModelServer::process(const std::string& id, const std::string& class_name) {
+  const LoadClass& c = scenario_.class_named(class_name);
   const double work = c.service.draw(random_);
   act();
   const double at = now();
--- a/bench/rig/model_server.h
+++ b/bench/rig/model_server.h
@@ -49,7 +49,7 @@
   double now() const;
   boost::asio::awaitable<void> accept();
   boost::asio::awaitable<void> serve(boost::asio::ip::tcp::socket socket);
-  boost::asio::awaitable<bool> work_on(const std::string& id, const std::string& class_name);
+  boost::asio::awaitable<bool> process(const std::string& id, const std::string& class_name);
   void act();
   void plan();
 
--- a/bench/virtual/session.cpp
+++ b/bench/virtual/session.cpp
@@ -168,23 +168,12 @@
 
 // ---------------------------------------------------------------- clients
 
-std::size_t Session::draw_by_share(const auto& from) {
-  double sum = 0;
-  for (const auto& entry : from) sum += entry.share;
-  double left = random_.unit() * sum;
-  for (std::size_t i = 0; i + 1 < from.size(); ++i) {
-    left -= from[i].share;
-    if (left < 0) return i;
-  }
-  return from.empty() ? 0 : from.size() - 1;
-}
-
 std::size_t Session::begin_request(std::size_t caller, int replica) {
   const std::size_t at = requests_.allocate();
   RequestState& r = requests_[at];
   r.id = "r" + std::to_string(++begun_);
-  r.request_class = draw_by_share(scenario_.classes);
-  r.tenant = draw_by_share(scenario_.tenants);
+  r.request_class = draw_by_share(random_, scenario_.classes);
+  r.tenant = draw_by_share(random_, scenario_.tenants);
   r.client = caller;
   r.replica = replica;
   r.pinned = caller != kNone;
@@ -201,7 +190,7 @@
   const std::size_t at = requests_.allocate();
   RequestState& r = requests_[at];
   r.id = "r" + std::to_string(++begun_);
-  r.request_class = draw_by_share(scenario_.classes);
+  r.request_class = draw_by_share(random_, scenario_.classes);
   r.tenant = flood.tenant;
   r.replica = flood.replica >= 0
                   ? flood.replica
--- a/bench/virtual/session.h
+++ b/bench/virtual/session.h
@@ -34,7 +34,6 @@
   void end_second(Second& s);
 
   // ---- clients
-  std::size_t draw_by_share(const auto& from);
   std::size_t begin_request(std::size_t caller, int replica);
   void begin_flood(std::size_t flood);
   double attempt_timeout(const RequestState& r) const;
--- a/fleet_rig/actors/client_pool.cpp
+++ b/fleet_rig/actors/client_pool.cpp
@@ -135,24 +135,13 @@
   return all.empty() ? -1 : all[random_.below(all.size())];
 }
 
-template <class All>
-std::size_t ClientPool::draw(const All& all) {
-  double sum = 0;
-  for (const auto& one : all) sum += one.share;
-  double left = random_.unit() * sum;
-  for (std::size_t i = 0; i + 1 < all.size(); ++i) {
-    left -= all[i].share;
-    if (left < 0) return i;
-  }
-  return all.empty() ? 0 : all.size() - 1;
-}
-
 // One thing that is wanted, with all its attempts.
 asio::awaitable<int> ClientPool::want(const bench::Flood* flood) {
   ++under_way_;
   const std::string first = "w" + std::to_string(++wants_);
-  const std::size_t c = draw(scenario_.classes);
-  const std::size_t tenant = flood != nullptr ? flood->tenant : draw(scenario_.tenants);
+  const std::size_t c = bench::draw_by_share(random_, scenario_.classes);
+  const std::size_t tenant =
+      flood != nullptr ? flood->tenant : bench::draw_by_share(random_, scenario_.tenants);
   // Pinned to one node, a flood waits until that one is up again.
   const int pinned = flood != nullptr ? flood->replica : -1;
   const RequestClass& settings = scenario_.classes[c].settings;
--- a/fleet_rig/actors/client_pool.h
+++ b/fleet_rig/actors/client_pool.h
@@ -52,8 +52,6 @@
   boost::asio::awaitable<void> one(const bench::Flood* flood);
   boost::asio::awaitable<void> sleep(double seconds);
   int pick();
-  template <class All>
-  std::size_t draw(const All& all);
 
   boost::asio::io_context& io_;
   const bench::Scenario& scenario_;
--- a/fleet_rig/actors/http_client.cpp
+++ b/fleet_rig/actors/http_client.cpp
@@ -9,6 +9,8 @@
 #include <cmath>
 #include <cstdlib>
 
+#include "http_messages.h"
+
 namespace thymewood::fleet {
 
 namespace asio = boost::asio;
@@ -28,13 +30,16 @@
 }
 
 std::string text_of(const ClientRequest& call) {
-  std::string text =
-      (call.body ? "POST /" : "GET /") + call.class_name + "/" + call.first +
-      " HTTP/1.1\r\nHost: fleet\r\nX-Request-ID: " + call.id + "\r\nX-Priority-Class: " + call.class_name +
-      "\r\nX-Timeout-Ms: " + std::to_string(std::max(1L, std::lround(call.time * 1000))) + "\r\n";
-  if (!call.tenant.empty()) text += "X-Tenant-Id: " + call.tenant + "\r\n";
-  if (!call.key.empty()) text += "Idempotency-Key: " + call.key + "\r\n";
-  return text + (call.body ? "Content-Length: 4\r\n\r\nbody" : "\r\n");
+  RequestHead head;
+  head.host = "fleet";
+  head.class_name = call.class_name;
+  head.operation = call.first;
+  head.id = call.id;
+  head.tenant = call.tenant;
+  head.key = call.key;
+  head.timeout_ms = std::max(1L, std::lround(call.time * 1000));
+  head.has_body = call.body;
+  return request_text(head);
 }
 
 // Closes a socket when its time is up, unless the exchange is over by then: the connection may carry another.
--- a/fleet_rig/actors/server_stand_in.cpp
+++ b/fleet_rig/actors/server_stand_in.cpp
@@ -11,6 +11,7 @@
 #include <limits>
 #include <utility>
 
+#include "http_messages.h"
 #include "sockets.h"
 
 namespace thymewood::fleet {
@@ -25,6 +26,17 @@
 // s. What a call to the second tier is told less than is left, so that the answer can still be passed on.
 constexpr double kCallMargin = 0.02;
 
+http::status status_of(ServerStandIn::Fate fate) {
+  switch (fate) {
+    case ServerStandIn::Fate::kCompleted:
+      return http::status::ok;
+    case ServerStandIn::Fate::kFailed:
+      return http::status::internal_server_error;
+    default:
+      return http::status::service_unavailable;
+  }
+}
+
 }  // namespace
 
 ServerStandIn::ServerStandIn(asio::io_context& io, const bench::Scenario& scenario, HistoryWriter& history,
@@ -84,6 +96,19 @@
   }
 }
 
+ServerStandIn::IncomingRequest ServerStandIn::parse(const http::request<http::string_body>& request) {
+  IncomingRequest out;
+  out.id = std::string(request["X-Request-ID"]);
+  out.class_name = std::string(request["X-Priority-Class"]);
+  out.key = std::string(request["Idempotency-Key"]);
+  out.tenant = std::string(request["X-Tenant-Id"]);
+  out.body = request.method() == http::verb::post;
+  out.time = std::strtod(std::string(request["X-Timeout-Ms"]).c_str(), nullptr) / 1000;
+  const std::string target(request.target());
+  out.first = target.substr(target.rfind('/') + 1);
+  return out;
+}
+
 asio::awaitable<void> ServerStandIn::serve(std::shared_ptr<Socket> socket, std::uint64_t life) {
   boost::beast::flat_buffer buffer;
   error_code problem;
@@ -93,61 +118,17 @@
     co_await http::async_read(*socket, buffer, request, asio::redirect_error(asio::use_awaitable, problem));
     if (life != life_) co_return;
     if (problem) break;
-    Asked asked;
-    asked.id = std::string(request["X-Request-ID"]);
-    asked.class_name = std::string(request["X-Priority-Class"]);
-    asked.key = std::string(request["Idempotency-Key"]);
-    asked.tenant = std::string(request["X-Tenant-Id"]);
-    asked.body = request.method() == http::verb::post;
-    asked.time = std::strtod(std::string(request["X-Timeout-Ms"]).c_str(), nullptr) / 1000;
-    const std::string target(request.target());
-    asked.first = target.substr(target.rfind('/') + 1);
-    const auto found = std::find_if(scenario_.classes.begin(), scenario_.classes.end(),
-                                    [&](const bench::LoadClass& c) { return c.name == asked.class_name; });
-    const bench::LoadClass& c = found == scenario_.classes.end() ? scenario_.classes.front() : *found;
-    const double share = who_.kind == ActorKind::kBackend ? scenario_.chain.share / scenario_.chain.calls
-                         : calls_ != nullptr              ? 1 - scenario_.chain.share
-                                                          : 1;
-    const double work = c.service.draw(random_) * share;
-    Record came;
-    came.t = history_.now();
-    came.what = Record::What::kServerReceived;
-    came.by = who_;
-    came.id = asked.id;
-    came.first = asked.first;
-    came.tier = who_.kind == ActorKind::kBackend ? 1 : 0;
-    came.left = came.t;
-    if (const auto from = origin_(port)) {
-      came.to = from->from;
-      came.left = history_.at(from->last_read);
-    }
-    came.work = work;
-    came.cold = model_.warmth(came.t) < 1 ? model_.rate(came.t, 1) : 0;
-    const bool fails = random_.unit() < fail_, mute = random_.unit() < mute_;
-    const std::size_t before = queue_.size();
-    act();
-    const bool full = calls_ != nullptr && spec_.capacity.workers > 0 && slots_ >= spec_.capacity.workers &&
-                      before >= static_cast<std::size_t>(spec_.capacity.queue);
-    const bool full_model = calls_ == nullptr && !fails && !mute && spec_.capacity.workers > 0 &&
-                            model_.running() >= spec_.capacity.workers &&
-                            model_.waiting() >= spec_.capacity.queue;
-    came.yes = fails || mute || !(full || full_model);
-    history_.add(came);
-    if (mute) continue;  // the connection stays open, and nothing comes
+    const IncomingRequest incoming = parse(request);
+    const Admission admission = admit(incoming, port);
+    if (admission.kind == Admission::Kind::kNoResponse) continue;  // the connection stays open
     Fate fate = Fate::kFailed;
-    if (!came.yes) {
+    if (admission.kind == Admission::Kind::kReject) {
       fate = Fate::kRejected;
-    } else if (!fails) {
-      fate = co_await handle(asked, work, life);
+    } else if (admission.kind == Admission::Kind::kProcess) {
+      fate = co_await handle(incoming, admission.work, life);
     }
     if (life != life_ || fate == Fate::kLost) co_return;
-    http::response<http::string_body> answer(fate == Fate::kServerAnswered ? http::status::ok
-                                             : fate == Fate::kFailed ? http::status::internal_server_error
-                                                                     : http::status::service_unavailable,
-                                             11);
-    if (fate == Fate::kRejected) answer.set("X-Not-Processed", "1");
-    answer.body() = asked.id;
-    answer.prepare_payload();
+    const auto answer = server_response(status_of(fate), incoming.id);
     co_await http::async_write(*socket, answer, asio::redirect_error(asio::use_awaitable, problem));
     if (life != life_) co_return;
   }
@@ -156,10 +137,61 @@
   sockets_.remove(socket);
 }
 
-asio::awaitable<ServerStandIn::Fate> ServerStandIn::handle(const Asked& asked, double work,
+double ServerStandIn::draw_work(const IncomingRequest& request) {
+  const bench::LoadClass& c = scenario_.class_named(request.class_name);
+  const double share = who_.kind == ActorKind::kBackend ? scenario_.chain.share / scenario_.chain.calls
+                       : calls_ != nullptr              ? 1 - scenario_.chain.share
+                                                        : 1;
+  return c.service.draw(random_) * share;
+}
+
+Record ServerStandIn::received(const IncomingRequest& request, double work, unsigned short port) const {
+  Record out;
+  out.t = history_.now();
+  out.what = Record::What::kServerReceived;
+  out.by = who_;
+  out.id = request.id;
+  out.first = request.first;
+  out.tier = who_.kind == ActorKind::kBackend ? 1 : 0;
+  out.left = out.t;
+  if (const auto from = origin_(port)) {
+    out.to = from->from;
+    out.left = history_.at(from->last_read);
+  }
+  out.work = work;
+  out.cold = model_.warmth(out.t) < 1 ? model_.rate(out.t, 1) : 0;
+  return out;
+}
+
+// Decides what becomes of a request, and records its arrival with that.
+ServerStandIn::Admission ServerStandIn::admit(const IncomingRequest& request, unsigned short port) {
+  const double work = draw_work(request);
+  Record came = received(request, work, port);
+  const bool fails = random_.unit() < fail_, mute = random_.unit() < mute_;
+  const std::size_t queued = queue_.size();
+  act();
+  came.yes = fails || mute || !is_full(queued);
+  history_.add(came);
+  const auto kind = mute        ? Admission::Kind::kNoResponse
+                    : !came.yes ? Admission::Kind::kReject
+                    : fails     ? Admission::Kind::kFail
+                                : Admission::Kind::kProcess;
+  return {kind, work};
+}
+
+// `queued`: how many waited for a slot when the request arrived.
+bool ServerStandIn::is_full(std::size_t queued) const {
+  const bench::Capacity& capacity = spec_.capacity;
+  if (capacity.workers <= 0) return false;
+  if (calls_ != nullptr)
+    return slots_ >= capacity.workers && queued >= static_cast<std::size_t>(capacity.queue);
+  return model_.running() >= capacity.workers && model_.waiting() >= capacity.queue;
+}
+
+asio::awaitable<ServerStandIn::Fate> ServerStandIn::handle(const IncomingRequest& request, double work,
                                                            std::uint64_t life) {
-  const double until = history_.now() + asked.time;
-  if (calls_ == nullptr) co_return co_await work_off(work, life);
+  const double until = history_.now() + request.time;
+  if (calls_ == nullptr) co_return co_await run_in_model(work, life);
   if (spec_.capacity.workers > 0) {
     if (slots_ < spec_.capacity.workers) {
       ++slots_;
@@ -170,25 +202,25 @@
       if (life != life_) co_return Fate::kLost;
     }
   }
-  Fate fate = co_await work_off(work, life);
-  if (life == life_ && fate == Fate::kServerAnswered) fate = co_await call_second_tier(asked, until, life);
-  if (life == life_) give_slot();
+  Fate fate = co_await run_in_model(work, life);
+  if (life == life_ && fate == Fate::kCompleted) fate = co_await call_second_tier(request, until, life);
+  if (life == life_) release_slot();
   co_return fate;
 }
 
-asio::awaitable<ServerStandIn::Fate> ServerStandIn::call_second_tier(const Asked& asked, double until,
-                                                                     std::uint64_t life) {
+asio::awaitable<ServerStandIn::Fate> ServerStandIn::call_second_tier(const IncomingRequest& request,
+                                                                     double until, std::uint64_t life) {
   for (int k = 0; k < scenario_.chain.calls; ++k) {
     ClientRequest call;
-    call.id = asked.id + "." + std::to_string(who_.number) + "." + std::to_string(++calls_made_);
-    call.first = asked.first;
-    call.class_name = asked.class_name;
-    call.tenant = asked.tenant;
-    if (!asked.key.empty()) call.key = asked.key + "." + std::to_string(k);
-    call.body = asked.body;
+    call.id = request.id + "." + std::to_string(who_.number) + "." + std::to_string(++calls_made_);
+    call.first = request.first;
+    call.class_name = request.class_name;
+    call.tenant = request.tenant;
+    if (!request.key.empty()) call.key = request.key + "." + std::to_string(k);
+    call.body = request.body;
     call.tier = 1;
     for (std::size_t i = 0; i < scenario_.classes.size(); ++i) {
-      if (scenario_.classes[i].name == asked.class_name) call.request_class = static_cast<int>(i);
+      if (scenario_.classes[i].name == request.class_name) call.request_class = static_cast<int>(i);
     }
     call.time = until - kCallMargin - history_.now();
     if (call.time <= 0) co_return Fate::kFailed;
@@ -196,10 +228,10 @@
     if (life != life_) co_return Fate::kLost;
     if (reply.status != 200) co_return Fate::kFailed;
   }
-  co_return Fate::kServerAnswered;
+  co_return Fate::kCompleted;
 }
 
-asio::awaitable<ServerStandIn::Fate> ServerStandIn::work_off(double work, std::uint64_t life) {
+asio::awaitable<ServerStandIn::Fate> ServerStandIn::run_in_model(double work, std::uint64_t life) {
   act();
   const std::uint64_t number = ++requests_;
   if (!model_.arrive(history_.now(), number, work)) co_return Fate::kRejected;
@@ -209,7 +241,7 @@
   co_await wait(waiter);
   if (life != life_) co_return Fate::kLost;
   work_done_ += work;
-  co_return Fate::kServerAnswered;
+  co_return Fate::kCompleted;
 }
 
 asio::awaitable<void> ServerStandIn::wait(const std::shared_ptr<Waiter>& waiter) {
@@ -217,7 +249,7 @@
   if (!waiter->over) co_await waiter->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-void ServerStandIn::give_slot() {
+void ServerStandIn::release_slot() {
   if (queue_.empty()) {
     slots_ -= slots_ > 0 ? 1 : 0;
     return;
--- a/fleet_rig/actors/server_stand_in.h
+++ b/fleet_rig/actors/server_stand_in.h
@@ -7,6 +7,7 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
+#include <boost/beast/http.hpp>
 #include <deque>
 #include <functional>
 #include <list>
@@ -26,6 +27,8 @@
 class ServerStandIn {
  public:
   using Endpoint = boost::asio::ip::tcp::endpoint;
+  // How a request ended; kLost: the process ended before it did.
+  enum class Fate { kCompleted, kFailed, kRejected, kLost };
   // By the peer's port of one of its connections: who that is.
   using Origin = std::function<std::optional<TcpRelay::Origin>(unsigned short)>;
 
@@ -56,20 +59,32 @@
     boost::asio::steady_timer timer;
     bool over = false;
   };
-  enum class Fate { kServerAnswered, kFailed, kRejected, kLost };
-  struct Asked {
+  struct IncomingRequest {
     std::string id, first, class_name, key, tenant;
     bool body = true;
     double time = 0;
   };
 
+  // What the server does with a request on its arrival.
+  struct Admission {
+    enum class Kind { kProcess, kFail, kReject, kNoResponse };
+    Kind kind = Kind::kProcess;
+    double work = 0;  // s
+  };
+
   boost::asio::awaitable<void> accept(std::uint64_t life);
   boost::asio::awaitable<void> serve(std::shared_ptr<Socket> socket, std::uint64_t life);
-  boost::asio::awaitable<Fate> handle(const Asked& asked, double work, std::uint64_t life);
-  boost::asio::awaitable<Fate> work_off(double work, std::uint64_t life);
-  boost::asio::awaitable<Fate> call_second_tier(const Asked& asked, double until, std::uint64_t life);
+  static IncomingRequest parse(const boost::beast::http::request<boost::beast::http::string_body>& request);
+  double draw_work(const IncomingRequest& request);
+  Record received(const IncomingRequest& request, double work, unsigned short port) const;
+  Admission admit(const IncomingRequest& request, unsigned short port);
+  bool is_full(std::size_t queued) const;
+  boost::asio::awaitable<Fate> handle(const IncomingRequest& request, double work, std::uint64_t life);
+  boost::asio::awaitable<Fate> run_in_model(double work, std::uint64_t life);
+  boost::asio::awaitable<Fate> call_second_tier(const IncomingRequest& request, double until,
+                                                std::uint64_t life);
   boost::asio::awaitable<void> wait(const std::shared_ptr<Waiter>& waiter);
-  void give_slot();
+  void release_slot();
   void act();
   void plan();
 
--- /dev/null
+++ b/fleet_rig/net/http_messages.h
@@ -0,0 +1,41 @@
+// The HTTP messages that the rigs' stand-ins for clients and servers exchange with a node, as PROTOCOL has
+// them.
+#pragma once
+
+#include <boost/beast/http.hpp>
+#include <string>
+
+namespace thymewood::fleet {
+
+// What a client says of one attempt.
+struct RequestHead {
+  std::string host, class_name, operation;  // `operation`: the path's last part
+  std::string id;                           // of this attempt
+  std::string tenant, key;                  // empty: the header is left out
+  long timeout_ms = 0;
+  bool has_body = true;  // false: a GET
+};
+
+// The whole request, with a body of four bytes where it has one.
+inline std::string request_text(const RequestHead& head) {
+  std::string text = (head.has_body ? "POST /" : "GET /") + head.class_name + "/" + head.operation +
+                     " HTTP/1.1\r\nHost: " + head.host + "\r\nX-Request-ID: " + head.id +
+                     "\r\nX-Priority-Class: " + head.class_name +
+                     "\r\nX-Timeout-Ms: " + std::to_string(head.timeout_ms) + "\r\n";
+  if (!head.tenant.empty()) text += "X-Tenant-Id: " + head.tenant + "\r\n";
+  if (!head.key.empty()) text += "Idempotency-Key: " + head.key + "\r\n";
+  return text + (head.has_body ? "Content-Length: 4\r\n\r\nbody" : "\r\n");
+}
+
+// A server's response, with the request's id as its body. 503 says that the request was not processed.
+inline boost::beast::http::response<boost::beast::http::string_body> server_response(
+    boost::beast::http::status status, const std::string& id) {
+  constexpr unsigned kHttp11 = 11;
+  boost::beast::http::response<boost::beast::http::string_body> response(status, kHttp11);
+  if (status == boost::beast::http::status::service_unavailable) response.set("X-Not-Processed", "1");
+  response.body() = id;
+  response.prepare_payload();
+  return response;
+}
+
+}  // namespace thymewood::fleet
