--- a/bench/virtual/records.h
+++ b/bench/virtual/records.h
@@ -1,4 +1,4 @@
-// What the player keeps of the events to come, and of requests and attempts under way.
+// What the player keeps of requests and attempts in flight.
 #pragma once
 
 #include <cstdint>
@@ -13,32 +13,6 @@
 
 constexpr std::size_t kNone = std::numeric_limits<std::size_t>::max();
 
-struct Event {
-  enum class Kind {
-    kOpenArrival,
-    kClientSends,
-    kAtNode,
-    kAtServer,
-    kServerProgress,
-    kResultReturns,
-    kTimeout,
-    kTimer,
-    kChange,
-    kNotified,
-    kUp,
-    kClientRetries,  // a client whose attempt was not served
-    kFlood,          // a tenant that sends more than usual, once more
-    kCallEnded,      // a first-tier server has its answer from the second tier
-    kSecond
-  };
-  double at = 0;
-  std::uint64_t order = 0;
-  Kind kind = Kind::kSecond;
-  std::size_t what = 0;     // request, attempt, server, client, replica, change or flood, by the kind
-  std::uint64_t extra = 0;  // generation, token or replica
-  bool operator>(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
-};
-
 struct AttemptState {
   std::size_t request = 0, server = 0;
   int number = 0;
@@ -57,7 +31,7 @@
   std::size_t request_class = 0, tenant = 0, client = kNone;
   int replica = 0, attempts_open = 0;
   double due = 0, until = 0;  // due: of this attempt
-  double first_due = 0;          // when the first attempt was due
+  double first_due = 0;       // when the first attempt was due
   int client_attempts = 1;
   bool pinned = false;            // further attempts go to the same replica
   bool over = false;              // it has its final answer
--- a/bench/virtual/session.h
+++ b/bench/virtual/session.h
@@ -1,18 +1,19 @@
-// One play of a scenario in virtual time: the state, and what happens to it event by event. session.cpp has
-// clients, replicas and the order of events, session_servers.cpp what stands behind the replicas.
+// One run of a scenario in virtual time: its state, and what each event does to it. session.cpp has the order
+// of events, session_clients.cpp the clients, session_requests.cpp requests at a node, session_replicas.cpp
+// the node's replicas and session_servers.cpp the servers.
 //
 // Servers and replicas are numbered through: first-tier servers come first, then those of the second tier;
-// replicas of the first tier first, then the replica beside each first-tier server, by which it calls on.
+// replicas of the first tier first, then the sidecar of each first-tier server, by which it calls the second.
 #pragma once
 
 #include <deque>
 #include <memory>
-#include <queue>
 #include <set>
 #include <string>
 #include <unordered_map>
 #include <vector>
 
+#include "event_queue.h"
 #include "player.h"
 #include "records.h"
 #include "rule_monitor.h"
@@ -34,7 +35,10 @@
   void end_second(Second& s);
 
   // ---- clients
-  std::size_t begin_request(std::size_t caller, int replica);
+  std::size_t new_request();
+  void offer(std::size_t at);
+  int draw_replica();
+  void begin_request(std::size_t client, int replica);
   void begin_flood(std::size_t flood);
   double attempt_timeout(const RequestState& r) const;
   bool schedule_client_retry(const RequestState& r, double back, double advised);
@@ -111,6 +115,9 @@
     std::set<std::size_t> calling;  // attempts that wait for the second tier
   };
 
+  static constexpr double kNetJitter =
+      0.2;  // of a one-way delay, at most, so that requests do not go in step
+
   const Scenario& scenario_;
   Front front_;
   Random random_;
@@ -119,10 +126,10 @@
   RuleMonitor rules_;
   double mean_work_;
   double now_ = 0;
-  std::uint64_t order_ = 0, begun_ = 0, unanswered_ = 0;
+  std::uint64_t begun_ = 0, unanswered_ = 0;
   double in_flight_ = 0;
   std::size_t next_[2] = {0, 0};  // the direct front's turn at each tier
-  std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
+  EventQueue events_;
   std::vector<ServerModel> models_;
   std::vector<Place> places_;
   std::vector<std::unique_ptr<Balancer>> replicas_;
--- /dev/null
+++ b/bench/virtual/session_replicas.cpp
@@ -0,0 +1,91 @@
+// The replicas of the node: their lives, and the events and actions of each.
+#include <utility>
+#include <variant>
+
+#include "session.h"
+
+namespace thymewood::bench {
+namespace {
+
+constexpr std::size_t kMaxLogLines = 20;
+
+}  // namespace
+
+void Session::start_replica(int replica) {
+  const bool sidecar = replica >= scenario_.replicas;
+  replicas_[static_cast<std::size_t>(replica)] = std::make_unique<Balancer>(
+      sidecar ? scenario_.sidecar_settings(replica - scenario_.replicas) : scenario_.settings(replica),
+      random_.below(1u << 30));
+  EndpointUpdate all;
+  const Range range = servers_of(sidecar ? 1 : 0);
+  for (std::size_t i = range.first; i < range.end; ++i) {
+    if (places_[i].wanted) all.endpoints.push_back(endpoint_of(i, EndpointState::kReady));
+  }
+  notify(replica, all);
+  notify(replica, Started{});
+}
+
+// A replica that is killed takes what it knew and what it held with it; servers go on with what they have.
+void Session::end_replica(int replica) {
+  if (!replicas_[static_cast<std::size_t>(replica)]) return;
+  replicas_[static_cast<std::size_t>(replica)].reset();
+  for (std::size_t at = 0; at < requests_.size(); ++at) {
+    RequestState& r = requests_[at];
+    if (r.id.empty() || r.replica != replica || !by_id_.contains(r.id)) continue;
+    for (const std::size_t a : r.attempts) {
+      if (!std::exchange(attempts_[a].ended, true) && tier_of(r) == 0) in_flight_ -= 1;
+    }
+    r.attempts_open = 0;
+    rules_.gone(r.id);
+    if (tier_of(r) == 0 && !r.over) {
+      fail_unheard(at);
+    } else {
+      r.over = true;
+      free_if_over(at);
+    }
+  }
+}
+
+void Session::notify(int replica, const thymewood::Event& event) {
+  // Other fronts have no replicas, and are told all the same: what they do not heed has to show.
+  const bool there = replicas_[static_cast<std::size_t>(replica)] != nullptr;
+  if (front_ == Front::kModule && !there) return;
+  std::vector<Action> actions;
+  if (const auto* update = std::get_if<EndpointUpdate>(&event)) {
+    for (const Endpoint& s : update->endpoints)
+      rules_.endpoint_notified(now_, replica, std::stoul(s.address.substr(1)),
+                               s.state == EndpointState::kReady);
+  }
+  if (!there) return;
+  replicas_[static_cast<std::size_t>(replica)]->handle(now_, event, actions);
+  for (const Action& action : actions) std::visit([&](const auto& a) { act(replica, a); }, action);
+}
+
+void Session::act(int, const Send& a) { send(by_id_.at(a.id), std::stoul(a.server.substr(1)), a.timeout); }
+void Session::act(int, const Reject& a) { finish_request(a.id, Final::kRejected, a.retry_after); }
+void Session::act(int, const Fail& a) { finish_request(a.id, Final::kFailed, 0); }
+void Session::act(int, const Cancel&) {}  // stops nothing at these servers
+void Session::act(int replica, const SetTimer& a) {
+  push(a.at, Event::Kind::kTimer, static_cast<std::size_t>(replica), a.token);
+}
+void Session::act(int, const WatchEndpoints&) {}  // what changes is told by the scenario
+void Session::act(int replica, const SheddingReport& a) {
+  if (report_.log.size() < kMaxLogLines)
+    report_.log.push_back(std::to_string(now_) + " s, copy " + std::to_string(replica) + ": " + describe(a));
+}
+
+void Session::finish_request(const std::string& id, Final how, double retry_after) {
+  const std::size_t at = by_id_.at(id);
+  answer(at, how, retry_after);
+  free_if_over(at);
+}
+
+void Session::record_concurrency_limit(Second& s) const {
+  if (!replicas_[0]) return;
+  const ConcurrencyLimitView view = replicas_[0]->concurrency_limit(now_);
+  s.idle_latency = view.idle_latency;
+  s.concurrency_limit = view.limit;
+  s.probed_bound = view.probed_bound;
+}
+
+}  // namespace thymewood::bench
