--- a/fleet_rig/actors/client_pool.h
+++ b/fleet_rig/actors/client_pool.h
@@ -28,7 +28,9 @@
   // A node has died, or is about to; the front learns of it so many seconds later.
   void lost(int node, double after);
   // Connections to it that are open and not in use.
-  std::size_t kept(int node) const { return nodes_.at(static_cast<std::size_t>(node)).client->kept(); }
+  std::size_t idle_connections(int node) const {
+    return nodes_.at(static_cast<std::size_t>(node)).client->idle_connections();
+  }
   std::size_t up() const;  // nodes that the front believes to be up
   bool is_up(int node) const { return nodes_.at(static_cast<std::size_t>(node)).up; }
 
--- a/fleet_rig/actors/http_client.h
+++ b/fleet_rig/actors/http_client.h
@@ -41,7 +41,9 @@
   // One that waits for ever says nothing to the history: GET /_health, whether it was answered 200.
   boost::asio::awaitable<bool> is_healthy();
   void forget() { idle_connections_.clear(); }
-  std::size_t kept() const { return idle_connections_.size(); }  // connections open and not in use
+  std::size_t idle_connections() const {
+    return idle_connections_.size();
+  }  // connections open and not in use
   const Actor& node() const { return node_; }
 
  private:
--- a/fleet_rig/run/fleet.cpp
+++ b/fleet_rig/run/fleet.cpp
@@ -25,23 +25,9 @@
 
 namespace {
 
-// The third part of an address says what stands there; the fourth is the actor's number + 1.
-constexpr int kNodes = 1, kServers = 2, kDiscovery = 3, kFaces = 4, kInners = 5, kBackends = 6,
-              kInnerFaces = 7;
-constexpr int kToNodes = 10, kOfNodes = 11, kToInners = 12, kOfInners = 13;
-constexpr int kMostMembers = 250, kAll = 254;
-constexpr unsigned short kHttp = 8081, kCatalog = 8500, kPeer = 7946, kFirstRelay = 9000;
-
 constexpr double kUpWithin = 20;       // s; for all nodes to come up
 constexpr double kDrainTime = 30;      // s; after the run's end, for what is still under way
-constexpr double kTick = 0.005;        // s; how often the rig looks how late it is
-constexpr double kWorthNoting = 0.02;  // s; lateness that goes into the history
-constexpr double kLookAtNodes = 0.05;  // s
-constexpr double kUsageEvery = 1;      // s
-constexpr double kStarvePeriod = 0.1;  // s; one turn of being stopped and running
-// s; from SIGTERM until the kill. PROTOCOL: no sooner than the longest deadline, 3 s at most, and 0.7 s more.
-constexpr double kLongestDeadline = 3, kKillAfter = 0.75;
-constexpr double kDealtOn = 0.3;  // s; for which the front goes on dealing to a node that is told to end
+constexpr double kLastAttempts = 0.1;  // s; for servers to record what was sent at the end
 
 template <class Endpoint>
 std::string text_of(const Endpoint& endpoint) {
@@ -78,11 +64,11 @@
       options_(std::move(options)),
       addresses_(io_),
       history_(made(options_.folder) + "/history.jsonl"),
-      tick_(io_),
-      look_(io_) {
+      lateness_(io_, history_, kDiscoveryActor),
+      observe_timer_(io_) {
   raise_descriptors();
-  if (scenario_.replicas > kMostMembers || scenario_.servers.size() > kMostMembers ||
-      scenario_.backends.size() > kMostMembers)
+  constexpr int kMax = FleetAddresses::kMaxActorsOfAKind;
+  if (scenario_.replicas > kMax || scenario_.servers.size() > kMax || scenario_.backends.size() > kMax)
     throw std::runtime_error(scenario_.name +
                              ": a fleet has at most 250 of nodes, servers and backends each");
   build();
@@ -90,8 +76,6 @@
 
 Fleet::~Fleet() = default;
 
-// ---------------------------------------------------------------- who there is
-
 void Fleet::build() {
   for (const Actor& actor : topology_.everyone()) {
     if (actor.kind != ActorKind::kNode && actor.kind != ActorKind::kSidecar) continue;
@@ -107,7 +91,7 @@
     node.machine = std::make_unique<Machine>(machine);
   }
   discovery_ = std::make_unique<DiscoveryStandIn>(
-      io_, scenario_, history_, addresses_.tcp(kDiscovery, 1, kCatalog),
+      io_, scenario_, history_, addresses_.discovery(),
       DiscoveryStandIn::Access{
           [this](unsigned short port) -> std::optional<TcpRelay::Origin> {
             for (const auto& [ends, relay] : relays_) {
@@ -134,40 +118,35 @@
   std::vector<UdpHub::Peer> peers;
   for (const auto& [actor, node] : nodes_) {
     const bool sidecar = actor.kind == ActorKind::kSidecar;
-    const int member = actor.number + 1;
     const auto add = [&](const Actor& from, const Actor& to, const TcpRelay::Endpoint& where,
                          const TcpRelay::Endpoint& target) {
       relays_[{from, to}] =
           std::make_unique<TcpRelay>(io_, links_, from, to, where, target, options_.seed + relays_.size());
     };
-    const Actor caller = sidecar ? Actor{ActorKind::kServer, actor.number} : kClientsActor;
-    add(caller, actor, addresses_.tcp(sidecar ? kToInners : kToNodes, member, kHttp),
-        addresses_.tcp(sidecar ? kInners : kNodes, member, kHttp));
-    const int own = sidecar ? kOfInners : kOfNodes;
-    add(actor, kDiscoveryActor, addresses_.tcp(own, member, kCatalog), discovery_->where());
+    const Actor client = sidecar ? Actor{ActorKind::kServer, actor.number} : kClientsActor;
+    add(client, actor, addresses_.relay_to(actor), addresses_.node(actor));
+    add(actor, kDiscoveryActor, addresses_.relay_to_discovery(actor), discovery_->where());
     const std::size_t targets = sidecar ? scenario_.backends.size() : scenario_.servers.size();
     for (std::size_t i = 0; i < targets; ++i) {
       const int number = static_cast<int>(i);
-      add(actor, {sidecar ? ActorKind::kBackend : ActorKind::kServer, number},
-          addresses_.tcp(own, member, static_cast<unsigned short>(kFirstRelay + number)),
-          addresses_.tcp(sidecar ? kBackends : kServers, number + 1, kHttp));
+      const Actor server{sidecar ? ActorKind::kBackend : ActorKind::kServer, number};
+      add(actor, server, addresses_.relay_to_server(actor, number), addresses_.server(server));
     }
-    peers.push_back({actor, addresses_.udp(sidecar ? kInnerFaces : kFaces, member, kPeer),
-                     addresses_.udp(sidecar ? kInners : kNodes, member, kPeer)});
+    peers.push_back({actor, addresses_.gossip_proxy(actor), addresses_.node_gossip(actor)});
   }
   if (!scenario_.peers) return;
   std::erase_if(peers, [](const UdpHub::Peer& p) { return p.actor.kind == ActorKind::kSidecar; });
-  hub_ = std::make_unique<UdpHub>(io_, links_, peers, addresses_.udp(kFaces, kAll, kPeer), options_.seed);
+  hub_ = std::make_unique<UdpHub>(io_, links_, peers, addresses_.gossip_broadcast(), options_.seed);
 }
 
 void Fleet::build_servers() {
-  const auto add = [this](const Actor& actor, const bench::ScenarioServer& spec, int group) {
+  const auto add = [this](const Actor& actor, const bench::ScenarioServer& spec) {
     HttpClient* calls = nullptr;
     const Actor sidecar{ActorKind::kSidecar, actor.number};
     if (actor.kind == ActorKind::kServer && scenario_.chain.calls > 0) {
-      nodes_.at(sidecar).calls =
+      nodes_.at(sidecar).client =
           std::make_unique<HttpClient>(io_, history_, actor, sidecar, relay(actor, sidecar).where());
-      calls = nodes_.at(sidecar).calls.get();
+      calls = nodes_.at(sidecar).client.get();
     }
     const auto origin = [this, actor](unsigned short port) -> std::optional<TcpRelay::Origin> {
       for (const auto& [node, held] : nodes_) {
@@ -177,215 +156,25 @@
       }
       return std::nullopt;
     };
-    servers_[actor] = std::make_unique<ServerStandIn>(io_, scenario_, history_, actor, spec,
-                                                      addresses_.tcp(group, actor.number + 1, kHttp), origin,
-                                                      calls, options_.seed * 7919 + servers_.size());
+    servers_[actor] =
+        std::make_unique<ServerStandIn>(io_, scenario_, history_, actor, spec, addresses_.server(actor),
+                                        origin, calls, options_.seed * 7919 + servers_.size());
   };
   for (std::size_t i = 0; i < scenario_.servers.size(); ++i)
-    add({ActorKind::kServer, static_cast<int>(i)}, scenario_.servers[i], kServers);
+    add({ActorKind::kServer, static_cast<int>(i)}, scenario_.servers[i]);
   for (std::size_t i = 0; i < scenario_.backends.size(); ++i)
-    add({ActorKind::kBackend, static_cast<int>(i)}, scenario_.backends[i], kBackends);
+    add({ActorKind::kBackend, static_cast<int>(i)}, scenario_.backends[i]);
 }
 
 TcpRelay& Fleet::relay(const Actor& from, const Actor& to) { return *relays_.at({from, to}); }
 
-void Fleet::write_config(const Actor& actor) {
-  const bool sidecar = actor.kind == ActorKind::kSidecar;
-  const int member = actor.number + 1;
-  Node& node = nodes_.at(actor);
-  NodeParameters parameters;
-  parameters.name = bench::name_of(actor);
-  parameters.listen = text_of(addresses_.tcp(sidecar ? kInners : kNodes, member, kHttp));
-  parameters.discovery = text_of(relay(actor, kDiscoveryActor).where());
-  parameters.seed = options_.seed * 1000003 + static_cast<std::uint64_t>(member) * 1009 +
-                    static_cast<std::uint64_t>(node.lives) * (sidecar ? 31 : 17);
-  parameters.position = actor.number;
-  parameters.count = sidecar ? topology_.sidecar : scenario_.replicas;
-  parameters.tier = sidecar ? 1 : 0;
-  parameters.zone = topology_.zone_of(actor);
-  parameters.known = discovery_->known(actor);
-  if (hub_ && !sidecar) {
-    parameters.peer_listen = text_of(addresses_.udp(kNodes, member, kPeer));
-    parameters.peers_all = text_of(hub_->all());
-    for (int i = 0; i < scenario_.replicas; ++i)
-      parameters.peers.push_back(text_of(hub_->face(static_cast<std::size_t>(i))));
-  }
-  if (!scenario_.operators.empty()) {
-    std::ofstream operators(node.machine->folder() + "/operators.toml", std::ios::trunc);
-    operators << scenario_.operators;
-    if (!operators.flush()) throw std::runtime_error(node.machine->folder() + ": cannot be written");
-  }
-  const std::string path = node.machine->folder() + "/config.json";
-  std::ofstream file(path + ".new", std::ios::trunc);
-  file << node_config(scenario_, parameters);
-  if (!file.flush()) throw std::runtime_error(path + ": cannot be written");
-  file.close();
-  std::filesystem::rename(path + ".new", path);
-}
-
-// ---------------------------------------------------------------- machines
-
-void Fleet::start_node(const Actor& actor) {
-  Node& node = nodes_.at(actor);
-  write_config(actor);
-  node.machine->start();
-  node.lives += 1;
-  node.wanted = true;
-  node.started_at = history_.now();
-  asio::co_spawn(io_, admit_when_listening(actor, node.lives), asio::detached);
-  note(Record::What::kUp, actor);
-  if (actor.kind == ActorKind::kNode) clients_->expect(actor.number);
-}
-
-// Until a process listens its machine refuses connections; a relay would take them, and break them.
-asio::awaitable<void> Fleet::admit_when_listening(Actor actor, int life) {
-  constexpr auto kPause = std::chrono::milliseconds(2);
-  const bool sidecar = actor.kind == ActorKind::kSidecar;
-  const auto where = addresses_.tcp(sidecar ? kInners : kNodes, actor.number + 1, kHttp);
-  asio::steady_timer timer(io_);
-  for (error_code bad = asio::error::connection_refused; bad;) {
-    if (nodes_.at(actor).lives != life || !nodes_.at(actor).wanted) co_return;
-    asio::ip::tcp::socket socket(io_);
-    co_await socket.async_connect(where, asio::redirect_error(asio::use_awaitable, bad));
-    if (!bad) break;
-    error_code ignored;
-    timer.expires_after(kPause);
-    co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-  }
-  if (nodes_.at(actor).lives == life && nodes_.at(actor).wanted) refuse_to(actor, false);
-}
-
-void Fleet::stop_node(const Actor& actor) {
-  Node& node = nodes_.at(actor);
-  node.wanted = false;
-  node.machine->kill();
-  refuse_to(actor, true);
-  if (node.calls) node.calls->forget();
-  note(Record::What::kDown, actor);
-}
-
-asio::awaitable<void> Fleet::restart(Actor actor, double down) {
-  Node& node = nodes_.at(actor);
-  if (!node.wanted) co_return;
-  double longest = 0;
-  for (const bench::LoadClass& c : scenario_.classes)
-    longest = std::max(longest, std::min(c.settings.client_timeout, kLongestDeadline));
-  note(Record::What::kTerm, actor);
-  const int life = node.lives;
-  node.wanted = false;  // it may end by itself now
-  node.machine->terminate();
-  if (actor.kind == ActorKind::kNode) clients_->lost(actor.number, kDealtOn);
-  const double until = history_.now() + longest + kKillAfter;
-  asio::steady_timer timer(io_);
-  error_code ignored;
-  while (node.machine->running() && history_.now() < until) {
-    timer.expires_after(std::chrono::milliseconds(20));
-    co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-  }
-  if (node.lives != life) co_return;  // another fault has started it meanwhile
-  stop_node(actor);
-  timer.expires_at(history_.time_of(history_.now() + down));
-  co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-  if (node.lives == life) start_node(actor);
-}
-
-// A share of a core: stopped and running in turn.
-asio::awaitable<void> Fleet::starve(Actor actor, double share) {
-  Node& node = nodes_.at(actor);
-  asio::steady_timer timer(io_);
-  error_code ignored;
-  while (node.starved) {
-    node.machine->pause();
-    timer.expires_at(history_.time_of(history_.now() + kStarvePeriod * (1 - share)));
-    co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-    node.machine->resume();
-    if (!node.starved) break;
-    timer.expires_at(history_.time_of(history_.now() + kStarvePeriod * share));
-    co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-  }
-}
-
-// How a node sees the fleet stands in its log; it is put beside what the others saw at the moment it is read.
-void Fleet::look_at_log(const Actor& actor, Node& node) {
-  std::ifstream log(node.machine->folder() + "/log");
-  if (!log.seekg(node.read)) return;
-  constexpr std::string_view kMark = "fleet: view ";
-  for (std::string line; std::getline(log, line) && !log.eof();) {
-    node.read += static_cast<std::streamoff>(line.size()) + 1;
-    if (line.rfind(kMark, 0) == 0) note(Record::What::kView, actor, line.substr(kMark.size()));
-  }
-}
-
-void Fleet::look_at_nodes() {
-  for (auto& [actor, node] : nodes_) {
-    if (!scenario_.operators.empty() && actor.kind == ActorKind::kNode) look_at_log(actor, node);
-    if (!node.wanted || node.machine->running()) continue;
-    node.wanted = false;
-    refuse_to(actor, true);
-    if (actor.kind == ActorKind::kNode)
-      clients_->lost(actor.number, scenario_.client_behavior.failure_detection);
-    const int status = node.machine->status();
-    note(Record::What::kCrash, actor,
-         WIFSIGNALED(status) ? "ended by signal " + std::to_string(WTERMSIG(status))
-                             : "ended with status " + std::to_string(WEXITSTATUS(status)));
-  }
-  if (history_.now() - looked_ >= kUsageEvery) {
-    looked_ = history_.now();
-    for (auto& [actor, node] : nodes_) {
-      if (!node.wanted) continue;
-      const Machine::Usage usage = node.machine->usage();
-      Record r;
-      r.what = Record::What::kUsage;
-      r.by = actor;
-      r.work = usage.cpu_s;
-      r.status = static_cast<int>(usage.memory_kb);
-      r.count = usage.descriptors;
-      r.tier = static_cast<int>(actor.kind == ActorKind::kNode ? clients_->kept(actor.number)
-                                                               : node.calls->kept());
-      history_.add(r);
-    }
-    std::size_t open = 0;
-    for (const auto& [actor, server] : servers_) open += server->connections();
-    Record r;
-    r.what = Record::What::kOpen;
-    r.by = kDiscoveryActor;
-    r.count = static_cast<int>(open);
-    history_.add(r);
-    history_.flush();
-    if (options_.progress) options_.progress(history_.now(), "");
-  }
-  look_.expires_at(history_.time_of(history_.now() + kLookAtNodes));
-  look_.async_wait([this](error_code cancelled) {
-    if (!cancelled) look_at_nodes();
-  });
-}
-
-void Fleet::look_at_clock() {
-  tick_.expires_after(
-      std::chrono::duration_cast<asio::steady_timer::duration>(std::chrono::duration<double>(kTick)));
-  tick_.async_wait([this](error_code cancelled) {
-    if (cancelled) return;
-    const double late = std::chrono::duration<double>(HistoryWriter::Steady::now() - tick_.expiry()).count();
-    if (late >= kWorthNoting) {
-      Record r;
-      r.what = Record::What::kLate;
-      r.by = kDiscoveryActor;
-      r.work = late;
-      history_.add(r);
-    }
-    look_at_clock();
-  });
-}
-
-// ---------------------------------------------------------------- a run
-
 void Fleet::start_nodes() {
   for (auto& [actor, server] : servers_) {
     const auto& all = actor.kind == ActorKind::kBackend ? scenario_.backends : scenario_.servers;
     if (all.at(static_cast<std::size_t>(actor.number)).up) {
       server->up(false);
     } else {
-      refuse_to(actor, true);
+      refuse_connections_to(actor, true);
     }
   }
   discovery_->up();
@@ -393,7 +182,7 @@
   for (const auto& [actor, node] : nodes_) {
     const bool beside = actor.kind == ActorKind::kSidecar;
     if (!beside || servers_.at({ActorKind::kServer, actor.number})->is_up()) start_node(actor);
-    if (beside && nodes_.at(actor).wanted) sidecar.push_back(actor);
+    if (beside && nodes_.at(actor).should_run) sidecar.push_back(actor);
   }
   // The servers' own nodes are looked at as the front looks at its own.
   const auto is_healthy = std::make_shared<std::size_t>(0);
@@ -403,7 +192,7 @@
         [](Fleet& fleet, Actor who, std::shared_ptr<std::size_t> count) -> asio::awaitable<void> {
           asio::steady_timer timer(fleet.io_);
           error_code ignored;
-          while (!co_await fleet.nodes_.at(who).calls->is_healthy()) {
+          while (!co_await fleet.nodes_.at(who).client->is_healthy()) {
             timer.expires_after(std::chrono::milliseconds(20));
             co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
           }
@@ -415,7 +204,7 @@
   while (clients_->up() < static_cast<std::size_t>(scenario_.replicas) || *is_healthy < sidecar.size()) {
     io_.run_for(std::chrono::milliseconds(10));
     for (auto& [actor, node] : nodes_) {
-      const bool ended = node.wanted && !node.machine->running();
+      const bool ended = node.should_run && !node.machine->running();
       if (ended || history_.now() > until)
         throw std::runtime_error(options_.program + " did not come up; see " + node.machine->folder() +
                                  "/log: " + node.machine->log());
@@ -424,13 +213,13 @@
 }
 
 // The clients make them; here they are put beside the faults.
-void Fleet::note_floods() {
+void Fleet::record_floods() {
   for (const bench::Flood& flood : scenario_.floods) {
     const std::string text = "flood of " + scenario_.tenants.at(flood.tenant).name +
                              (flood.replica < 0 ? "" : " through node:" + std::to_string(flood.replica));
-    at(flood.at, [this, text] { note(Record::What::kFault, kDiscoveryActor, text); });
+    at(flood.at, [this, text] { record(Record::What::kFault, kDiscoveryActor, text); });
     if (std::isfinite(flood.lasts))
-      at(flood.at + flood.lasts, [this, text] { note(Record::What::kHealed, kDiscoveryActor, text); });
+      at(flood.at + flood.lasts, [this, text] { record(Record::What::kHealed, kDiscoveryActor, text); });
   }
 }
 
@@ -444,28 +233,28 @@
   history_.add(begin);
   std::vector<Actor> writers{kClientsActor, kDiscoveryActor};
   for (const auto& [actor, server] : servers_) writers.push_back(actor);
-  for (const Actor& actor : writers) note(Record::What::kActorJoined, actor);
-  go_through(plan(scenario_, options_.seed), 0);
-  note_floods();
-  look_at_clock();
-  look_at_nodes();
+  for (const Actor& actor : writers) record(Record::What::kActorJoined, actor);
+  run_steps(plan(scenario_, options_.seed), 0);
+  record_floods();
+  lateness_.start();
+  observe_nodes();
   clients_->start();
   const double end = scenario_.seconds + kDrainTime;
   while (!clients_->done() && history_.now() < end) io_.run_for(std::chrono::milliseconds(20));
   // What a server works on for clients that have gone is still to be seen where it was sent: a moment more.
-  const double quiet = history_.now() + 2 * kLookAtNodes;
+  const double quiet = history_.now() + kLastAttempts;
   while (history_.now() < quiet) io_.run_for(std::chrono::milliseconds(10));
   if (clients_->done()) {
-    for (const Actor& actor : writers) note(Record::What::kClosed, actor);
+    for (const Actor& actor : writers) record(Record::What::kClosed, actor);
   }
   history_.flush();
-  finish();
+  kill_nodes();
   return options_.folder + "/history.jsonl";
 }
 
-void Fleet::finish() {
+void Fleet::kill_nodes() {
   for (auto& [actor, node] : nodes_) {
-    node.wanted = node.starved = false;
+    node.should_run = node.starved = false;
     node.machine->kill();
   }
 }
--- a/fleet_rig/run/fleet.h
+++ b/fleet_rig/run/fleet.h
@@ -14,10 +14,11 @@
 #include <string>
 #include <vector>
 
-#include "address_block.h"
 #include "client_pool.h"
 #include "discovery_stand_in.h"
+#include "fleet_addresses.h"
 #include "history_writer.h"
+#include "lateness_monitor.h"
 #include "link_table.h"
 #include "machine.h"
 #include "planner.h"
@@ -56,12 +57,12 @@
  private:
   struct Node {
     std::unique_ptr<Machine> machine;
-    std::unique_ptr<HttpClient> calls;  // of the server beside it, in the second tier
-    bool wanted = false;                // it should be running: an end of its own is a crash
+    std::unique_ptr<HttpClient> client;  // of the server beside it, in the second tier
+    bool should_run = false;             // it should be running: an end of its own is a crash
     bool starved = false;
-    int lives = 0;
-    double started_at = 0;    // s on the history's clock
-    std::streamoff read = 0;  // of its log
+    int incarnation = 0;
+    double started_at = 0;            // s on the history's clock
+    std::streamoff log_position = 0;  // of its log
   };
 
   void build();
@@ -69,7 +70,6 @@
   void build_servers();
   void start_nodes();
   void write_config(const Actor& node);
-  std::string peers_of(const Actor& node) const;
   void start_node(const Actor& node);
   boost::asio::awaitable<void> admit_when_listening(Actor node, int life);
   void stop_node(const Actor& node);
@@ -77,29 +77,32 @@
   boost::asio::awaitable<void> starve(Actor node, double share);
 
   void at(double seconds, std::function<void()> what);
-  void go_through(std::vector<Step> steps, std::size_t next);
+  void run_steps(std::vector<Step> steps, std::size_t next);
   void apply(const Step& step);
   void begin_fault(const Fault& fault, const Step& step);
   void end_fault(const Fault& fault, const Step& step);
-  void lay(const Step& step, bool on);
+  void apply_link_fault(const Step& step, bool on);
   void change(const bench::Change& c);
-  void crowd(const Actor& node, int count);
+  void open_idle_connections(const Actor& node, int count);
   void start_server(const Actor& server);
   void stop_server(const Actor& server);
-  void refuse_to(const Actor& actor, bool on);
-  void note(Record::What what, const Actor& by, const std::string& text = "");
+  void refuse_connections_to(const Actor& actor, bool on);
+  void record(Record::What what, const Actor& by, const std::string& text = "");
 
-  void note_floods();
-  void look_at_clock();
-  void look_at_nodes();
-  void look_at_log(const Actor& actor, Node& node);
-  void finish();
+  void record_floods();
+  // fleet_observation.cpp
+  void observe_nodes();
+  void read_log(const Actor& actor, Node& node);
+  void record_crash(const Actor& actor, Node& node);
+  void record_usage();
+
+  void kill_nodes();
 
   bench::Scenario scenario_;
   bench::Topology topology_;
   Options options_;
   boost::asio::io_context io_{1};
-  AddressBlock addresses_;
+  FleetAddresses addresses_;
   HistoryWriter history_;
   LinkTable links_;
   std::map<std::pair<Actor, Actor>, std::unique_ptr<TcpRelay>> relays_;
@@ -108,11 +111,11 @@
   std::map<Actor, std::unique_ptr<ServerStandIn>> servers_;
   std::unique_ptr<DiscoveryStandIn> discovery_;
   std::unique_ptr<ClientPool> clients_;
-  std::map<Actor, std::vector<std::shared_ptr<boost::asio::ip::tcp::socket>>> crowds_;
+  std::map<Actor, std::vector<std::shared_ptr<boost::asio::ip::tcp::socket>>> idle_clients_;
   std::vector<std::unique_ptr<boost::asio::steady_timer>> timers_;
-  boost::asio::steady_timer tick_, look_;
-  double looked_ = 0;
-  std::uint64_t looks_ = 0;
+  LatenessMonitor lateness_;
+  boost::asio::steady_timer observe_timer_;
+  double last_usage_ = 0;
 };
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/run/fleet_faults.cpp
+++ b/fleet_rig/run/fleet_faults.cpp
@@ -54,14 +54,14 @@
 }
 
 // One after another, in the order of the plan: timers of the same time may fire in any.
-void Fleet::go_through(std::vector<Step> steps, std::size_t next) {
+void Fleet::run_steps(std::vector<Step> steps, std::size_t next) {
   while (next < steps.size() && steps[next].at <= history_.now()) apply(steps[next++]);
   if (next >= steps.size()) return;
   const double then = steps[next].at;
-  at(then, [this, steps = std::move(steps), next]() mutable { go_through(std::move(steps), next); });
+  at(then, [this, steps = std::move(steps), next]() mutable { run_steps(std::move(steps), next); });
 }
 
-void Fleet::note(Record::What what, const Actor& by, const std::string& text) {
+void Fleet::record(Record::What what, const Actor& by, const std::string& text) {
   Record r;
   r.what = what;
   r.by = by;
@@ -76,10 +76,10 @@
   if (options_.progress) options_.progress(history_.now(), (begins ? "" : "over: ") + step.note);
   if (begins) {
     begin_fault(fault, step);
-    note(Record::What::kFault, kDiscoveryActor, step.note);
+    record(Record::What::kFault, kDiscoveryActor, step.note);
   } else {
     end_fault(fault, step);
-    note(Record::What::kHealed, kDiscoveryActor, step.note);
+    record(Record::What::kHealed, kDiscoveryActor, step.note);
   }
 }
 
@@ -90,7 +90,7 @@
     if (FaultPlan* const plan = node.machine->faults()) set_faults(*plan, fault, true);
     switch (fault.what) {
       case Fault::What::kKill:
-        if (node.wanted && actor.kind == ActorKind::kNode)
+        if (node.should_run && actor.kind == ActorKind::kNode)
           clients_->lost(actor.number, scenario_.client_behavior.failure_detection);
         stop_node(actor);
         break;
@@ -98,11 +98,11 @@
         asio::co_spawn(io_, restart(actor, std::isfinite(fault.lasts) ? fault.lasts : 0), asio::detached);
         break;
       case Fault::What::kPause:
-        note(Record::What::kPaused, actor);
+        record(Record::What::kPaused, actor);
         node.machine->pause();
         break;
       case Fault::What::kStarve:
-        note(Record::What::kPaused, actor);
+        record(Record::What::kPaused, actor);
         node.starved = true;
         asio::co_spawn(io_, starve(actor, fault.share), asio::detached);
         break;
@@ -112,7 +112,7 @@
           node.machine->signal(SIGHUP);
         break;
       case Fault::What::kCrowd:
-        crowd(actor, fault.count);
+        open_idle_connections(actor, fault.count);
         break;
       case Fault::What::kDescriptors:
         node.machine->limit_descriptors(static_cast<std::uint64_t>(fault.count));
@@ -126,7 +126,7 @@
   }
   if (fault.what == Fault::What::kSilence) discovery_->down();
   if (fault.what == Fault::What::kLag) discovery_->lag_more(fault.delay);
-  if (!step.ways.empty()) lay(step, true);
+  if (!step.ways.empty()) apply_link_fault(step, true);
   if (fault.what == Fault::What::kReset || fault.what == Fault::What::kRefuse) {
     for (const Way& way : step.ways) {
       const auto at = relays_.find({way.from, way.to});
@@ -147,19 +147,19 @@
     if (FaultPlan* const plan = node.machine->faults()) set_faults(*plan, fault, false);
     switch (fault.what) {
       case Fault::What::kKill:
-        if (!node.wanted) start_node(actor);
+        if (!node.should_run) start_node(actor);
         break;
       case Fault::What::kPause:
         node.machine->resume();
-        note(Record::What::kResumed, actor);
+        record(Record::What::kResumed, actor);
         break;
       case Fault::What::kStarve:
         node.starved = false;
         node.machine->resume();
-        note(Record::What::kResumed, actor);
+        record(Record::What::kResumed, actor);
         break;
       case Fault::What::kCrowd:
-        crowds_.erase(actor);
+        idle_clients_.erase(actor);
         break;
       case Fault::What::kDescriptors:
         node.machine->limit_descriptors(0);
@@ -179,10 +179,10 @@
       if (at != relays_.end()) at->second->refuse(false);
     }
   }
-  if (!step.ways.empty()) lay(step, false);
+  if (!step.ways.empty()) apply_link_fault(step, false);
 }
 
-void Fleet::lay(const Step& step, bool on) {
+void Fleet::apply_link_fault(const Step& step, bool on) {
   for (const Way& way : step.ways) {
     Direction& direction = links_.way(way.from, way.to);
     if (on) {
@@ -205,15 +205,15 @@
   }
 }
 
-void Fleet::refuse_to(const Actor& actor, bool on) {
+void Fleet::refuse_connections_to(const Actor& actor, bool on) {
   for (const auto& [ends, relay] : relays_) {
     if (ends.second == actor) relay->refuse(on);
   }
 }
 
 // Clients that connect, say nothing, and stay until they are closed on.
-void Fleet::crowd(const Actor& node, int count) {
-  std::vector<std::shared_ptr<asio::ip::tcp::socket>>& held = crowds_[node];
+void Fleet::open_idle_connections(const Actor& node, int count) {
+  std::vector<std::shared_ptr<asio::ip::tcp::socket>>& held = idle_clients_[node];
   for (int i = 0; i < count; ++i) {
     const auto socket = std::make_shared<asio::ip::tcp::socket>(io_);
     held.push_back(socket);
@@ -235,17 +235,17 @@
   server.fail(0);
   server.mute(0);
   server.up(true);
-  refuse_to(actor, false);
-  note(Record::What::kUp, actor);
+  refuse_connections_to(actor, false);
+  record(Record::What::kUp, actor);
   const Actor sidecar{ActorKind::kSidecar, actor.number};
-  if (actor.kind == ActorKind::kServer && nodes_.contains(sidecar) && !nodes_.at(sidecar).wanted)
+  if (actor.kind == ActorKind::kServer && nodes_.contains(sidecar) && !nodes_.at(sidecar).should_run)
     start_node(sidecar);
 }
 
 void Fleet::stop_server(const Actor& actor) {
   servers_.at(actor)->down();
-  refuse_to(actor, true);
-  note(Record::What::kDown, actor);
+  refuse_connections_to(actor, true);
+  record(Record::What::kDown, actor);
   const Actor sidecar{ActorKind::kSidecar, actor.number};
   if (actor.kind == ActorKind::kServer && nodes_.contains(sidecar)) stop_node(sidecar);
 }
