--- a/bench/rig/stand_in.h
+++ b/bench/rig/model_server.h
@@ -1,6 +1,6 @@
-// A server on a loopback socket that can do what a capacity model says (model/capacity.h), in real time. It
-// speaks as much HTTP/1.1 as a node needs (RFC 9112): requests with Content-Length on kept connections, and
-// answers with the request's id as the body, or 503 with X-Not-Processed when its queue is full.
+// A server on a loopback socket that can do what a capacity model says (model/server_model.h), in real time.
+// It speaks as much HTTP/1.1 as a node needs (RFC 9112): requests with Content-Length on kept connections,
+// and answers with the request's id as the body, or 503 with X-Not-Processed when its queue is full.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -13,12 +13,12 @@
 #include <memory>
 #include <string>
 
-#include "capacity.h"
 #include "scenario.h"
+#include "server_model.h"
 
 namespace thymewood::bench {
 
-class StandIn {
+class ModelServer {
  public:
   // What it took in, told in its own thread: `now` in seconds since the run began.
   struct Came {
@@ -27,13 +27,13 @@
     std::string id;
     double work = 0;       // s
     double cold_rate = 0;  // s of work a second that it can do while cold; 0: it is warm
-    bool turned_away = false;
+    bool rejected = false;
   };
   using Observer = std::function<void(const Came&)>;
 
   // Listens on a free port of 127.0.0.1. The scenario outlives it; `begin` is the start of the run.
-  StandIn(boost::asio::io_context& io, const Scenario& scenario, std::size_t index,
-          std::chrono::steady_clock::time_point begin, std::uint64_t seed, Observer observer);
+  ModelServer(boost::asio::io_context& io, const Scenario& scenario, std::size_t index,
+              std::chrono::steady_clock::time_point begin, std::uint64_t seed, Observer observer);
   std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
   void start();
   void slow_down(double factor);
@@ -49,7 +49,7 @@
   double now() const;
   boost::asio::awaitable<void> accept();
   boost::asio::awaitable<void> serve(boost::asio::ip::tcp::socket socket);
-  boost::asio::awaitable<bool> work_on(const std::string& id, const std::string& class_name);
+  boost::asio::awaitable<bool> process(const std::string& id, const std::string& class_name);
   void act();
   void plan();
 
