--- a/tests/node/drain_test.cpp
+++ b/tests/node/drain_test.cpp
@@ -1,5 +1,5 @@
-// The end of a node, and what can cross it. It is killed 0.7 s after the longest time that a client waits, or
-// after 3.7 s, whichever is sooner: what was taken is answered by then.
+// The graceful shutdown. The platform kills the node 0.7 s after the longest client timeout, or after 3.7 s,
+// whichever is sooner: every accepted request is answered by then.
 #include "node_harness.h"
 
 namespace thymewood::node {
@@ -9,10 +9,10 @@
   return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
 }
 
-constexpr double kKill = 3.7;  // s after SIGTERM, where clients wait for 3 s or more
+constexpr double kKill = 3.7;  // s after SIGTERM, for client timeouts of 3 s or more
 
-// Guards against a request that was taken before the drain and keeps a time of its own: 15 s here.
-TEST(Drain, WhatWasTakenBeforeItIsAnsweredBeforeTheKill) {
+// Their own timeout is 15 s.
+TEST(Drain, AcceptedRequestsAreAnsweredBeforeTheKill) {
   for (const char* cancel : {"true", "false"}) {
     FakeServer hangs([](Wire&, const std::string&) { return true; });
     ConfigText config;
@@ -26,17 +26,17 @@
     ASSERT_TRUE(eventually([&] { return hangs.requests().size() == 2; }));
     const auto start = std::chrono::steady_clock::now();
     d.program->signal(SIGTERM);
-    EXPECT_EQ(status_of(unsafe.read_message()), 502) << "it may have run";
+    EXPECT_EQ(status_of(unsafe.read_message()), 502) << "it may have been processed";
     EXPECT_LT(seconds_since(start), kKill);
-    EXPECT_EQ(status_of(safe.read_message()), 503) << "harmless to try again";
+    EXPECT_EQ(status_of(safe.read_message()), 503) << "it may be retried";
     EXPECT_LT(seconds_since(start), kKill);
     EXPECT_EQ(d.program->exit_status(), 0);
     EXPECT_LT(seconds_since(start), kKill + 1);
   }
 }
 
-// The same for one that has not been sent: its connection does not come up.
-TEST(Drain, WhatWaitsForAConnectionIsAnsweredBeforeTheKill) {
+// Their connection is not established.
+TEST(Drain, RequestsWaitingForAConnectionAreAnsweredBeforeTheKill) {
   FullListener full;
   full.fill();
   FakeDiscovery discovery;
@@ -46,55 +46,53 @@
   config.known = list(7, true, member("s0", full.address()));
   config.discovery = discovery.address();
   Program program(config.text());
-  Wire caller = Wire::to(program.port());
-  caller.write(Ask{}.text());
+  Wire client = Wire::to(program.port());
+  client.write(Ask{}.text());
   ASSERT_TRUE(eventually([&] { return full.dials() > 0; }));
   const auto start = std::chrono::steady_clock::now();
   program.signal(SIGTERM);
-  EXPECT_EQ(status_of(caller.read_message()), 503) << "it never ran";
+  EXPECT_EQ(status_of(client.read_message()), 503) << "it was not processed";
   EXPECT_LT(seconds_since(start), kKill);
   EXPECT_EQ(program.exit_status(), 0);
 }
 
-// Where clients wait for less, the kill comes sooner: 0.5 s and 0.7 s more here.
-TEST(Drain, FollowsTheLongestTimeThatAClientWaits) {
+// The kill comes 0.7 s after the client timeout of 0.5 s.
+TEST(Drain, FollowsTheLongestClientTimeout) {
   FakeServer hangs([](Wire&, const std::string&) { return true; });
   ConfigText config;
   config.categories = R"({"name":"close","aim":0.2,"giveUp":0.5,"effect":"unsafe","lateWorth":0.5})";
   Deployment d({&hangs}, config);
-  Wire caller = d.client(), idle = d.client();
-  caller.write(Ask{.timeout = "500"}.text());
+  Wire client = d.client(), idle = d.client();
+  client.write(Ask{.timeout = "500"}.text());
   ASSERT_TRUE(eventually([&] { return hangs.requests().size() == 1; }));
   const auto start = std::chrono::steady_clock::now();
   d.program->signal(SIGTERM);
-  EXPECT_EQ(status_of(caller.read_message()), 502);
+  EXPECT_EQ(status_of(client.read_message()), 502);
   EXPECT_EQ(idle.read_rest(), "");
   EXPECT_LT(seconds_since(start), 1.2) << "no connection is open when the kill comes";
   EXPECT_EQ(d.program->exit_status(), 0);
 }
 
-// Guards against a connection that was busy with an answer when the idle ones were closed, and stays open
-// after it until the kill: a client sends on every connection that is open.
-TEST(Drain, AnAnswerThatEndsAfterTheIdleOnesWereClosedEndsItsConnection) {
+// A client sends on every connection that is open.
+TEST(Drain, ResponseThatEndsAfterIdleConnectionsWereClosedEndsItsConnection) {
   FakeServer server(replies(200, std::string(std::size_t{1} << 20, 'a')));
   Deployment d({&server});
   Wire slow = d.client(true), idle = d.client();
   idle.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
   ASSERT_EQ(status_of(idle.read_message()), 200);
   slow.write(Ask{}.text());
-  ASSERT_TRUE(slow.has_come()) << "its answer has begun, and does not fit in between";
+  ASSERT_TRUE(slow.has_come()) << "its response has begun and exceeds the buffers";
   const auto start = std::chrono::steady_clock::now();
   d.program->signal(SIGTERM);
-  ASSERT_EQ(idle.read_rest(), "") << "the idle ones are closed now";
+  ASSERT_EQ(idle.read_rest(), "") << "idle connections are closed now";
   EXPECT_EQ(body_of(slow.read_message()).size(), std::size_t{1} << 20);
   EXPECT_EQ(slow.read_rest(), "");
   EXPECT_LT(seconds_since(start), kKill + 1) << "it stayed open for 10 s";
   EXPECT_EQ(d.program->exit_status(), 0);
 }
 
-// What has connected by the time the listener closes has been taken by the machine: it is told something,
-// also where the node has no descriptor to spare for it.
-TEST(Drain, TheListenersQueueIsNotDroppedForWantOfDescriptors) {
+// A connection in the listener's queue has been established: its client gets a response.
+TEST(Drain, ListenersQueueIsAnsweredWithoutFreeDescriptors) {
 #ifdef __SANITIZE_ADDRESS__
   GTEST_SKIP() << "the sanitizer's check of vptrs opens a pipe; see Descriptors";
 #endif
@@ -105,28 +103,27 @@
   ASSERT_EQ(status_of(known.read_message()), 200);
   d.program->signal(SIGSTOP);
   ASSERT_TRUE(eventually([&] { return d.program->state() == 'T'; }));
-  known.write(Ask{.id = "again"}.text());  // so that it is not closed for others
-  std::vector<Wire> callers;
+  known.write(Ask{.id = "again"}.text());  // so that it is not evicted
+  std::vector<Wire> clients;
   for (int i = 0; i < 80; ++i) {
-    callers.push_back(d.client());
-    callers.back().write(Ask{.id = "late" + std::to_string(i)}.text());
+    clients.push_back(d.client());
+    clients.back().write(Ask{.id = "late" + std::to_string(i)}.text());
   }
   d.program->limit_descriptors(d.program->next_descriptor());
   d.program->signal(SIGTERM);
   d.program->signal(SIGCONT);
-  // The first ones keep the node's last descriptor for half a second each, by which time others would have
-  // been dropped: it stops accepting 0.5 s after the signal.
-  int told = 0;
-  for (std::size_t i = 0; i < callers.size(); ++i) {
-    told += status_of(callers[i].read_message()) != 0 ? 1 : 0;
-    if (i >= 3) callers[i].close();
+  // The first ones occupy the reserve descriptor for half a second each, beyond the accept period of 0.5 s.
+  int answered = 0;
+  for (std::size_t i = 0; i < clients.size(); ++i) {
+    answered += status_of(clients[i].read_message()) != 0 ? 1 : 0;
+    if (i >= 3) clients[i].close();
   }
-  EXPECT_EQ(told, 80);
+  EXPECT_EQ(answered, 80);
   EXPECT_EQ(d.program->exit_status(), 0);
 }
 
-// A second SIGTERM, SIGINT, a reload before and one in the midst of it: what is owed is paid all the same.
-TEST(Drain, FurtherSignalsChangeNothing) {
+// A second SIGTERM, SIGINT, a reload before it and one during it: the accepted requests are answered.
+TEST(Drain, FurtherSignalsAreIgnored) {
   Gate gate;
   FakeServer server(
       [&](Wire& wire, const std::string&) { return gate.wait() && wire.write(http_answer(200, "ok")); });
@@ -135,7 +132,7 @@
   Wire client = d.client();
   client.write(Ask{}.text());
   ASSERT_TRUE(eventually([&] { return server.requests().size() == 1; }));
-  // All of them are there before the node handles the first.
+  // All of them are pending before the node handles the first.
   d.program->signal(SIGSTOP);
   ASSERT_TRUE(eventually([&] { return d.program->state() == 'T'; }));
   ConfigText config = d.told;
@@ -152,8 +149,7 @@
   EXPECT_EQ(d.program->exit_status(), 0);
 }
 
-// SIGTERM before the node has done anything: it ends well, or as one that has not begun.
-TEST(Drain, MayComeBeforeTheStartIsOver) {
+TEST(Drain, MayBeginBeforeTheStartIsComplete) {
   FakeServer server(replies(200, "ok"));
   for (int i = 0; i < 5; ++i) {
     FakeDiscovery discovery;
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -1,10 +1,10 @@
-// The real node, over loopback sockets.
+// The node's basic behaviour over loopback sockets: outcomes, invalid requests, watch, lifecycle.
 #include "node_harness.h"
 
 namespace thymewood::node {
 namespace {
 
-TEST(Node, ServesARequestUnchanged) {
+TEST(Node, ForwardsARequestUnchanged) {
   FakeServer server(replies(200, "the answer", "Content-Type: text/x-mark\r\n"));
   Deployment d({&server});
   Wire client = d.client();
@@ -19,13 +19,13 @@
   EXPECT_EQ(field_of(request, "X-Request-ID"), "r1");
   EXPECT_EQ(field_of(request, "Idempotency-Key"), "k-77");
   EXPECT_EQ(body_of(request), "payload");
-  // What the node will wait, which is less than what the client does.
-  const int waits = std::stoi(field_of(request, "X-Timeout-Ms"));
-  EXPECT_GT(waits, 0);
-  EXPECT_LT(waits, 9000);
+  // The timeout of the attempt, which is shorter than that of the client.
+  const int timeout_ms = std::stoi(field_of(request, "X-Timeout-Ms"));
+  EXPECT_GT(timeout_ms, 0);
+  EXPECT_LT(timeout_ms, 9000);
 }
 
-TEST(Node, KeepsConnectionsOnBothSides) {
+TEST(Node, ReusesConnectionsOnBothSides) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   Wire client = d.client();
@@ -36,8 +36,9 @@
   EXPECT_EQ(server.listener().accepted(), 1);
 }
 
-// Outcomes, as the protocol's table has them: what never ran may be tried again, also for an unsafe class.
-TEST(Outcomes, TurnedAwayUnseenIsTriedAgain) {
+// Outcomes as in the protocol's table: a request that was not processed may be retried, also one that is not
+// idempotent.
+TEST(Outcomes, RejectedUnprocessedIsRetried) {
   FakeServer full(replies(503, "", "X-Not-Processed: 1\r\n")),
       busy(replies(503, "", "X-Not-Processed: 1\r\n"));
   Deployment d({&full, &busy});
@@ -49,7 +50,7 @@
   EXPECT_EQ(full.requests().size() + busy.requests().size(), 2U) << "each server once";
 }
 
-TEST(Outcomes, TurnedAwayByOneIsServedByAnother) {
+TEST(Outcomes, RejectedByOneServerIsServedByAnother) {
   FakeServer full(replies(503, "", "X-Not-Processed: 1\r\n")), idle(replies(200, "ok"));
   Deployment d({&full, &idle});
   Wire client = d.client();
@@ -67,53 +68,57 @@
   client.write(Ask{}.text());
   const std::string answer = client.read_message();
   EXPECT_EQ(status_of(answer), 502) << answer;
-  EXPECT_EQ(server.requests().size(), 1U) << "an unsafe request that may have run is not sent again";
+  EXPECT_EQ(server.requests().size(), 1U)
+      << "a request that is not idempotent and may have been processed is not retried";
   EXPECT_TRUE(d.program->running());
 }
 
-TEST(Outcomes, ErrorMayHaveRun) { expect_failed_once(replies(500, "no")); }
-TEST(Outcomes, UnmarkedUnavailableMayHaveRun) { expect_failed_once(replies(503, "no")); }
-TEST(Outcomes, AnotherMarkIsNoMark) { expect_failed_once(replies(504, "no", "X-Not-Processed: 0\r\n")); }
-TEST(Outcomes, OtherStatusMayHaveRun) { expect_failed_once(replies(404, "no", "X-Not-Processed: 1\r\n")); }
-TEST(Outcomes, ClosedWithoutAnAnswerMayHaveRun) {
+TEST(Outcomes, ErrorMayHaveBeenProcessed) { expect_failed_once(replies(500, "no")); }
+TEST(Outcomes, UnmarkedUnavailableMayHaveBeenProcessed) { expect_failed_once(replies(503, "no")); }
+TEST(Outcomes, OtherValueOfTheMarkIsIgnored) {
+  expect_failed_once(replies(504, "no", "X-Not-Processed: 0\r\n"));
+}
+TEST(Outcomes, OtherStatusMayHaveBeenProcessed) {
+  expect_failed_once(replies(404, "no", "X-Not-Processed: 1\r\n"));
+}
+TEST(Outcomes, CloseWithoutResponseMayHaveBeenProcessed) {
   expect_failed_once([](Wire&, const std::string&) { return false; });
 }
-TEST(Outcomes, ResetMayHaveRun) {
+TEST(Outcomes, ResetMayHaveBeenProcessed) {
   expect_failed_once([](Wire& wire, const std::string&) {
     const linger hard{1, 0};
     ::setsockopt(wire.fd(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
     return false;
   });
 }
-TEST(Outcomes, CutShortMayHaveRun) {
+TEST(Outcomes, TruncatedResponseMayHaveBeenProcessed) {
   expect_failed_once([](Wire& wire, const std::string&) {
     wire.write("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf");
     return false;
   });
 }
-TEST(Outcomes, NoLengthAndNoWordOfClosingIsCutShort) {
+TEST(Outcomes, ResponseWithoutLengthOrConnectionCloseIsTruncated) {
   expect_failed_once([](Wire& wire, const std::string&) {
     wire.write("HTTP/1.1 200 OK\r\n\r\nperhaps half");
     return false;
   });
 }
-TEST(Outcomes, NoiseMayHaveRun) {
+TEST(Outcomes, MalformedResponseMayHaveBeenProcessed) {
   expect_failed_once(
       [](Wire& wire, const std::string&) { return wire.write(std::string("\0\x7f~?\r\n\r\n", 8)); });
 }
-TEST(Outcomes, HeadWithoutEndMayHaveRun) {
+TEST(Outcomes, EndlessHeadMayHaveBeenProcessed) {
   expect_failed_once([](Wire& wire, const std::string&) {
     return wire.write("HTTP/1.1 200 OK\r\nX-Long: " + std::string(64 * 1024, 'x'));
   });
 }
-TEST(Outcomes, BodyBeyondTheLimitMayHaveRun) {
+TEST(Outcomes, BodyBeyondTheLimitMayHaveBeenProcessed) {
   expect_failed_once([](Wire& wire, const std::string&) {
     return wire.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx");
   });
 }
 
-// Danger: what is not taken in has run all the same. Servers answer with more than they take: hundreds of
-// KiB.
+// Larger than the largest request, and with text inside that looks like a response.
 std::string large_body(std::size_t size) {
   std::string out;
   while (out.size() < size)
@@ -122,7 +127,7 @@
   return out;
 }
 
-TEST(Outcomes, AnAnswerMayBeLargerThanARequest) {
+TEST(Outcomes, ResponseMayBeLargerThanARequest) {
   const std::string body = large_body(370'000);
   FakeServer server(replies(200, body));
   Deployment d({&server});
@@ -134,7 +139,7 @@
     EXPECT_TRUE(body_of(answer) == body) << "unchanged, " << body_of(answer).size() << " bytes";
   }
 }
-TEST(Outcomes, AnAnswerOfAMebibyteIsTheLargest) {
+TEST(Outcomes, LargestResponseIsOneMebibyte) {
   FakeServer server(replies(200, large_body(1024 * 1024)));
   Deployment d({&server});
   Wire client = d.client();
@@ -142,7 +147,7 @@
   EXPECT_EQ(body_of(client.read_message()).size(), 1024U * 1024U);
   expect_failed_once(replies(200, large_body(1024 * 1024 + 1)));
 }
-TEST(Outcomes, ChunksBeyondTheLimitMayHaveRun) {
+TEST(Outcomes, ChunkedBodyBeyondTheLimitMayHaveBeenProcessed) {
   expect_failed_once([](Wire& wire, const std::string&) {
     wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     const std::string chunk = "10000\r\n" + std::string(0x10000, 'x') + "\r\n";
@@ -152,13 +157,13 @@
   });
 }
 
-// It is given up when the head has come, not when the client's time is up: the server waits for that.
-TEST(Outcomes, BodyBeyondTheLimitIsGivenUpAtOnce) {
-  std::atomic<bool> held = true;
+// The attempt ends when the head has arrived, not with the client's timeout.
+TEST(Outcomes, BodyBeyondTheLimitIsAbandonedAtItsHead) {
+  std::atomic<bool> is_open = true;
   FakeServer server([&](Wire& wire, const std::string&) {
     wire.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx");
-    wire.more();  // true if something came; false at the node's close
-    held = false;
+    wire.more();  // returns at the node's close
+    is_open = false;
     return false;
   });
   Deployment d({&server});
@@ -167,10 +172,10 @@
   client.write(Ask{}.text());
   EXPECT_EQ(status_of(client.read_message()), 502);
   EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client waits 15 s";
-  EXPECT_TRUE(eventually([&] { return !held; }));
+  EXPECT_TRUE(eventually([&] { return !is_open; }));
 }
 
-TEST(Outcomes, InterimAnswersAreNotTheAnswer) {
+TEST(Outcomes, InterimResponsesAreSkipped) {
   FakeServer server([](Wire& wire, const std::string&) {
     return wire.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" +
                       http_answer(200, "ok"));
@@ -184,7 +189,7 @@
   EXPECT_EQ(server.listener().accepted(), 1);
 }
 
-TEST(Outcomes, ASplitAndChunkedAnswerIsPutTogether) {
+TEST(Outcomes, SplitChunkedResponseIsReassembled) {
   FakeServer server([](Wire& wire, const std::string&) {
     for (const char c : std::string(
              "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")) {
@@ -200,7 +205,7 @@
   }
 }
 
-TEST(Outcomes, WhatFollowsAnAnswerIsNotTheNext) {
+TEST(Outcomes, SurplusBytesAreNotTheNextResponse) {
   FakeServer server([](Wire& wire, const std::string&) {
     return wire.write(http_answer(200, "right") + http_answer(200, "wrong"));
   });
@@ -212,11 +217,11 @@
   }
 }
 
-TEST(Outcomes, NoConnectionNeverRan) {
+TEST(Outcomes, ConnectFailureIsNotProcessed) {
   int port = 0;
   {
-    FakeServer gone(replies(200, "x"));
-    port = gone.listener().port();
+    FakeServer stopped(replies(200, "x"));
+    port = stopped.listener().port();
   }
   FakeDiscovery discovery;
   ConfigText config;
@@ -225,10 +230,10 @@
   Program program(config.text());
   Wire client = Wire::to(program.port());
   client.write(Ask{}.text());
-  EXPECT_EQ(status_of(client.read_message()), 503) << "refused, not failed: an unsafe request that never ran";
+  EXPECT_EQ(status_of(client.read_message()), 503) << "shed, not failed: the request was not processed";
 }
 
-TEST(Outcomes, TimedOutMayHaveRunAndClosesTheConnection) {
+TEST(Outcomes, TimeoutMayHaveBeenProcessedAndClosesTheConnection) {
   FakeServer server([](Wire&, const std::string&) { return true; });
   Deployment d({&server});
   Wire client = d.client();
@@ -238,9 +243,9 @@
   EXPECT_TRUE(eventually([&] { return server.ended() == 1; }));
 }
 
-// ---------------------------------------------------------------- what may be asked
+// ---------------------------------------------------------------- invalid requests
 
-void expect_turned_down(const std::string& request, int status) {
+void expect_rejected(const std::string& request, int status) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   Wire client = d.client();
@@ -251,40 +256,44 @@
   EXPECT_TRUE(d.program->running());
 }
 
-TEST(BadInput, Noise) { expect_turned_down("\x01\x02 what?\r\n\r\n", 400); }
-TEST(BadInput, NoId) { expect_turned_down(Ask{.id = ""}.text(), 400); }
-TEST(BadInput, TwoIds) { expect_turned_down(Ask{.fields = "X-Request-ID: r2\r\n"}.text(), 400); }
-TEST(BadInput, UnknownClass) { expect_turned_down(Ask{.kind = "dance"}.text(), 400); }
-TEST(BadInput, ClassNotOfThePath) { expect_turned_down(Ask{.path = "/mark/k1"}.text(), 400); }
-TEST(BadInput, UnknownPath) { expect_turned_down("GET /ping HTTP/1.1\r\nHost: a\r\n\r\n", 404); }
-TEST(BadInput, TimeoutNoNumber) { expect_turned_down(Ask{.timeout = "soon"}.text(), 400); }
-TEST(BadInput, TimeoutNegative) { expect_turned_down(Ask{.timeout = "-5"}.text(), 400); }
-TEST(BadInput, TimeoutWithTail) { expect_turned_down(Ask{.timeout = "50ms"}.text(), 400); }
-TEST(BadInput, TimeoutHuge) { expect_turned_down(Ask{.timeout = "99999999999999999999"}.text(), 400); }
-TEST(BadInput, KeyOnUnsafe) { expect_turned_down(Ask{.key = "k"}.text(), 400); }
-TEST(BadInput, NoKeyOnKeyed) { expect_turned_down(Ask{.kind = "mark"}.text(), 400); }
-TEST(BadInput, GetOnUnsafe) { expect_turned_down(Ask{.method = "GET", .body = ""}.text(), 400); }
-TEST(BadInput, PostOnSafe) { expect_turned_down(Ask{.kind = "look"}.text(), 400); }
-TEST(BadInput, BodyTooLarge) {
-  expect_turned_down(Ask{.body = std::string(256 * 1024 + 1, 'x')}.text(), 413);
-}
-TEST(BadInput, ChunkedBodyTooLarge) {
-  expect_turned_down(Ask{.body = "", .fields = "Transfer-Encoding: chunked\r\n"}.text() + "40001\r\n" +
-                         std::string(256 * 1024 + 1, 'x') + "\r\n0\r\n\r\n",
-                     413);
-}
-TEST(BadInput, BodyOfGigabytes) {
-  expect_turned_down("POST /close/k HTTP/1.1\r\nHost: a\r\nContent-Length: 3000000000\r\n\r\nx", 413);
-}
-TEST(BadInput, HeadWithoutEnd) {
-  expect_turned_down("GET /close/k HTTP/1.1\r\nX-Long: " + std::string(32 * 1024, 'x'), 431);
-}
-TEST(BadInput, TwoLengths) {
-  expect_turned_down(
+TEST(InvalidRequest, Malformed) { expect_rejected("\x01\x02 what?\r\n\r\n", 400); }
+TEST(InvalidRequest, MissingId) { expect_rejected(Ask{.id = ""}.text(), 400); }
+TEST(InvalidRequest, TwoIds) { expect_rejected(Ask{.fields = "X-Request-ID: r2\r\n"}.text(), 400); }
+TEST(InvalidRequest, UnknownClass) { expect_rejected(Ask{.kind = "dance"}.text(), 400); }
+TEST(InvalidRequest, ClassNotOfThePath) { expect_rejected(Ask{.path = "/mark/k1"}.text(), 400); }
+TEST(InvalidRequest, UnknownPath) { expect_rejected("GET /ping HTTP/1.1\r\nHost: a\r\n\r\n", 404); }
+TEST(InvalidRequest, TimeoutNotANumber) { expect_rejected(Ask{.timeout = "soon"}.text(), 400); }
+TEST(InvalidRequest, NegativeTimeout) { expect_rejected(Ask{.timeout = "-5"}.text(), 400); }
+TEST(InvalidRequest, TimeoutWithSuffix) { expect_rejected(Ask{.timeout = "50ms"}.text(), 400); }
+TEST(InvalidRequest, TimeoutOutOfRange) {
+  expect_rejected(Ask{.timeout = "99999999999999999999"}.text(), 400);
+}
+TEST(InvalidRequest, KeyOnNonIdempotentClass) { expect_rejected(Ask{.key = "k"}.text(), 400); }
+TEST(InvalidRequest, MissingKey) { expect_rejected(Ask{.kind = "mark"}.text(), 400); }
+TEST(InvalidRequest, GetOnNonIdempotentClass) {
+  expect_rejected(Ask{.method = "GET", .body = ""}.text(), 400);
+}
+TEST(InvalidRequest, PostOnIdempotentClass) { expect_rejected(Ask{.kind = "look"}.text(), 400); }
+TEST(InvalidRequest, BodyTooLarge) {
+  expect_rejected(Ask{.body = std::string(256 * 1024 + 1, 'x')}.text(), 413);
+}
+TEST(InvalidRequest, ChunkedBodyTooLarge) {
+  expect_rejected(Ask{.body = "", .fields = "Transfer-Encoding: chunked\r\n"}.text() + "40001\r\n" +
+                      std::string(256 * 1024 + 1, 'x') + "\r\n0\r\n\r\n",
+                  413);
+}
+TEST(InvalidRequest, BodyOfGigabytes) {
+  expect_rejected("POST /close/k HTTP/1.1\r\nHost: a\r\nContent-Length: 3000000000\r\n\r\nx", 413);
+}
+TEST(InvalidRequest, EndlessHead) {
+  expect_rejected("GET /close/k HTTP/1.1\r\nX-Long: " + std::string(32 * 1024, 'x'), 431);
+}
+TEST(InvalidRequest, TwoLengths) {
+  expect_rejected(
       "POST /close/k HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", 400);
 }
 
-TEST(BadInput, IdOfAnOpenRequest) {
+TEST(InvalidRequest, IdOfAnOpenRequest) {
   Gate gate;
   FakeServer server([&](Wire& wire, const std::string&) {
     gate.wait();
@@ -303,7 +312,7 @@
 
 // ---------------------------------------------------------------- clients
 
-TEST(Clients, SplitInputIsPutTogether) {
+TEST(Clients, SplitRequestIsReassembled) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   Wire client = d.client();
@@ -311,7 +320,7 @@
   EXPECT_EQ(status_of(client.read_message()), 200);
 }
 
-TEST(Clients, PipelinedRequestsAreAnsweredInTurn) {
+TEST(Clients, PipelinedRequestsAreAnsweredInOrder) {
   FakeServer server([](Wire& wire, const std::string& request) {
     return wire.write(http_answer(200, field_of(request, "X-Request-ID")));
   });
@@ -323,7 +332,7 @@
   for (int i = 0; i < 20; ++i) EXPECT_EQ(body_of(client.read_message()), "r" + std::to_string(i));
 }
 
-TEST(Clients, OneThatGoesIsNoticedAndItsAttemptClosed) {
+TEST(Clients, DisconnectIsNoticedAndItsAttemptClosed) {
   FakeServer server([](Wire&, const std::string&) { return true; });
   Deployment d({&server});
   Wire client = d.client();
@@ -335,7 +344,7 @@
 
 // ---------------------------------------------------------------- discovery
 
-TEST(Watch, ResumesAfterTheListInHandAndTakesSplitAndJoinedLines) {
+TEST(Watch, ResumesAfterTheKnownListAndReadsSplitAndJoinedLines) {
   FakeServer old_server(replies(200, "old")), new_server(replies(200, "new"));
   Deployment d({&old_server});
   ASSERT_TRUE(eventually([&] { return !d.discovery.calls().empty(); }));
@@ -356,7 +365,7 @@
   EXPECT_NE(d.discovery.calls()[1].find("watch=1&after=9 "), std::string::npos);
 }
 
-TEST(Watch, WhereListsArePushedTheNodeStaysConnectedByItself) {
+TEST(Watch, NodeReconnectsByItselfWhereListsArePushed) {
   FakeServer server(replies(200, "ok"));
   FakeDiscovery discovery;
   ConfigText config;
@@ -366,7 +375,7 @@
   ASSERT_TRUE(eventually([&] { return discovery.calls().size() == 1; }));
   discovery.answer_with("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
                         chunk(list(3, true, member("s0", server.address())) + "\n"));
-  // The call may not have been written down as the current one yet.
+  // The call may not be registered as the current one yet.
   EXPECT_TRUE(eventually([&] {
     discovery.hang_up();
     return discovery.calls().size() >= 2;
@@ -378,8 +387,8 @@
   }));
 }
 
-// A server that leaves and comes back is served anew; one that drains gets nothing.
-TEST(Watch, RemovedAndBackAgain) {
+// The same for a server that drains.
+TEST(Watch, RemovedServerIsUsedAgainAfterItsReturn) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   int n = 0;
@@ -393,19 +402,19 @@
   for (const char* state : {"removed", "draining"}) {
     d.discovery.say(list(++index, false, member("s0", server.address(), state)));
     EXPECT_TRUE(eventually([&] { return status() == 503; }));
-    EXPECT_TRUE(eventually([&] { return server.listener().open() == 0; })) << "idle connections are dropped";
+    EXPECT_TRUE(eventually([&] { return server.listener().open() == 0; })) << "idle connections are closed";
     d.discovery.say(list(++index, false, member("s0", server.address())));
     EXPECT_TRUE(eventually([&] { return status() == 200; }));
   }
 }
 
-TEST(Watch, ASilentOneIsGivenUp) {
+TEST(Watch, SilentWatchIsAbandoned) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   EXPECT_TRUE(eventually([&] { return d.discovery.calls().size() >= 2; }));
 }
 
-TEST(Watch, BadListsAreLoggedOnceAndTheOldOneStays) {
+TEST(Watch, InvalidListsAreLoggedOnceAndTheLastOneIsRetained) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   d.discovery.answer_with("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("{\"index\":\n"));
@@ -420,7 +429,7 @@
   EXPECT_EQ(status_of(client.read_message()), 200);
 }
 
-TEST(Watch, UnavailableIsAskedAgain) {
+TEST(Watch, UnavailableDiscoveryIsPolledAgain) {
   FakeServer server(replies(200, "ok"));
   FakeDiscovery discovery;
   discovery.answer_with(http_answer(503, ""));
@@ -439,35 +448,34 @@
   }));
 }
 
-// ---------------------------------------------------------------- life and limits
+// ---------------------------------------------------------------- lifecycle and limits
 
-TEST(Life, SigtermFinishesWhatWasTakenAndEndsWell) {
+TEST(Lifecycle, SigtermCompletesAcceptedRequests) {
   Gate gate;
   FakeServer server([&](Wire& wire, const std::string&) {
     gate.wait();
     return wire.write(http_answer(200, "ok"));
   });
   Deployment d({&server});
-  Wire taken = d.client();
-  taken.write(Ask{}.text());
+  Wire accepted = d.client();
+  accepted.write(Ask{}.text());
   ASSERT_TRUE(eventually([&] { return server.requests().size() == 1; }));
   d.program->signal(SIGTERM);
-  Wire late = d.client();  // it goes on accepting for a while
+  Wire late = d.client();  // accepted during the accept period
   late.write(Ask{.id = "late"}.text());
   ASSERT_TRUE(eventually([&] { return server.requests().size() == 2; }));
   ASSERT_TRUE(eventually([&] { return !d.client().is_open(); }));
-  EXPECT_TRUE(d.program->running()) << "two answers are owed";
+  EXPECT_TRUE(d.program->running()) << "two responses are due";
   gate.open();
-  for (Wire* client : {&taken, &late}) {
+  for (Wire* client : {&accepted, &late}) {
     const std::string answer = client->read_message();
     EXPECT_EQ(status_of(answer), 200);
   }
   EXPECT_EQ(d.program->exit_status(), 0);
 }
 
-// Guards against a restart that leaves clients without a node for longer than need be: they go on using the
-// connections that they have; but nothing is taken that could not be answered in time.
-TEST(Life, ADrainingNodeGoesOnServingOnOpenConnections) {
+// Clients go on using their connections until the last request that can be answered in time.
+TEST(Lifecycle, DrainingNodeServesOpenConnections) {
   std::atomic<bool> silent = false;
   FakeServer server(
       [&](Wire& wire, const std::string&) { return silent || wire.write(http_answer(200, "ok")); });
@@ -487,10 +495,10 @@
   const std::string answer = other.read_message();
   EXPECT_EQ(status_of(answer), 502) << answer;
   EXPECT_EQ(d.program->exit_status(), 0);
-  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client would have waited 15 s";
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client's timeout is 15 s";
 }
 
-TEST(Life, AFirstRequestThatCrossesTheDrainIsServed) {
+TEST(Lifecycle, FirstRequestDuringTheDrainIsServed) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   Wire fresh = d.client();
@@ -501,7 +509,7 @@
   EXPECT_EQ(d.program->exit_status(), 0);
 }
 
-TEST(Life, BadConfigurationsEndWithTheFieldsName) {
+TEST(Lifecycle, InvalidConfigurationEndsWithTheFieldsName) {
   const auto fails = [](const std::string& config, const std::string& field) {
     Program program(config, 0, false);
     EXPECT_EQ(program.exit_status(), 2);
@@ -515,18 +523,18 @@
   fails(ConfigText{.discovery = "1.2.3.4:999999"}.text(), "discovery");
   fails(ConfigText{.known = "{\"index\":1}"}.text(), "endpoints");
   fails(ConfigText{.bounds = R"("maxAttempts":0)"}.text(), "max_attempts");
-  Listener taken([](Wire&) {});
-  fails(ConfigText{.listen = taken.address()}.text(), "listen");
+  Listener in_use([](Wire&) {});
+  fails(ConfigText{.listen = in_use.address()}.text(), "listen");
 }
 
-TEST(Life, RunningOutOfDescriptorsIsSurvived) {
+TEST(Lifecycle, SurvivesDescriptorExhaustion) {
   FakeServer server(replies(200, "ok"));
   ConfigText config;
   config.sockets = 1024;
   Deployment d({&server}, config, 64);
   {
-    std::vector<Wire> crowd;
-    for (int i = 0; i < 200; ++i) crowd.push_back(d.client());
+    std::vector<Wire> clients;
+    for (int i = 0; i < 200; ++i) clients.push_back(d.client());
     ASSERT_TRUE(d.program->running());
   }
   int n = 0;
@@ -537,8 +545,8 @@
   }));
 }
 
-// The time-out of the attempt, its answer and the client's own end come together: one answer, or a close.
-TEST(Races, ExactlyOneAnswer) {
+// The attempt's timeout and its response coincide.
+TEST(Races, ExactlyOneResponse) {
   FakeServer server([](Wire& wire, const std::string& request) {
     std::this_thread::sleep_for(std::chrono::milliseconds(std::stoi(field_of(request, "X-Timeout-Ms")) - 1));
     return wire.write(http_answer(200, "ok"));
@@ -555,7 +563,7 @@
     EXPECT_TRUE(first == 200 || first == 502 || first == 503) << first;
     client.write("GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     const std::string rest = client.read_rest();
-    EXPECT_EQ(body_of(rest), "ok\n") << "nothing but the next answer follows";
+    EXPECT_EQ(body_of(rest), "ok\n") << "only the next response follows";
   }
 }
 
--- a/tests/node/pause_test.cpp
+++ b/tests/node/pause_test.cpp
@@ -1,5 +1,5 @@
-// A node that was away: stopped, or starved of its core, while the world went on. What it finds when it comes
-// back is as old as the kernel says, not as new as the node's first look at it.
+// A node that was suspended or starved of CPU time: what it reads afterwards is as old as the kernel reports,
+// not as new as the read.
 #include <optional>
 
 #include "memory_budget.h"
@@ -9,13 +9,13 @@
 namespace thymewood::node {
 namespace {
 
-// Stopped for good once this returns: a signal alone may come a moment later.
+// Returns once the process is suspended; the signal may take effect later.
 void stop(const Program& program) {
   program.signal(SIGSTOP);
   ASSERT_TRUE(eventually([&] { return program.state() == 'T'; }));
 }
 
-void pass(std::chrono::milliseconds span) { std::this_thread::sleep_for(span); }  // time is what is tested
+void pass(std::chrono::milliseconds span) { std::this_thread::sleep_for(span); }  // the time under test
 
 int requests_named(FakeServer& server, const std::string& prefix) {
   int out = 0;
@@ -24,80 +24,79 @@
   return out;
 }
 
-// A request of its own that has come back: all that lay before it in the node's sockets has been looked at.
-void ask_and_wait(Deployment& d, const std::string& id) {
+// Once this request is answered, the node has processed all that was in its sockets before.
+void request_and_wait(Deployment& d, const std::string& id) {
   Wire client = d.client();
   client.write(Ask{.id = id}.text());
   ASSERT_EQ(status_of(client.read_message()), 200);
 }
 
-// Guards against work for callers who have long gone: 8 to 13 of 20 once reached a server.
-TEST(PausedNode, SendsNothingForCallersWhoGaveUpInTheListeningQueue) {
+TEST(PausedNode, ForwardsNothingForClientsThatLeftTheListenersQueue) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  ask_and_wait(d, "before");
+  request_and_wait(d, "before");
   stop(*d.program);
-  std::vector<Wire> callers;
+  std::vector<Wire> clients;
   for (int i = 0; i < 20; ++i) {
-    callers.push_back(d.client());
-    callers.back().write(Ask{.id = "late" + std::to_string(i), .timeout = "500"}.text());
+    clients.push_back(d.client());
+    clients.back().write(Ask{.id = "late" + std::to_string(i), .timeout = "500"}.text());
   }
   pass(600ms);
-  for (Wire& caller : callers) caller.close();
+  for (Wire& client : clients) client.close();
   pass(900ms);
   d.program->signal(SIGCONT);
-  ask_and_wait(d, "after");
+  request_and_wait(d, "after");
   EXPECT_EQ(requests_named(server, "late"), 0);
 }
 
-// The same on connections that the node knows, with a time that is not over: their close alone tells.
-TEST(PausedNode, SendsNothingForCallersWhoClosedThoughTheyHadTime) {
+// On open connections and within the timeout, only the close tells.
+TEST(PausedNode, ForwardsNothingForClientsThatClosedBeforeTheirTimeout) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  std::vector<Wire> callers;
+  std::vector<Wire> clients;
   for (int i = 0; i < 20; ++i) {
-    callers.push_back(d.client());
-    callers.back().write(Ask{.id = "early" + std::to_string(i)}.text());
-    ASSERT_EQ(status_of(callers.back().read_message()), 200);
+    clients.push_back(d.client());
+    clients.back().write(Ask{.id = "early" + std::to_string(i)}.text());
+    ASSERT_EQ(status_of(clients.back().read_message()), 200);
   }
   stop(*d.program);
   for (int i = 0; i < 20; ++i) {
-    callers[static_cast<std::size_t>(i)].write(Ask{.id = "late" + std::to_string(i)}.text());
+    clients[static_cast<std::size_t>(i)].write(Ask{.id = "late" + std::to_string(i)}.text());
   }
   pass(200ms);
-  for (Wire& caller : callers) caller.close();
+  for (Wire& client : clients) client.close();
   d.program->signal(SIGCONT);
-  ask_and_wait(d, "after");
+  request_and_wait(d, "after");
   EXPECT_EQ(requests_named(server, "late"), 0);
   EXPECT_EQ(requests_named(server, "early"), 20);
 }
 
-// A request's time counts from its last byte.
-TEST(PausedNode, RefusesAtOnceWhatIsOverAndTellsServersWhatIsLeft) {
+// The timeout counts from the arrival of the request's last byte.
+TEST(PausedNode, ShedsExpiredRequestsAndForwardsTheRemainingTimeout) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  ask_and_wait(d, "before");
+  request_and_wait(d, "before");
   stop(*d.program);
   Wire over = d.client(), patient = d.client();
   over.write(Ask{.id = "over", .timeout = "500"}.text());
   patient.write(Ask{.id = "patient", .timeout = "9000"}.text());
   pass(1500ms);
   d.program->signal(SIGCONT);
-  EXPECT_EQ(status_of(over.read_message()), 503) << "never sent: it may come again";
+  EXPECT_EQ(status_of(over.read_message()), 503) << "not forwarded, so that it may be retried";
   EXPECT_EQ(status_of(patient.read_message()), 200);
   EXPECT_EQ(requests_named(server, "over"), 0);
   const std::vector<std::string> requests = server.requests();
   const int left = std::stoi(field_of(requests.back(), "X-Timeout-Ms"));
-  EXPECT_LE(left, 7500) << "1.5 s of its 9 s have gone by";
+  EXPECT_LE(left, 7500) << "1.5 s of its 9 s have passed";
   EXPECT_GT(left, 3000);
 }
 
-// Guards against timers that are looked at before what came in their time.
-TEST(PausedNode, ServesAFirstRequestThatCameInTimeThoughItIsReadLate) {
+// An expired timeout does not win over data that arrived before it.
+TEST(PausedNode, ServesAFirstRequestThatArrivedInTimeButWasReadLate) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   Wire client = d.client();
-  ask_and_wait(d, "before");  // by then the connection above has been taken in too
+  request_and_wait(d, "before");  // by then the connection above has been accepted too
   stop(*d.program);
   client.write(Ask{.id = "first"}.text());
   pass(2800ms);  // more than the 2.5 s that a first request may take
@@ -105,36 +104,34 @@
   EXPECT_EQ(status_of(client.read_message()), 200);
 }
 
-// Guards against a send to a server whose drain was told while the node was away: the word lies in the socket
-// of the watch, but a caller's request may be read before it.
-TEST(PausedNode, ReadsWhatDiscoverySaidBeforeItSendsAnything) {
+// The change of the list is unread in the watch's socket, but a client's request may be read before it.
+TEST(PausedNode, ReadsTheEndpointListBeforeItForwards) {
   FakeServer drained(replies(200, "drained")), other(replies(200, "other"));
   Deployment d({&drained, &other});
   ASSERT_TRUE(eventually([&] { return !d.discovery.calls().empty(); }));
-  std::vector<Wire> callers;
+  std::vector<Wire> clients;
   for (int i = 0; i < 40; ++i) {
-    callers.push_back(d.client());
-    callers.back().write(Ask{.id = "early" + std::to_string(i)}.text());
-    ASSERT_EQ(status_of(callers.back().read_message()), 200);
+    clients.push_back(d.client());
+    clients.back().write(Ask{.id = "early" + std::to_string(i)}.text());
+    ASSERT_EQ(status_of(clients.back().read_message()), 200);
   }
   ASSERT_GT(requests_named(drained, "early"), 0);
   stop(*d.program);
   for (int i = 0; i < 40; ++i) {
-    callers[static_cast<std::size_t>(i)].write(Ask{.id = "late" + std::to_string(i)}.text());
+    clients[static_cast<std::size_t>(i)].write(Ask{.id = "late" + std::to_string(i)}.text());
   }
   d.discovery.say(list(8, false, member("s0", drained.address(), "draining")));
   pass(1200ms);
   d.program->signal(SIGCONT);
-  // All at once they may be more than the node has learned that one server bears.
+  // Together they may exceed the server's concurrency limit.
   int served = 0;
-  for (Wire& caller : callers) served += status_of(caller.read_message()) == 200 ? 1 : 0;
+  for (Wire& client : clients) served += status_of(client.read_message()) == 200 ? 1 : 0;
   EXPECT_EQ(requests_named(drained, "late"), 0);
   EXPECT_EQ(requests_named(other, "late"), served);
   EXPECT_GT(served, 0);
 }
 
-// The same for an attempt whose connection comes up while the node is away.
-TEST(PausedNode, LooksAgainBeforeItWritesToAConnectionThatCameUpMeanwhile) {
+TEST(PausedNode, ChecksTheClientBeforeItWritesToANewConnection) {
   FullListener full;
   full.fill();
   FakeDiscovery discovery;
@@ -144,21 +141,21 @@
   config.known = list(7, true, member("s0", full.address()));
   config.discovery = discovery.address();
   Program program(config.text());
-  Wire caller = Wire::to(program.port());
-  caller.write(Ask{.id = "late"}.text());
+  Wire client = Wire::to(program.port());
+  client.write(Ask{.id = "late"}.text());
   ASSERT_TRUE(eventually([&] { return full.dials() > 0; }));
   stop(program);
-  Fd up = full.accept();
-  ASSERT_GE(up.get(), 0);
-  caller.close();
+  Fd connected = full.accept();
+  ASSERT_GE(connected.get(), 0);
+  client.close();
   pass(100ms);
   program.signal(SIGCONT);
-  Wire server(std::move(up));
-  EXPECT_EQ(server.read_rest(), "") << "its caller has gone";
+  Wire server(std::move(connected));
+  EXPECT_EQ(server.read_rest(), "") << "its client has disconnected";
 }
 
-// Guards against servers that are blamed for the time in which their answers lay unread.
-TEST(StarvedLoop, CountsForAnAnswerOnlyTheTimeUntilItCame) {
+// The time in which a response was unread is not the server's.
+TEST(StarvedLoop, MeasuresAResponseUntilItsArrival) {
   FakeServer server(replies(200, "ok"));
   boost::asio::io_context io(1);
   MemoryBudget budget;
@@ -175,7 +172,7 @@
   std::optional<Upstream::End> end;
   const Upstream::Handle attempt = upstream.start(
       "s0", request, {10}, true, {[] { return true; }, [&](Upstream::End&& e) { end = std::move(e); }});
-  // Until the request is out; then nobody turns the loop.
+  // Until the request is sent; then the loop is not run.
   while (server.requests().empty()) io.run_one_for(2ms);
   EXPECT_FALSE(end);
   pass(400ms);
@@ -188,8 +185,8 @@
   EXPECT_LT(end->unread, 10);
 }
 
-// Guards against an attempt whose permission has gone by the time its connection is up.
-TEST(StarvedLoop, EndsUnsentWhatMayNotBeSentAnyMore) {
+// The permission is checked again once the connection is established.
+TEST(StarvedLoop, DoesNotSendWhatMayNoLongerBeSent) {
   FakeServer server(replies(200, "ok"));
   boost::asio::io_context io(1);
   MemoryBudget budget;
@@ -215,40 +212,40 @@
   start(10, [] { return false; });
   start(0.02, [] { return true; });
   start(10, [&] {
-    upstream.place("s0", where, 0, false);  // a drain that is heard of in the last moment
+    upstream.place("s0", where, 0, false);  // the server begins to drain
     return true;
   });
   upstream.place("s0", where, 0, true);
   start(10, [&] {
-    upstream.place("s0", where, 12, true);  // another process stands there by now
+    upstream.place("s0", where, 12, true);  // the server has restarted
     return true;
   });
   ASSERT_EQ(ends.size(), 4U);
   for (const std::size_t i : {0, 2, 3}) EXPECT_EQ(ends[i], Outcome::kNotSent) << i;
   EXPECT_TRUE(ends[1] == Outcome::kNotSent || ends[1] == Outcome::kConnectFailed)
-      << "as the timer or the dial is first";
+      << "whichever of the timer and the connect is first";
   EXPECT_TRUE(server.requests().empty());
 }
 
-// A core that the node gets for a moment now and then.
-TEST(StarvedNode, SendsNothingForCallersWhoGaveUp) {
+// The node gets CPU time for a moment now and then.
+TEST(StarvedNode, ForwardsNothingForClientsThatDisconnected) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  ask_and_wait(d, "before");
+  request_and_wait(d, "before");
   for (int round = 0; round < 8; ++round) {
     stop(*d.program);
-    std::vector<Wire> callers;
+    std::vector<Wire> clients;
     for (int i = 0; i < 4; ++i) {
-      callers.push_back(d.client());
-      callers.back().write(
+      clients.push_back(d.client());
+      clients.back().write(
           Ask{.id = "late" + std::to_string(round) + "_" + std::to_string(i), .timeout = "100"}.text());
     }
     pass(150ms);
-    for (Wire& caller : callers) caller.close();
+    for (Wire& client : clients) client.close();
     d.program->signal(SIGCONT);
     pass(2ms);
   }
-  ask_and_wait(d, "after");
+  request_and_wait(d, "after");
   EXPECT_EQ(requests_named(server, "late"), 0);
 }
 
--- a/tests/node/service_test.cpp
+++ b/tests/node/service_test.cpp
@@ -1,4 +1,4 @@
-// The node in service: clients and servers that misbehave, limits that bind, addresses that are used again.
+// Clients and servers that misbehave, limits that are reached, addresses that are reused.
 #include <linux/sockios.h>
 #include <sys/ioctl.h>
 
@@ -11,20 +11,19 @@
   return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
 }
 
-// ---------------------------------------------------------------- bad clients
+// ---------------------------------------------------------------- misbehaving clients
 
-// Guards against callers that connect and say nothing, for as long as they please.
-TEST(BadClients, ASilentOneIsClosedSoon) {
+TEST(MisbehavingClients, SilentConnectionIsClosed) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   const auto start = std::chrono::steady_clock::now();
   Wire client = d.client();
   EXPECT_EQ(client.read_rest(), "");
-  EXPECT_LT(seconds_since(start), 10) << "3 s are allowed; 15 s were once given";
+  EXPECT_LT(seconds_since(start), 10) << "the protocol allows 3 s";
 }
 
-// Guards against a time that starts with the first byte, or anew with each.
-TEST(BadClients, ASlowFirstRequestIsTurnedDownByItsConnectionsAge) {
+// The timeout neither begins with the first byte nor restarts with each.
+TEST(MisbehavingClients, SlowFirstRequestIsRejectedByTheAgeOfItsConnection) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   const auto start = std::chrono::steady_clock::now();
@@ -35,74 +34,73 @@
   EXPECT_LT(seconds_since(start), 5.5);
 }
 
-// Guards against silent connections that push out the callers which wait between two requests.
-TEST(BadClients, SilentOnesAreEvictedBeforeCallersThatWereServed) {
+TEST(MisbehavingClients, SilentConnectionsAreEvictedBeforeServedClients) {
   FakeServer server(replies(200, "ok"));
   ConfigText config;
-  config.sockets = 64;  // 20 connections of callers
+  config.sockets = 64;  // 20 client connections
   Deployment d({&server}, config);
-  Wire usual = d.client();
-  usual.write(Ask{.id = "first"}.text());
-  ASSERT_EQ(status_of(usual.read_message()), 200);
+  Wire served = d.client();
+  served.write(Ask{.id = "first"}.text());
+  ASSERT_EQ(status_of(served.read_message()), 200);
   std::vector<Wire> silent;
   for (int i = 0; i < 60; ++i) silent.push_back(d.client());
-  // All of them have been taken in once a later one is served.
+  // All of them have been accepted once a later one is served.
   int n = 0;
   ASSERT_TRUE(eventually([&] {
     Wire late = d.client();
     late.write(Ask{.id = "late" + std::to_string(++n)}.text());
     return status_of(late.read_message()) == 200;
   }));
-  usual.write(Ask{.id = "second"}.text());
-  EXPECT_EQ(status_of(usual.read_message()), 200) << "its connection is still there";
+  served.write(Ask{.id = "second"}.text());
+  EXPECT_EQ(status_of(served.read_message()), 200) << "its connection is still open";
 }
 
-// Guards against requests that were taken and dropped: with no descriptor left for its connection, a caller
-// was closed on without a word.
-TEST(Descriptors, ACallerForWhomThereIsNoneIsToldSo) {
+// A client that is accepted on the reserve descriptor gets a response.
+TEST(Descriptors, ClientIsRejectedWhereNoneIsFree) {
 #ifdef __SANITIZE_ADDRESS__
   GTEST_SKIP()
       << "the sanitizer's check of vptrs opens a pipe to see whether memory can be read, and takes a pipe "
          "that can't be had for memory that can't";
 #endif
   Gate gate;
-  const FakeServer::Reply hold = [&](Wire& wire, const std::string&) {
+  const FakeServer::Reply reply_when_open = [&](Wire& wire, const std::string&) {
     return gate.wait() && wire.write(http_answer(200, "ok"));
   };
-  FakeServer one(hold), two(hold), three(hold), four(hold), five(hold), six(hold);
+  FakeServer one(reply_when_open), two(reply_when_open), three(reply_when_open), four(reply_when_open),
+      five(reply_when_open), six(reply_when_open);
   std::vector<FakeServer*> servers{&one, &two, &three, &four, &five, &six};
   Deployment d(servers);
-  std::vector<Wire> held;
+  std::vector<Wire> in_flight;
   for (int i = 0; i < 6; ++i) {
-    held.push_back(d.client());
-    held.back().write(Ask{.id = "held" + std::to_string(i)}.text());
+    in_flight.push_back(d.client());
+    in_flight.back().write(Ask{.id = "in_flight" + std::to_string(i)}.text());
   }
   ASSERT_TRUE(eventually([&] {
-    std::size_t there = 0;
-    for (FakeServer* server : servers) there += server->requests().size();
-    return there == 6;
+    std::size_t received = 0;
+    for (FakeServer* server : servers) received += server->requests().size();
+    return received == 6;
   }));
-  // None is left, and none of these calls can be closed for others.
+  // No descriptor is free, and none of these connections is idle.
   d.program->limit_descriptors(d.program->next_descriptor());
   std::vector<Wire> late;
   for (int i = 0; i < 3; ++i) {
     late.push_back(d.client());
     late.back().write(Ask{.id = "late" + std::to_string(i)}.text());
   }
-  for (Wire& caller : late) {
-    const std::string answer = caller.read_message();
+  for (Wire& client : late) {
+    const std::string answer = client.read_message();
     EXPECT_EQ(status_of(answer), 503);
     EXPECT_NE(field_of(answer, "Retry-After"), "");
   }
   gate.open();
-  for (Wire& caller : held) EXPECT_EQ(status_of(caller.read_message()), 200);
+  for (Wire& client : in_flight) EXPECT_EQ(status_of(client.read_message()), 200);
   d.program->limit_descriptors(256);
   Wire again = d.client();
   again.write(Ask{.id = "again"}.text());
   EXPECT_EQ(status_of(again.read_message()), 200);
 }
 
-TEST(BadClients, ErrorsAreAnsweredOneByOneAndTheConnectionStays) {
+TEST(MisbehavingClients, InvalidRequestsAreAnsweredAndTheConnectionStaysOpen) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   Wire client = d.client();
@@ -112,7 +110,7 @@
   EXPECT_EQ(status_of(client.read_message()), 200);
 }
 
-TEST(BadClients, ATimeOfDaysIsCutToThatOfTheClass) {
+TEST(MisbehavingClients, LongTimeoutIsLimitedToThatOfTheClass) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   Wire client = d.client();
@@ -121,7 +119,7 @@
   EXPECT_LE(std::stoi(field_of(server.requests()[0], "X-Timeout-Ms")), 15000);
 }
 
-TEST(BadClients, OneThatWaitsToBeToldToContinueIs) {
+TEST(MisbehavingClients, ExpectContinueIsAnswered) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   Wire client = d.client();
@@ -132,8 +130,8 @@
   EXPECT_EQ(status_of(client.read_message()), 200);
 }
 
-// Whatever leaves open where the body ends may hide another request in it.
-TEST(BadClients, UnclearLengthsAreNeverForwarded) {
+// An ambiguous end of the body could hide another request.
+TEST(MisbehavingClients, AmbiguousLengthsAreNeverForwarded) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   const std::string hidden = Ask{.id = "hidden"}.text();
@@ -155,8 +153,8 @@
 
 // ---------------------------------------------------------------- limits
 
-// Guards against bodies that add up, over all connections, to more than the memory.
-TEST(Limits, BodiesBeyondTheMemoryAreRefusedWithAdvice) {
+// The bodies of all connections together are limited.
+TEST(Limits, BodiesBeyondTheMemoryBudgetAreRejectedWithRetryAfter) {
   FakeServer server(replies(200, "ok"));
   ConfigText config;
   config.memory_mb = 8;  // 2.7 MB of it for messages: 40 bodies
@@ -169,23 +167,23 @@
       clients.back().write("POST /close/k HTTP/1.1\r\nHost: a\r\nContent-Length: 65000\r\n\r\n" +
                            std::string(60000, 'x'));
     }
-    int refused = 0, slow = 0;
+    int rejected = 0, slow = 0;
     for (Wire& client : clients) {
       const std::string answer = client.read_message();
-      if (!answer.empty() && status_of(answer) == 503 && !field_of(answer, "Retry-After").empty()) ++refused;
+      if (!answer.empty() && status_of(answer) == 503 && !field_of(answer, "Retry-After").empty()) ++rejected;
       if (!answer.empty() && status_of(answer) == 408) ++slow;
     }
-    EXPECT_GE(refused, kClients / 4);
-    EXPECT_GT(slow, 0) << "what there was room for was taken in";
+    EXPECT_GE(rejected, kClients / 4);
+    EXPECT_GT(slow, 0) << "what fits into the budget was read";
   }
   Wire after = d.client();
   after.write(Ask{.body = std::string(60000, 'x')}.text());
-  EXPECT_EQ(status_of(after.read_message()), 200) << "the room has been given back";
+  EXPECT_EQ(status_of(after.read_message()), 200) << "the budget is free again";
 }
 
-// ---------------------------------------------------------------- bad servers
+// ---------------------------------------------------------------- misbehaving servers
 
-TEST(BadServers, LengthsThatDontFitAreNoAnswer) {
+TEST(MisbehavingServers, InvalidLengthsAreNoResponse) {
   std::mutex mutex;
   std::string next;
   FakeServer server([&](Wire& wire, const std::string&) {
@@ -210,8 +208,8 @@
   }
 }
 
-// Guards against a line of a body that never ends, and is taken in as long as it comes.
-TEST(BadServers, AChunksHeadWithoutEndIsGivenUp) {
+// A line that does not end is not buffered without bound.
+TEST(MisbehavingServers, EndlessChunkExtensionIsAbandoned) {
   FakeServer server([](Wire& wire, const std::string&) {
     wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;");
     while (wire.write(std::string(64 * 1024, 'x'))) {
@@ -223,12 +221,12 @@
   Wire client = d.client();
   client.write(Ask{}.text());
   EXPECT_EQ(status_of(client.read_message()), 502);
-  EXPECT_LT(seconds_since(start), 10) << "the client waits 15 s";
+  EXPECT_LT(seconds_since(start), 10) << "the client's timeout is 15 s";
 }
 
-// Guards against a freed connection that is handed to an attempt which waits for one, with a copy of the last
-// answer still in it: that attempt would be answered by it. The first answer is just what one read takes in.
-TEST(BadServers, ASecondCopyDoesNotAnswerTheAttemptThatWaits) {
+// A connection that becomes free with surplus bytes unread is not given to an attempt that waits for one. The
+// first response has the size of one read.
+TEST(MisbehavingServers, DuplicateResponseDoesNotAnswerTheWaitingAttempt) {
   FullListener server;
   FakeDiscovery discovery;
   ConfigText config;
@@ -253,11 +251,11 @@
   EXPECT_EQ(body_of(two.read_message()), "two");
 }
 
-TEST(BadServers, OneThatSpeaksUnaskedIsNotAsked) {
-  std::atomic<int> asked = 0;
+TEST(MisbehavingServers, UnsolicitedResponsesAreSurvived) {
+  std::atomic<int> requests = 0;
   Listener server([&](Wire& wire) {
-    wire.write(http_answer(200, "unasked"));
-    if (!wire.read_message().empty()) ++asked;
+    wire.write(http_answer(200, "unsolicited"));
+    if (!wire.read_message().empty()) ++requests;
   });
   FakeDiscovery discovery;
   ConfigText config;
@@ -267,18 +265,17 @@
   for (int i = 0; i < 5; ++i) {
     Wire client = Wire::to(program.port());
     client.write(Ask{.id = "u" + std::to_string(i)}.text());
-    // The greeting may come just after the request: then nothing tells it from an answer.
+    // Where it arrives just after the request, nothing tells it from a response.
     const std::string answer = client.read_message();
     EXPECT_FALSE(answer.empty());
   }
   EXPECT_TRUE(program.running());
 }
 
-// ---------------------------------------------------------------- a long day
+// ---------------------------------------------------------------- addresses
 
-// Guards against a dial to a server that has gone, which brings what waits for it to the one that stands at
-// its address now.
-TEST(LongDay, ANewServerAtAGoneOnesAddressIsAnotherServer) {
+// A connect to a removed server may reach the one that uses its address now.
+TEST(AddressReuse, ServerAtARemovedServersAddressIsAnotherServer) {
   FullListener server;
   FakeDiscovery discovery;
   ConfigText config;
@@ -292,7 +289,7 @@
   ASSERT_TRUE(eventually([&] { return server.dials() == 1; }));
   discovery.say(
       list(8, false, member("s0", server.address(), "removed") + "," + member("s1", server.address())));
-  // What waited has been told that it never ran, and goes to the new one by a dial of its own.
+  // The waiting attempt ends as not processed; its retry goes to the new server by a connect of its own.
   ASSERT_TRUE(eventually([&] { return server.dials() == 2; }));
   std::vector<Wire> wires;
   for (int i = 0; i < 2; ++i) wires.emplace_back(server.accept());
@@ -306,8 +303,8 @@
   EXPECT_EQ(body_of(client.read_message()), "new");
 }
 
-// Longer than the protocol says, by callers who are no strangers: whole at the server, with a length or in
-// chunks, all at once or in pieces of which each has been taken in before the next.
+// Longer than the protocol's limit, with a length or in chunks, at once or in pieces that are read one by
+// one.
 TEST(Clients, MaySendLongRequests) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
@@ -327,9 +324,8 @@
   for (const std::string& request : server.requests()) EXPECT_EQ(body_of(request), body);
 }
 
-// Whose time is up as he asks is refused, for nothing has run, and his connection goes on as it was: no pause
-// as after an error.
-TEST(Clients, WithNoTimeLeftAreRefusedAtOnce) {
+// Shed, since nothing was processed, and without the pause that follows an invalid request.
+TEST(Clients, RequestsWithNoTimeLeftAreShedAtOnce) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   Wire client = d.client();
