--- /dev/null
+++ b/tests/node/deployment.h
@@ -0,0 +1,53 @@
+// A node with servers and discovery, and the requests of its clients.
+#pragma once
+
+#include <sys/resource.h>
+
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "config_text.h"
+#include "fake_discovery.h"
+#include "fake_server.h"
+#include "node_program.h"
+#include "wire.h"
+
+namespace thymewood::node {
+
+// A node with servers in its known list, and a discovery that has nothing to add.
+class Deployment {
+ public:
+  explicit Deployment(const std::vector<FakeServer*>& servers, ConfigText config = {}, rlim_t descriptors = 0,
+                      void (*in_child)() = nullptr) {
+    std::string members;
+    for (std::size_t i = 0; i < servers.size(); ++i) {
+      members += (i > 0 ? "," : "") + member("s" + std::to_string(i), servers[i]->address());
+    }
+    if (config.known.empty()) config.known = list(7, true, members);
+    config.discovery = discovery.address();
+    told = config;
+    program = std::make_unique<Program>(config.text(), descriptors, true, "", in_child);
+  }
+  Wire client(bool tight = false) const { return Wire::to(program->port(), tight); }
+
+  FakeDiscovery discovery;
+  ConfigText told;
+  std::unique_ptr<Program> program;
+};
+
+struct Ask {
+  std::string kind = "close", id = "r1", method = "POST", body = "{}", path = "", fields = "";
+  std::string timeout = "15000", key = "";
+  std::string text() const {
+    return method + " " + (path.empty() ? "/" + kind + "/k1?x=1" : path) +
+           " HTTP/1.1\r\nHost: origin.svc\r\n" + (id.empty() ? "" : "X-Request-ID: " + id + "\r\n") +
+           "X-Priority-Class: " + kind + "\r\nX-Tenant-Id: acme\r\n" +
+           (timeout.empty() ? "" : "X-Timeout-Ms: " + timeout + "\r\n") +
+           (key.empty() ? "" : "Idempotency-Key: " + key + "\r\n") + fields +
+           (body.empty() ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n") + "\r\n" + body;
+  }
+};
+
+}  // namespace thymewood::node
--- /dev/null
+++ b/tests/node/wire.h
@@ -0,0 +1,130 @@
+// HTTP messages over one connection, on either side of it.
+#pragma once
+
+#include <poll.h>
+#include <sys/socket.h>
+
+#include <cctype>
+#include <cerrno>
+#include <chrono>
+#include <cstddef>
+#include <string>
+#include <utility>
+
+#include "test_socket.h"
+
+namespace thymewood::node {
+
+// One message's bytes at a time, either way.
+class Wire {
+ public:
+  Wire() = default;
+  explicit Wire(Fd fd) : fd_(std::move(fd)) {}
+  // `tight`: it takes in little before it is read from.
+  static Wire to(int port, bool tight = false) {
+    Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+    if (tight) narrow(fd.get());
+    const sockaddr_in where = loopback(port);
+    if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&where), sizeof where) != 0) fd.reset();
+    return Wire(std::move(fd));
+  }
+  bool is_open() const { return fd_.get() >= 0; }
+  void close() { fd_.reset(); }
+  // The peer gets a reset, not an end.
+  void reset() {
+    const linger hard{1, 0};
+    ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+    fd_.reset();
+  }
+  int fd() const { return fd_.get(); }
+  // Something has come, and is left there.
+  bool has_come() const {
+    pollfd wait{fd_.get(), POLLIN, 0};
+    return ::poll(&wait, 1, static_cast<int>(std::chrono::milliseconds(kPatience).count())) > 0;
+  }
+  // Says that nothing more will be sent; what comes can still be read.
+  void end_sending() const { ::shutdown(fd_.get(), SHUT_WR); }
+  // Sends until the peer takes no more, or `most` bytes are out; returns how many.
+  std::size_t flood(const std::string& text, std::size_t most) const {
+    std::size_t sent = 0;
+    for (auto since = std::chrono::steady_clock::now(); sent < most;) {
+      const std::size_t at = sent % text.size();
+      const ssize_t n = ::send(fd_.get(), text.data() + at, text.size() - at, MSG_NOSIGNAL | MSG_DONTWAIT);
+      if (n > 0) {
+        sent += static_cast<std::size_t>(n);
+        since = std::chrono::steady_clock::now();
+      } else if (errno != EAGAIN || std::chrono::steady_clock::now() - since > 200ms) {
+        break;
+      }
+    }
+    return sent;
+  }
+
+  bool write(const std::string& text) {
+    std::size_t at = 0;
+    while (at < text.size()) {
+      const ssize_t n = ::send(fd_.get(), text.data() + at, text.size() - at, MSG_NOSIGNAL);
+      if (n <= 0) return false;
+      at += static_cast<std::size_t>(n);
+    }
+    return true;
+  }
+  // One whole message with a Content-Length (none: no body); empty at the end of the connection.
+  std::string read_message() {
+    for (;;) {
+      const std::size_t head = got_.find("\r\n\r\n");
+      if (head != std::string::npos) {
+        const std::size_t whole = head + 4 + length_in(got_.substr(0, head + 2));
+        if (got_.size() >= whole) {
+          std::string out = got_.substr(0, whole);
+          got_.erase(0, whole);
+          return out;
+        }
+      }
+      if (!more()) return {};
+    }
+  }
+  // All up to the end of the connection.
+  std::string read_rest() {
+    while (more()) {
+    }
+    return std::exchange(got_, {});
+  }
+  bool more() {
+    pollfd wait{fd_.get(), POLLIN, 0};
+    if (::poll(&wait, 1, static_cast<int>(std::chrono::milliseconds(kPatience).count())) <= 0) return false;
+    char piece[4096];
+    const ssize_t n = ::recv(fd_.get(), piece, sizeof piece, 0);
+    if (n <= 0) return false;
+    got_.append(piece, static_cast<std::size_t>(n));
+    return true;
+  }
+
+ private:
+  static std::size_t length_in(const std::string& head) {
+    std::string low;
+    for (const char c : head) low += static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
+    const std::size_t at = low.find("\r\ncontent-length:");
+    return at == std::string::npos ? 0 : std::stoul(low.substr(at + 17));
+  }
+  Fd fd_;
+  std::string got_;
+};
+
+inline int status_of(const std::string& answer) {
+  return answer.size() < 12 ? 0 : std::stoi(answer.substr(9, 3));
+}
+
+inline std::string field_of(const std::string& message, const std::string& name) {
+  const std::size_t at = message.find("\r\n" + name + ": ");
+  if (at == std::string::npos) return {};
+  const std::size_t from = at + name.size() + 4;
+  return message.substr(from, message.find("\r\n", from) - from);
+}
+
+inline std::string body_of(const std::string& message) {
+  const std::size_t at = message.find("\r\n\r\n");
+  return at == std::string::npos ? "" : message.substr(at + 4);
+}
+
+}  // namespace thymewood::node
