--- a/tests/node/client_disconnect_test.cpp
+++ b/tests/node/client_disconnect_test.cpp
@@ -43,7 +43,7 @@
     return out;
   }
   static void (*in_child())() {
-    return GetParam().tcp_info == TcpInfo::kAvailable ? nullptr : refuse_tcp_info;
+    return GetParam().tcp_info == TcpInfo::kAvailable ? nullptr : disable_tcp_info;
   }
   // What it sends ahead exceeds the buffers of the node and its socket, so that its close follows unread.
   static void disconnect(Wire& client) {
@@ -64,7 +64,7 @@
   Program program(text.text(), 0, true, "", in_child());
   Wire client = Wire::to(program.port());
   client.write(Ask{.id = "disconnected"}.text());
-  ASSERT_TRUE(eventually([&] { return full.dials() > 0; }));
+  ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }));
   disconnect(client);
   pass(kDisconnectGrace);
   Wire next = Wire::to(program.port());
@@ -186,7 +186,7 @@
 TEST(PipelinedClient, NothingIsForwardedAfterACloseDuringItsResponse) {
   FakeServer server(replies(200, std::string(std::size_t{1} << 20, 'a')));
   // TCP_INFO could show the close too.
-  Deployment d({&server}, {}, 0, refuse_tcp_info);
+  Deployment d({&server}, {}, 0, disable_tcp_info);
   Wire client = d.client(true);
   client.write(Ask{.id = "first"}.text());
   ASSERT_TRUE(client.has_come()) << "its response has begun and exceeds the buffers";
--- a/tests/node/deployment.h
+++ b/tests/node/deployment.h
@@ -16,7 +16,7 @@
 
 namespace thymewood::node {
 
-// A node with servers in its known list, and a discovery that has nothing to add.
+// A node with the servers in its known list, and a discovery service without changes.
 class Deployment {
  public:
   explicit Deployment(const std::vector<FakeServer*>& servers, ConfigText config = {}, rlim_t descriptors = 0,
@@ -30,13 +30,14 @@
     told = config;
     program = std::make_unique<Program>(config.text(), descriptors, true, "", in_child);
   }
-  Wire client(bool tight = false) const { return Wire::to(program->port(), tight); }
+  Wire client(bool small_buffers = false) const { return Wire::to(program->port(), small_buffers); }
 
   FakeDiscovery discovery;
   ConfigText told;
   std::unique_ptr<Program> program;
 };
 
+// A client's request; the defaults are valid.
 struct Ask {
   std::string kind = "close", id = "r1", method = "POST", body = "{}", path = "", fields = "";
   std::string timeout = "15000", key = "";
--- a/tests/node/drain_test.cpp
+++ b/tests/node/drain_test.cpp
@@ -48,7 +48,7 @@
   Program program(config.text());
   Wire client = Wire::to(program.port());
   client.write(Ask{}.text());
-  ASSERT_TRUE(eventually([&] { return full.dials() > 0; }));
+  ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }));
   const auto start = std::chrono::steady_clock::now();
   program.signal(SIGTERM);
   EXPECT_EQ(status_of(client.read_message()), 503) << "it was not processed";
--- a/tests/node/fake_discovery.h
+++ b/tests/node/fake_discovery.h
@@ -31,7 +31,7 @@
   return size.str() + "\r\n" + bytes + "\r\n";
 }
 
-// The watch: each call is answered by a head and `first`, if there is one; more is pushed by say().
+// Answers each watch with a head and the configured answer; say() pushes more.
 class FakeDiscovery {
  public:
   explicit FakeDiscovery(int port = 0)
@@ -56,7 +56,7 @@
             port) {}
   std::string address() const { return listener_.address(); }
   Listener& listener() { return listener_; }
-  // What the calls from now on are answered, head and all.
+  // The answer to all later calls, with its head.
   void answer_with(const std::string& bytes) {
     const std::lock_guard lock(mutex_);
     answer_ = bytes;
--- a/tests/node/fake_server.h
+++ b/tests/node/fake_server.h
@@ -21,7 +21,7 @@
 
 namespace thymewood::node {
 
-// Listens, and runs `serve` for each connection on a thread of its own.
+// Accepts connections, and runs `serve` for each on a thread of its own.
 class Listener {
  public:
   explicit Listener(std::function<void(Wire&)> serve, int port = 0) : serve_(std::move(serve)) {
@@ -90,7 +90,7 @@
   std::thread thread_;
 };
 
-// A server: answers each request by what `reply` does on its wire; returning false ends the connection.
+// Responds to each request by what `reply` writes; returning false ends the connection.
 class FakeServer {
  public:
   using Reply = std::function<bool(Wire&, const std::string& request)>;
@@ -134,7 +134,7 @@
   return [=](Wire& wire, const std::string&) { return wire.write(http_answer(status, body, fields)); };
 }
 
-// Holds each answer until open() is called.
+// Delays responses until open() is called.
 class Gate {
  public:
   void open() {
--- a/tests/node/full_listener.h
+++ b/tests/node/full_listener.h
@@ -15,12 +15,13 @@
 
 namespace thymewood::node {
 
-// A server whose queue of connections is full: a dial to it stays out until accept() makes room.
+// A server whose listen queue is full: a connect to it stays pending until accept() frees a place.
 class FullListener {
  public:
-  // `tight`: what it accepts takes in little before it is read from.
-  explicit FullListener(bool tight = false) : listen_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-    if (tight) narrow(listen_.get());
+  // `small_buffers`: the connections that it accepts buffer little.
+  explicit FullListener(bool small_buffers = false)
+      : listen_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+    if (small_buffers) shrink_buffers(listen_.get());
     sockaddr_in where = loopback(0);
     EXPECT_EQ(::bind(listen_.get(), reinterpret_cast<sockaddr*>(&where), sizeof where), 0);
     EXPECT_EQ(::listen(listen_.get(), 0), 0);
@@ -28,8 +29,8 @@
     ::getsockname(listen_.get(), reinterpret_cast<sockaddr*>(&where), &size);
     port_ = ntohs(where.sin_port);
   }
-  std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
-  // Takes the one place in the queue.
+  [[nodiscard]] std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
+  // Occupies the one place in the queue.
   void fill() {
     filler_ = Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const sockaddr_in where = loopback(port_);
@@ -48,8 +49,8 @@
       if (from.sin_port != own.sin_port) return fd;
     }
   }
-  // How many dials to it are under way, as the system tells.
-  int dials() const {
+  // How many connects to it are pending, by the kernel's table.
+  [[nodiscard]] int pending_connects() const {
     std::ifstream table("/proc/net/tcp");
     std::ostringstream to;
     to << ':' << std::uppercase << std::hex << std::setw(4) << std::setfill('0') << port_ << " 02 ";
--- a/tests/node/handover_test.cpp
+++ b/tests/node/handover_test.cpp
@@ -80,7 +80,8 @@
       list(8, false, member("s2", full.address()) + "," + member("s1", other.address(), "removed")));
   ASSERT_TRUE(eventually([&] { return other.listener().open() == 0; }));
   gate.open();
-  ASSERT_TRUE(eventually([&] { return full.dials() > 0; })) << "within the window it may be retried";
+  ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }))
+      << "within the window it may be retried";
   pass(1600ms);
   Fd connected = full.accept();
   ASSERT_GE(connected.get(), 0);
@@ -107,7 +108,7 @@
   Wire client = Wire::to(program.port());
   const auto start = std::chrono::steady_clock::now();
   client.write(Ask{.id = "late", .timeout = "9000"}.text());
-  ASSERT_TRUE(eventually([&] { return full.dials() > 0; }));
+  ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }));
   pass(1000ms);
   Wire server(full.accept());
   const std::string request = server.read_message();
--- a/tests/node/node_harness.h
+++ b/tests/node/node_harness.h
@@ -1,5 +1,5 @@
-// A real node as a child process, with what it talks to played on loopback sockets: servers, discovery and
-// clients. Nothing here waits for a stated time to pass; it waits for what is to happen, with a generous
+// Everything that a test of a real node needs: the node as a child process, and servers, discovery and
+// clients on loopback sockets. Nothing here waits for a fixed time; it waits for a condition, with a generous
 // limit.
 #pragma once
 
--- a/tests/node/node_program.h
+++ b/tests/node/node_program.h
@@ -32,9 +32,9 @@
 
 namespace thymewood::node {
 
-// From now on, and in what this process starts, the kernel does not tell of a connection's state: TCP_INFO is
-// refused as an option that it does not know. (seccomp(2); the arguments' low halves lie first here.)
-inline void refuse_tcp_info() {
+// From now on, and in child processes, TCP_INFO fails as an unknown option (seccomp(2); the low halves of the
+// arguments come first on this architecture).
+inline void disable_tcp_info() {
   constexpr auto low = [](int argument) {
     return static_cast<std::uint32_t>(offsetof(seccomp_data, args) + 8U * static_cast<unsigned>(argument));
   };
@@ -57,7 +57,7 @@
 // The program under test.
 class Program {
  public:
-  // `operators`: the text of the operators' file; empty: none is named. `in_child` runs before the program.
+  // `operators`: the text of the operators' file; empty: there is none. `in_child` runs before the program.
   explicit Program(const std::string& config, rlim_t descriptors = 0, bool wait_for_start = true,
                    const std::string& operators = "", void (*in_child)() = nullptr) {
     static std::atomic<int> count = 0;
@@ -87,7 +87,7 @@
   ~Program() {
     if (pid_ > 0) {
       ::kill(pid_, SIGTERM);
-      EXPECT_EQ(exit_status(), 0) << log();  // also what the sanitizers found
+      EXPECT_EQ(exit_status(), 0) << log();  // also reports findings of the sanitizers
     }
     if (testing::Test::HasFailure()) std::fputs(log().c_str(), stderr);
     std::remove((base_ + ".json").c_str());
@@ -115,13 +115,13 @@
     return out.str();
   }
   void signal(int number) const { ::kill(pid_, number); }
-  // Ends it outright.
+  // Kills it without a shutdown.
   void kill() {
     ::kill(pid_, SIGKILL);
     ::waitpid(std::exchange(pid_, -1), &status_, 0);
   }
   pid_t pid() const { return pid_; }
-  // The number that its next descriptor would have. What it inherits is not the same everywhere.
+  // The number of its next descriptor. The inherited ones differ between machines.
   rlim_t next_descriptor() const {
     rlim_t out = 0;
     struct stat about {};
@@ -129,14 +129,14 @@
     while (::lstat((folder + std::to_string(out)).c_str(), &about) == 0) ++out;
     return out;
   }
-  // So many descriptors from now on; those that are open stay.
+  // Limits its descriptors from now on; open ones stay open.
   void limit_descriptors(rlim_t most) const {
     rlimit limit{};
     ::prlimit(pid_, RLIMIT_NOFILE, nullptr, &limit);
     limit.rlim_cur = most;
     ::prlimit(pid_, RLIMIT_NOFILE, &limit, nullptr);
   }
-  // As proc(5) has it: R runs, S sleeps, T is stopped; 0 where it is gone.
+  // As in proc(5): R running, S sleeping, T stopped; 0 where it has ended.
   char state() const {
     std::ifstream in("/proc/" + std::to_string(pid_) + "/stat");
     const std::string text((std::istreambuf_iterator<char>(in)), {});
@@ -144,19 +144,19 @@
     return name_end == std::string::npos ? '\0' : text[name_end + 2];
   }
   void reload(const std::string& config) const {
-    std::ofstream(base_ + ".new") << config;  // replaced whole, as a deployment does it
+    std::ofstream(base_ + ".new") << config;  // replaced atomically, as by a deployment
     std::rename((base_ + ".new").c_str(), (base_ + ".json").c_str());
     signal(SIGHUP);
   }
   void remove_config() const { std::remove((base_ + ".json").c_str()); }
-  // The log can't grow any more, as on a full disk (SIGXFSZ, which comes with it, ends nothing here).
+  // The log cannot grow any more, as on a full disk; the program ignores the SIGXFSZ.
   void fill_log() const {
     rlimit limit{};
     ::prlimit(pid_, RLIMIT_FSIZE, nullptr, &limit);
     limit.rlim_cur = 0;
     ::prlimit(pid_, RLIMIT_FSIZE, &limit, nullptr);
   }
-  // How often a text stands in the log.
+  // How often a text occurs in the log.
   int logged(const std::string& text) const {
     const std::string all = log();
     int times = 0;
@@ -167,7 +167,7 @@
     if (pid_ > 0 && ::waitpid(pid_, &status_, WNOHANG) == pid_) pid_ = -1;
     return pid_ > 0;
   }
-  // -1: it had to be killed, or ended by a signal.
+  // -1: it had to be killed, or was ended by a signal.
   int exit_status() {
     if (!eventually([this] { return !running(); })) {
       ::kill(pid_, SIGKILL);
--- a/tests/node/pause_test.cpp
+++ b/tests/node/pause_test.cpp
@@ -143,7 +143,7 @@
   Program program(config.text());
   Wire client = Wire::to(program.port());
   client.write(Ask{.id = "late"}.text());
-  ASSERT_TRUE(eventually([&] { return full.dials() > 0; }));
+  ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }));
   stop(program);
   Fd connected = full.accept();
   ASSERT_GE(connected.get(), 0);
--- a/tests/node/service_test.cpp
+++ b/tests/node/service_test.cpp
@@ -240,7 +240,7 @@
   ASSERT_EQ(field_of(first.read_message(), "X-Request-ID"), "one");
   server.fill();
   two.write(Ask{.id = "two"}.text());
-  ASSERT_TRUE(eventually([&] { return server.dials() == 1; }));
+  ASSERT_TRUE(eventually([&] { return server.pending_connects() == 1; }));
   std::string answer = http_answer(200, "one", "X-Fill: \r\n");
   answer.insert(answer.find("\r\n\r\n"), std::string(512 - answer.size(), 'x'));
   first.write(answer + answer);
@@ -286,11 +286,11 @@
   server.fill();
   Wire client = Wire::to(program.port());
   client.write(Ask{}.text());
-  ASSERT_TRUE(eventually([&] { return server.dials() == 1; }));
+  ASSERT_TRUE(eventually([&] { return server.pending_connects() == 1; }));
   discovery.say(
       list(8, false, member("s0", server.address(), "removed") + "," + member("s1", server.address())));
   // The waiting attempt ends as not processed; its retry goes to the new server by a connect of its own.
-  ASSERT_TRUE(eventually([&] { return server.dials() == 2; }));
+  ASSERT_TRUE(eventually([&] { return server.pending_connects() == 2; }));
   std::vector<Wire> wires;
   for (int i = 0; i < 2; ++i) wires.emplace_back(server.accept());
   int requests = 0;
--- a/tests/node/test_socket.h
+++ b/tests/node/test_socket.h
@@ -15,10 +15,11 @@
 namespace thymewood::node {
 
 using namespace std::chrono_literals;
-constexpr auto kPatience = 20s;  // a machine may be slow; a test that fails may take its time
+constexpr auto kPatience = 20s;  // for slow machines; only a failing test takes that long
 
+// Waits until the condition holds; false after kPatience.
 template <typename Condition>
-bool eventually(Condition condition) {
+[[nodiscard]] bool eventually(Condition condition) {
   const auto until = std::chrono::steady_clock::now() + kPatience;
   while (!condition()) {
     if (std::chrono::steady_clock::now() > until) return false;
@@ -27,7 +28,7 @@
   return true;
 }
 
-// A descriptor that is closed with its owner.
+// Owns a descriptor.
 class Fd {
  public:
   explicit Fd(int fd = -1) : fd_(fd) {}
@@ -40,7 +41,7 @@
   void reset() {
     if (fd_ >= 0) ::close(std::exchange(fd_, -1));
   }
-  int get() const { return fd_; }
+  [[nodiscard]] int get() const { return fd_; }
 
  private:
   int fd_;
@@ -54,10 +55,10 @@
   return out;
 }
 
-// Small segments and a small buffer, so that whoever sends to this socket, or to what it accepts, is stopped
-// after some tens of KiB. On loopback a sender's buffer is megabytes otherwise: it grows with the segments.
-inline void narrow(int socket) {
-  const int segment = 88, buffer = 1;  // the least that there is
+// Small segments and a small receive buffer, so that a peer of this socket, or of one that it accepts, blocks
+// after some tens of KiB. On loopback, send buffers grow to megabytes otherwise.
+inline void shrink_buffers(int socket) {
+  const int segment = 88, buffer = 1;  // bytes; the kernel's minima
   ::setsockopt(socket, IPPROTO_TCP, TCP_MAXSEG, &segment, sizeof segment);
   ::setsockopt(socket, SOL_SOCKET, SO_RCVBUF, &buffer, sizeof buffer);
 }
--- a/tests/node/wire.h
+++ b/tests/node/wire.h
@@ -15,36 +15,36 @@
 
 namespace thymewood::node {
 
-// One message's bytes at a time, either way.
+// A connection on which HTTP messages are written and read as text.
 class Wire {
  public:
   Wire() = default;
   explicit Wire(Fd fd) : fd_(std::move(fd)) {}
-  // `tight`: it takes in little before it is read from.
-  static Wire to(int port, bool tight = false) {
+  // `small_buffers`: it buffers little before it is read from.
+  static Wire to(int port, bool small_buffers = false) {
     Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-    if (tight) narrow(fd.get());
+    if (small_buffers) shrink_buffers(fd.get());
     const sockaddr_in where = loopback(port);
     if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&where), sizeof where) != 0) fd.reset();
     return Wire(std::move(fd));
   }
   bool is_open() const { return fd_.get() >= 0; }
   void close() { fd_.reset(); }
-  // The peer gets a reset, not an end.
+  // Closes with a reset.
   void reset() {
     const linger hard{1, 0};
     ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
     fd_.reset();
   }
   int fd() const { return fd_.get(); }
-  // Something has come, and is left there.
+  // Waits until something has arrived, and leaves it unread.
   bool has_come() const {
     pollfd wait{fd_.get(), POLLIN, 0};
     return ::poll(&wait, 1, static_cast<int>(std::chrono::milliseconds(kPatience).count())) > 0;
   }
-  // Says that nothing more will be sent; what comes can still be read.
+  // Half-closes the connection.
   void end_sending() const { ::shutdown(fd_.get(), SHUT_WR); }
-  // Sends until the peer takes no more, or `most` bytes are out; returns how many.
+  // Sends until the peer reads no more, or `most` bytes are sent; returns how many.
   std::size_t flood(const std::string& text, std::size_t most) const {
     std::size_t sent = 0;
     for (auto since = std::chrono::steady_clock::now(); sent < most;) {
@@ -69,34 +69,35 @@
     }
     return true;
   }
-  // One whole message with a Content-Length (none: no body); empty at the end of the connection.
+  // One message with a Content-Length (none: no body); empty at the end of the connection.
   std::string read_message() {
     for (;;) {
-      const std::size_t head = got_.find("\r\n\r\n");
+      const std::size_t head = received_.find("\r\n\r\n");
       if (head != std::string::npos) {
-        const std::size_t whole = head + 4 + length_in(got_.substr(0, head + 2));
-        if (got_.size() >= whole) {
-          std::string out = got_.substr(0, whole);
-          got_.erase(0, whole);
+        const std::size_t size = head + 4 + length_in(received_.substr(0, head + 2));
+        if (received_.size() >= size) {
+          std::string out = received_.substr(0, size);
+          received_.erase(0, size);
           return out;
         }
       }
       if (!more()) return {};
     }
   }
-  // All up to the end of the connection.
+  // Everything up to the end of the connection.
   std::string read_rest() {
     while (more()) {
     }
-    return std::exchange(got_, {});
+    return std::exchange(received_, {});
   }
+  // Waits for more to arrive; false at the end of the connection.
   bool more() {
     pollfd wait{fd_.get(), POLLIN, 0};
     if (::poll(&wait, 1, static_cast<int>(std::chrono::milliseconds(kPatience).count())) <= 0) return false;
     char piece[4096];
     const ssize_t n = ::recv(fd_.get(), piece, sizeof piece, 0);
     if (n <= 0) return false;
-    got_.append(piece, static_cast<std::size_t>(n));
+    received_.append(piece, static_cast<std::size_t>(n));
     return true;
   }
 
@@ -108,7 +109,7 @@
     return at == std::string::npos ? 0 : std::stoul(low.substr(at + 17));
   }
   Fd fd_;
-  std::string got_;
+  std::string received_;
 };
 
 inline int status_of(const std::string& answer) {
