--- a/node/connection_pool.h
+++ b/node/connection_pool.h
@@ -7,6 +7,7 @@
 #include <deque>
 #include <memory>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "clock.h"
--- a/node/dispatcher.cpp
+++ b/node/dispatcher.cpp
@@ -162,7 +162,7 @@
     if (!cancelled) overdue(id);
   });
   for (std::size_t i = 0; i < held.attempts.size(); ++i) {
-    if (held.open[i]) upstream_.end_by(held.attempts[i], clock_.at(held.until));
+    if (held.open[i]) upstream_.shorten_deadline(held.attempts[i], clock_.at(held.until));
   }
 }
 
@@ -198,10 +198,10 @@
     log_debug("server_listed").with("server", server.address).with("status", name_of(server.state));
     set_ready(ready_by_name_[server.address], ready);
     if (server.state == EndpointState::kRemoved) {
-      upstream_.retire(server.address);
+      upstream_.remove_endpoint(server.address);
       ready_by_name_.erase(server.address);
     } else {
-      upstream_.place(server.address, member.endpoint, server.started_at, ready);
+      upstream_.update_endpoint(server.address, member.endpoint, server.started_at, ready);
     }
     listed[server.address] = true;
     event.endpoints.push_back(server);
@@ -210,7 +210,7 @@
   for (auto at = ready_by_name_.begin(); at != ready_by_name_.end();) {
     if (update.full && !listed.contains(at->first)) {
       set_ready(at->second, false);
-      upstream_.retire(at->first);
+      upstream_.remove_endpoint(at->first);
       at = ready_by_name_.erase(at);
     } else {
       ++at;
--- a/node/frontend.h
+++ b/node/frontend.h
@@ -6,6 +6,7 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <cstddef>
 #include <functional>
+#include <utility>
 
 #include "client_listener.h"
 #include "client_session.h"
--- a/node/upstream.cpp
+++ b/node/upstream.cpp
@@ -15,15 +15,15 @@
   for (auto& [server, pool] : pools_) pool->shut_down();
 }
 
-void Upstream::place(const std::string& server, const boost::asio::ip::tcp::endpoint& endpoint,
-                     double started_at, bool is_usable) {
+void Upstream::update_endpoint(const std::string& server, const boost::asio::ip::tcp::endpoint& endpoint,
+                               double started_at, bool is_usable) {
   std::shared_ptr<ConnectionPool>& pool = pools_[server];
   if (!pool) pool = std::make_shared<ConnectionPool>(server, context_);
   pool->update_endpoint(endpoint, started_at, is_usable);
 }
 
 // The attempts and connections in use own the pool from here on. Endpoint names are not reused.
-void Upstream::retire(const std::string& server) {
+void Upstream::remove_endpoint(const std::string& server) {
   const auto at = pools_.find(server);
   if (at == pools_.end()) return;
   const std::shared_ptr<ConnectionPool> pool = at->second;
@@ -43,7 +43,7 @@
   return attempt;
 }
 
-void Upstream::end_by(const Handle& handle, Clock::Steady::time_point deadline) {
+void Upstream::shorten_deadline(const Handle& handle, Clock::Steady::time_point deadline) {
   if (const std::shared_ptr<UpstreamAttempt> attempt = handle.lock()) attempt->shorten_deadline(deadline);
 }
 
--- a/node/upstream.h
+++ b/node/upstream.h
@@ -32,11 +32,11 @@
 
   // Adds or updates an endpoint: where the server listens, and whether it accepts new requests. `started_at`
   // tells one of its processes from the next, whose connections are not those of the last.
-  void place(const std::string& server, const boost::asio::ip::tcp::endpoint& endpoint, double started_at,
-             bool is_usable);
+  void update_endpoint(const std::string& server, const boost::asio::ip::tcp::endpoint& endpoint,
+                       double started_at, bool is_usable);
 
   // Removes an endpoint: requests that are written completely go on, all others end.
-  void retire(const std::string& server);
+  void remove_endpoint(const std::string& server);
 
   // Sends a request, once, and reports its end exactly once, never from within this call. A request that is
   // not `is_retryable` is kept off connections that may have been dropped while idle. One whose time has
@@ -45,7 +45,7 @@
                bool is_retryable, AttemptCallbacks callbacks);
 
   // The attempt ends by the deadline, if not sooner.
-  void end_by(const Handle& attempt, Clock::Steady::time_point deadline);
+  void shorten_deadline(const Handle& attempt, Clock::Steady::time_point deadline);
 
   // Ends an attempt as kNotSent, unless its last byte is written: then it goes on.
   void withdraw(const Handle& attempt);
@@ -53,7 +53,7 @@
   // Closes the attempt's connection; it is reported as kCancelled, unless its end is about to be reported.
   void cancel(const Handle& attempt);
 
-  [[nodiscard]] std::size_t connections() const { return context_->connection_count; }
+  [[nodiscard]] std::size_t connection_count() const { return context_->connection_count; }
 
  private:
   [[nodiscard]] bool evict_longest_idle() override;
--- a/node/upstream_connection.h
+++ b/node/upstream_connection.h
@@ -8,6 +8,7 @@
 #include <cstddef>
 #include <cstdint>
 #include <memory>
+#include <utility>
 
 #include "clock.h"
 #include "message.h"
--- a/tests/node/pause_test.cpp
+++ b/tests/node/pause_test.cpp
@@ -161,7 +161,7 @@
   MemoryBudget budget;
   budget.set_limit(1 << 20);
   Upstream upstream(io, {0.5, 60, 10}, budget);
-  upstream.place(
+  upstream.update_endpoint(
       "s0", {boost::asio::ip::address_v4::loopback(), static_cast<unsigned short>(server.listener().port())},
       0, true);
   const auto request = std::make_shared<HttpRequest>();
@@ -194,7 +194,7 @@
   Upstream upstream(io, {0.5, 60, 10}, budget);
   const boost::asio::ip::tcp::endpoint where{boost::asio::ip::address_v4::loopback(),
                                              static_cast<unsigned short>(server.listener().port())};
-  upstream.place("s0", where, 0, true);
+  upstream.update_endpoint("s0", where, 0, true);
   const auto request = std::make_shared<HttpRequest>();
   std::vector<Outcome> ends;
   const auto start = [&](double timeout, std::function<bool()> may) {
@@ -212,12 +212,12 @@
   start(10, [] { return false; });
   start(0.02, [] { return true; });
   start(10, [&] {
-    upstream.place("s0", where, 0, false);  // the server begins to drain
+    upstream.update_endpoint("s0", where, 0, false);  // the server begins to drain
     return true;
   });
-  upstream.place("s0", where, 0, true);
+  upstream.update_endpoint("s0", where, 0, true);
   start(10, [&] {
-    upstream.place("s0", where, 12, true);  // the server has restarted
+    upstream.update_endpoint("s0", where, 12, true);  // the server has restarted
     return true;
   });
   ASSERT_EQ(ends.size(), 4U);
