--- /dev/null
+++ b/tests/node/outcomes_test.cpp
@@ -0,0 +1,214 @@
+// Outcomes as in the protocol's table: a request that was not processed may be retried, also one that is not
+// idempotent.
+#include "node_harness.h"
+
+namespace thymewood::node {
+namespace {
+
+TEST(Outcomes, RejectedUnprocessedIsRetried) {
+  FakeServer full(replies(503, "", "X-Not-Processed: 1\r\n")),
+      busy(replies(503, "", "X-Not-Processed: 1\r\n"));
+  Deployment d({&full, &busy});
+  Wire client = d.client();
+  client.write(Ask{}.text());
+  const std::string answer = client.read_message();
+  EXPECT_EQ(status_of(answer), 503);
+  EXPECT_FALSE(field_of(answer, "Retry-After").empty());
+  EXPECT_EQ(full.requests().size() + busy.requests().size(), 2U) << "each server once";
+}
+
+TEST(Outcomes, RejectedByOneServerIsServedByAnother) {
+  FakeServer full(replies(503, "", "X-Not-Processed: 1\r\n")), idle(replies(200, "ok"));
+  Deployment d({&full, &idle});
+  Wire client = d.client();
+  for (int i = 0; i < 10; ++i) {
+    client.write(Ask{.id = "r" + std::to_string(i)}.text());
+    EXPECT_EQ(status_of(client.read_message()), 200);
+  }
+  EXPECT_EQ(idle.requests().size(), 10U);
+}
+
+void expect_failed_once(const FakeServer::Reply& reply) {
+  FakeServer server(reply);
+  Deployment d({&server});
+  Wire client = d.client();
+  client.write(Ask{}.text());
+  const std::string answer = client.read_message();
+  EXPECT_EQ(status_of(answer), 502) << answer;
+  EXPECT_EQ(server.requests().size(), 1U)
+      << "a request that is not idempotent and may have been processed is not retried";
+  EXPECT_TRUE(d.program->running());
+}
+
+TEST(Outcomes, ErrorMayHaveBeenProcessed) { expect_failed_once(replies(500, "no")); }
+TEST(Outcomes, UnmarkedUnavailableMayHaveBeenProcessed) { expect_failed_once(replies(503, "no")); }
+TEST(Outcomes, OtherValueOfTheMarkIsIgnored) {
+  expect_failed_once(replies(504, "no", "X-Not-Processed: 0\r\n"));
+}
+TEST(Outcomes, OtherStatusMayHaveBeenProcessed) {
+  expect_failed_once(replies(404, "no", "X-Not-Processed: 1\r\n"));
+}
+TEST(Outcomes, CloseWithoutResponseMayHaveBeenProcessed) {
+  expect_failed_once([](Wire&, const std::string&) { return false; });
+}
+TEST(Outcomes, ResetMayHaveBeenProcessed) {
+  expect_failed_once([](Wire& wire, const std::string&) {
+    const linger hard{1, 0};
+    ::setsockopt(wire.fd(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+    return false;
+  });
+}
+TEST(Outcomes, TruncatedResponseMayHaveBeenProcessed) {
+  expect_failed_once([](Wire& wire, const std::string&) {
+    wire.write("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf");
+    return false;
+  });
+}
+TEST(Outcomes, ResponseWithoutLengthOrConnectionCloseIsTruncated) {
+  expect_failed_once([](Wire& wire, const std::string&) {
+    wire.write("HTTP/1.1 200 OK\r\n\r\nperhaps half");
+    return false;
+  });
+}
+TEST(Outcomes, MalformedResponseMayHaveBeenProcessed) {
+  expect_failed_once(
+      [](Wire& wire, const std::string&) { return wire.write(std::string("\0\x7f~?\r\n\r\n", 8)); });
+}
+TEST(Outcomes, EndlessHeadMayHaveBeenProcessed) {
+  expect_failed_once([](Wire& wire, const std::string&) {
+    return wire.write("HTTP/1.1 200 OK\r\nX-Long: " + std::string(64 * 1024, 'x'));
+  });
+}
+TEST(Outcomes, BodyBeyondTheLimitMayHaveBeenProcessed) {
+  expect_failed_once([](Wire& wire, const std::string&) {
+    return wire.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx");
+  });
+}
+
+// Larger than the largest request, and with text inside that looks like a response.
+std::string large_body(std::size_t size) {
+  std::string out;
+  while (out.size() < size)
+    out += "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno\r\n0\r\n\r\n" + std::to_string(out.size());
+  out.resize(size);
+  return out;
+}
+
+TEST(Outcomes, ResponseMayBeLargerThanARequest) {
+  const std::string body = large_body(370'000);
+  FakeServer server(replies(200, body));
+  Deployment d({&server});
+  Wire client = d.client();
+  for (int i = 0; i < 3; ++i) {
+    client.write(Ask{.id = "r" + std::to_string(i)}.text());
+    const std::string answer = client.read_message();
+    EXPECT_EQ(status_of(answer), 200);
+    EXPECT_TRUE(body_of(answer) == body) << "unchanged, " << body_of(answer).size() << " bytes";
+  }
+}
+TEST(Outcomes, LargestResponseIsOneMebibyte) {
+  FakeServer server(replies(200, large_body(1024 * 1024)));
+  Deployment d({&server});
+  Wire client = d.client();
+  client.write(Ask{}.text());
+  EXPECT_EQ(body_of(client.read_message()).size(), 1024U * 1024U);
+  expect_failed_once(replies(200, large_body(1024 * 1024 + 1)));
+}
+TEST(Outcomes, ChunkedBodyBeyondTheLimitMayHaveBeenProcessed) {
+  expect_failed_once([](Wire& wire, const std::string&) {
+    wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    const std::string chunk = "10000\r\n" + std::string(0x10000, 'x') + "\r\n";
+    for (int i = 0; i < 40 && wire.write(chunk); ++i) {
+    }
+    return false;
+  });
+}
+
+// The attempt ends when the head has arrived, not with the client's timeout.
+TEST(Outcomes, BodyBeyondTheLimitIsAbandonedAtItsHead) {
+  std::atomic<bool> is_open = true;
+  FakeServer server([&](Wire& wire, const std::string&) {
+    wire.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx");
+    wire.more();  // returns at the node's close
+    is_open = false;
+    return false;
+  });
+  Deployment d({&server});
+  Wire client = d.client();
+  const auto start = std::chrono::steady_clock::now();
+  client.write(Ask{}.text());
+  EXPECT_EQ(status_of(client.read_message()), 502);
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client waits 15 s";
+  EXPECT_TRUE(eventually([&] { return !is_open; }));
+}
+
+TEST(Outcomes, InterimResponsesAreSkipped) {
+  FakeServer server([](Wire& wire, const std::string&) {
+    return wire.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" +
+                      http_answer(200, "ok"));
+  });
+  Deployment d({&server});
+  Wire client = d.client();
+  for (int i = 0; i < 2; ++i) {
+    client.write(Ask{.id = "r" + std::to_string(i)}.text());
+    EXPECT_EQ(body_of(client.read_message()), "ok");
+  }
+  EXPECT_EQ(server.listener().accepted(), 1);
+}
+
+TEST(Outcomes, SplitChunkedResponseIsReassembled) {
+  FakeServer server([](Wire& wire, const std::string&) {
+    for (const char c : std::string(
+             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")) {
+      if (!wire.write(std::string(1, c))) return false;
+    }
+    return true;
+  });
+  Deployment d({&server});
+  Wire client = d.client();
+  for (int i = 0; i < 2; ++i) {
+    client.write(Ask{.id = "r" + std::to_string(i)}.text());
+    EXPECT_EQ(body_of(client.read_message()), "abcde");
+  }
+}
+
+TEST(Outcomes, SurplusBytesAreNotTheNextResponse) {
+  FakeServer server([](Wire& wire, const std::string&) {
+    return wire.write(http_answer(200, "right") + http_answer(200, "wrong"));
+  });
+  Deployment d({&server});
+  Wire client = d.client();
+  for (int i = 0; i < 3; ++i) {
+    client.write(Ask{.id = "r" + std::to_string(i)}.text());
+    EXPECT_EQ(body_of(client.read_message()), "right");
+  }
+}
+
+TEST(Outcomes, ConnectFailureIsNotProcessed) {
+  int port = 0;
+  {
+    FakeServer stopped(replies(200, "x"));
+    port = stopped.listener().port();
+  }
+  FakeDiscovery discovery;
+  ConfigText config;
+  config.discovery = discovery.address();
+  config.known = list(7, true, member("s0", "127.0.0.1:" + std::to_string(port)));
+  Program program(config.text());
+  Wire client = Wire::to(program.port());
+  client.write(Ask{}.text());
+  EXPECT_EQ(status_of(client.read_message()), 503) << "shed, not failed: the request was not processed";
+}
+
+TEST(Outcomes, TimeoutMayHaveBeenProcessedAndClosesTheConnection) {
+  FakeServer server([](Wire&, const std::string&) { return true; });
+  Deployment d({&server});
+  Wire client = d.client();
+  client.write(Ask{.timeout = "300"}.text());
+  EXPECT_EQ(status_of(client.read_message()), 502);
+  EXPECT_EQ(server.requests().size(), 1U);
+  EXPECT_TRUE(eventually([&] { return server.ended() == 1; }));
+}
+
+}  // namespace
+}  // namespace thymewood::node
