--- a/node/connection_pool.h
+++ b/node/connection_pool.h
@@ -64,7 +64,6 @@
   void evict_longest_idle();
 
   [[nodiscard]] const boost::asio::ip::tcp::endpoint& endpoint() const { return endpoint_; }
-  [[nodiscard]] UpstreamContext& context() const { return *context_; }
 
  private:
   enum class Origin { kConnected, kReleased };  // how a connection becomes free
