--- a/bench/membership/main.cpp
+++ b/bench/membership/main.cpp
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "membership_net.h"
+#include "simulated_network.h"
 
 namespace {
 
--- a/bench/membership/membership_net.h
+++ b/bench/membership/simulated_network.h
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "detector.h"
-#include "view.h"
+#include "replica_set_view.h"
 
 namespace thymewood::membership {
 
--- a/membership/codec.h
+++ b/membership/codec.h
@@ -19,7 +19,7 @@
 #include <string_view>
 #include <vector>
 
-#include "record.h"
+#include "member_record.h"
 
 namespace thymewood::membership {
 
--- a/membership/detector.h
+++ b/membership/detector.h
@@ -30,8 +30,8 @@
 #include <vector>
 
 #include "codec.h"
-#include "record.h"
-#include "rumors.h"
+#include "member_record.h"
+#include "gossip_queue.h"
 
 namespace thymewood::membership {
 
--- a/membership/rumors.cpp
+++ b/membership/gossip_queue.cpp
@@ -1,4 +1,4 @@
-#include "rumors.h"
+#include "gossip_queue.h"
 
 namespace thymewood::membership {
 
--- a/membership/rumors.h
+++ b/membership/gossip_queue.h
@@ -10,7 +10,7 @@
 #include <tuple>
 #include <vector>
 
-#include "record.h"
+#include "member_record.h"
 
 namespace thymewood::membership {
 
--- a/membership/isolation.h
+++ b/membership/isolation.h
@@ -8,7 +8,7 @@
 
 #include <deque>
 
-#include "view.h"
+#include "replica_set_view.h"
 
 namespace thymewood::membership {
 
--- a/membership/view.cpp
+++ b/membership/replica_set_view.cpp
@@ -1,4 +1,4 @@
-#include "view.h"
+#include "replica_set_view.h"
 
 #include <algorithm>
 
--- a/node/peers.h
+++ b/node/peers.h
@@ -14,7 +14,7 @@
 
 #include "clock.h"
 #include "detector.h"
-#include "view.h"
+#include "replica_set_view.h"
 
 namespace thymewood::node {
 
--- a/operators/operators_file.h
+++ b/operators/operators_file.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "detector.h"
-#include "view.h"
+#include "replica_set_view.h"
 
 namespace thymewood::operators {
 
--- a/tests/membership/codec_test.cpp
+++ b/tests/membership/codec_test.cpp
@@ -8,7 +8,7 @@
 #include <map>
 #include <random>
 
-#include "rumors.h"
+#include "gossip_queue.h"
 
 namespace thymewood::membership {
 namespace {
--- a/tests/membership/detector_test.cpp
+++ b/tests/membership/detector_test.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <map>
 
-#include "membership_net.h"
+#include "simulated_network.h"
 
 namespace thymewood::membership {
 namespace {
--- a/tests/membership/view_test.cpp
+++ b/tests/membership/replica_set_view_test.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <numeric>
 
-#include "membership_net.h"
+#include "simulated_network.h"
 #include "thymewood/balancer.h"
 
 namespace thymewood::membership {
