--- /dev/null
+++ b/adapter/event_reader.cpp
@@ -0,0 +1,103 @@
+#include "event_reader.h"
+
+#include <string>
+#include <utility>
+
+namespace thymewood::adapter {
+namespace {
+
+using json::Value;
+
+Outcome read_outcome(std::string_view name) {
+  if (name == "delivered") return Outcome::kSuccess;
+  if (name == "app_error") return Outcome::kError;
+  if (name == "shed") return Outcome::kRejected;
+  if (name == "expired") return Outcome::kTimedOut;
+  if (name == "dial_failed") return Outcome::kConnectFailed;
+  if (name == "dropped") return Outcome::kReset;
+  if (name == "revoked") return Outcome::kCancelled;
+  if (name == "unused") return Outcome::kNotSent;
+  return Outcome::kUnknown;
+}
+
+EndpointState read_endpoint_state(const Value& in) {
+  const std::string_view mode = json::text(in, "mode");
+  if (mode == "Ready") return EndpointState::kReady;
+  if (mode == "Terminating") return EndpointState::kDraining;
+  if (mode == "Gone") return EndpointState::kRemoved;
+  json::wrong("mode", "Ready, Terminating or Gone");
+}
+
+Endpoint read_endpoint(const Value& in) {
+  Endpoint out;
+  out.address = json::text(in, "server");
+  out.zone = json::whole_or(in, "rackZone", 0);
+  out.cell = json::whole_or(in, "pack", 0);
+  out.weight = json::number_or(in, "units", 1);
+  out.started_at = json::number_or(in, "since", 0);
+  out.state = read_endpoint_state(in);
+  return out;
+}
+
+Request read_request(const Value& in) {
+  // Bits of `opts`.
+  constexpr int kHasWork = 1;
+  constexpr int kIsClientRetry = 2;
+  Request out;
+  out.id = json::text(in, "txn");
+  out.tenant = json::index_or_zero(in, "account");
+  out.request_class = json::index_or_zero(in, "profile");
+  out.time_left = json::number(in, "timeLeft");
+  const int options = json::whole_or(in, "opts", 0);
+  if ((options & kHasWork) != 0 && json::find(in, "cost") != nullptr) out.work = json::number(in, "cost");
+  out.is_client_retry = (options & kIsClientRetry) != 0;
+  return out;
+}
+
+AttemptResult read_attempt_result(const Value& in) {
+  return {std::string(json::text(in, "txn")), json::whole_or(in, "try", 0),
+          read_outcome(json::text(in, "outcome")), json::number_or(in, "lag", 0), json::flag(in, "doneFlag")};
+}
+
+ResponseStarted read_response_started(const Value& in) {
+  return {std::string(json::text(in, "txn")), json::whole_or(in, "try", 0), json::number_or(in, "lag", 0)};
+}
+
+}  // namespace
+
+void EventReader::read_endpoint_list(const Value& item) {
+  std::vector<Endpoint> endpoints;
+  for (const Value& entry : json::array(item, "nodesList").GetArray())
+    endpoints.push_back(read_endpoint(entry));
+  lists_[json::whole(item, "sheet")] = std::move(endpoints);
+}
+
+std::optional<Event> EventReader::read_event(std::string_view kind, const Value& item) const {
+  if (kind == "QUERY") return read_request(item);
+  if (kind == "DONE") return read_attempt_result(item);
+  if (kind == "FIRED") return TimerFired{json::token(item, "keyBack")};
+  if (kind == "GONE") return RequestAbandoned{std::string(json::text(item, "txn"))};
+  if (kind == "DIRECTORY_UPDATE") return read_endpoint_update(item);
+  if (kind == "ACK_FIRST") return read_response_started(item);
+  return std::nullopt;
+}
+
+EndpointUpdate EventReader::read_endpoint_update(const Value& item) const {
+  const std::string_view form = json::text(item, "form");
+  EndpointUpdate out;
+  if (form == "X") {
+    out.form = EndpointUpdate::Form::kFailed;
+    return out;
+  }
+  if (form == "D") {
+    out.form = EndpointUpdate::Form::kDelta;
+  } else if (form != "F" && form != "C") {
+    json::wrong("form", "D, F, C or X");
+  }
+  const auto list = lists_.find(json::whole(item, "sheet"));
+  if (list == lists_.end()) json::wrong("sheet", "the number of a list that was sent");
+  out.endpoints = list->second;
+  return out;
+}
+
+}  // namespace thymewood::adapter
--- /dev/null
+++ b/adapter/reply_writer.h
@@ -0,0 +1,28 @@
+// Writes the reply to one batch of the simulator: the actions of each balancer, as one line of JSON.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "rapidjson/stringbuffer.h"
+#include "rapidjson/writer.h"
+#include "thymewood/actions.h"
+
+namespace thymewood::adapter {
+
+class ReplyWriter {
+ public:
+  void begin(std::uint64_t turn);
+  // `fault`: the exception of the balancer, if any.
+  void write_node(int id, const std::vector<Action>& actions, const std::optional<std::string>& fault);
+  // Valid until the next begin().
+  const rapidjson::StringBuffer& finish();
+
+ private:
+  rapidjson::StringBuffer buffer_;
+  rapidjson::Writer<rapidjson::StringBuffer> writer_;
+};
+
+}  // namespace thymewood::adapter
--- a/include/thymewood/settings.h
+++ b/include/thymewood/settings.h
@@ -68,9 +68,11 @@
   // `field`: the setting, as in Settings. `requirement`: what it has to be.
   InvalidSettings(std::string field, const std::string& requirement);
   const std::string& field() const { return field_; }
+  const std::string& requirement() const { return requirement_; }
 
  private:
   std::string field_;
+  std::string requirement_;
 };
 
 // Throws InvalidSettings for the first field that is out of its range.
--- /dev/null
+++ b/json/field_reader.cpp
@@ -0,0 +1,90 @@
+#include "field_reader.h"
+
+#include <utility>
+
+#include "rapidjson/error/en.h"
+
+namespace thymewood::json {
+
+SyntaxError::SyntaxError(const std::string& problem, std::size_t offset)
+    : MessageError("not valid JSON: " + problem + " at byte " + std::to_string(offset)), offset_(offset) {}
+
+FieldError::FieldError(std::string field, std::string reason, const std::string& message)
+    : MessageError(message), field_(std::move(field)), reason_(std::move(reason)) {}
+
+void require_valid(const rapidjson::Document& document) {
+  if (document.HasParseError())
+    throw SyntaxError(rapidjson::GetParseError_En(document.GetParseError()), document.GetErrorOffset());
+}
+
+const Value* find(const Value& object, const char* field) {
+  if (!object.IsObject())
+    throw FieldError(field, "not an object",
+                     std::string("not an object where field '") + field + "' belongs");
+  const auto it = object.FindMember(field);
+  return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
+}
+
+const Value& need(const Value& object, const char* field) {
+  const Value* value = find(object, field);
+  if (value == nullptr) throw FieldError(field, "missing", std::string("field '") + field + "' is missing");
+  return *value;
+}
+
+void wrong(const char* field, const char* wanted) {
+  const std::string reason = std::string("is not ") + wanted;
+  throw FieldError(field, reason, std::string("field '") + field + "' " + reason);
+}
+
+double number(const Value& object, const char* field) {
+  const Value& value = need(object, field);
+  if (!value.IsNumber()) wrong(field, "a number");
+  return value.GetDouble();
+}
+
+double number_or(const Value& object, const char* field, double otherwise) {
+  return find(object, field) == nullptr ? otherwise : number(object, field);
+}
+
+int whole(const Value& object, const char* field) {
+  const Value& value = need(object, field);
+  if (value.IsInt()) return value.GetInt();
+  wrong(field, "a whole number in range");
+}
+
+int whole_or(const Value& object, const char* field, int otherwise) {
+  return find(object, field) == nullptr ? otherwise : whole(object, field);
+}
+
+std::size_t index_or_zero(const Value& object, const char* field) {
+  const int value = whole_or(object, field, 0);
+  if (value < 0) wrong(field, "a whole number in range");
+  return static_cast<std::size_t>(value);
+}
+
+bool flag(const Value& object, const char* field) {
+  const Value* value = find(object, field);
+  if (value == nullptr) return false;
+  if (!value->IsBool()) wrong(field, "true or false");
+  return value->GetBool();
+}
+
+std::string_view text(const Value& object, const char* field) {
+  const Value& value = need(object, field);
+  if (!value.IsString()) wrong(field, "a string");
+  return {value.GetString(), value.GetStringLength()};
+}
+
+std::uint64_t token(const Value& object, const char* field) {
+  const Value& value = need(object, field);
+  if (!value.IsUint64()) wrong(field, "a whole number from 0");
+  return value.GetUint64();
+}
+
+const Value& array(const Value& object, const char* field) {
+  const Value& value = need(object, field);
+  if (!value.IsArray()) wrong(field, "an array");
+  return value;
+}
+
+}  // namespace thymewood::json
--- a/json/settings_reader.cpp
+++ b/json/settings_reader.cpp
@@ -1,139 +1,178 @@
 #include "settings_reader.h"
 
 #include <string>
+#include <string_view>
 
 namespace thymewood::json {
+namespace {
 
-const Value* find(const Value& object, const char* field) {
-  if (!object.IsObject()) throw BadMessage(std::string("not an object where field '") + field + "' belongs");
-  const auto it = object.FindMember(field);
-  return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
-}
-
-const Value& need(const Value& object, const char* field) {
-  const Value* value = find(object, field);
-  if (value == nullptr) throw BadMessage(std::string("field '") + field + "' is missing");
-  return *value;
-}
-
-[[noreturn]] void wrong(const char* field, const char* wanted) {
-  throw BadMessage(std::string("field '") + field + "' is not " + wanted);
+namespace key {
+
+constexpr const char* kReplicaIndex = "position";
+constexpr const char* kReplicaCount = "peersTotal";
+constexpr const char* kTier = "stage";
+constexpr const char* kZone = "zone";
+constexpr const char* kClockGranularity = "granularity";
+constexpr const char* kOverQuotaWeight = "overShareWorth";
+constexpr const char* kWatchMode = "registryMode";
+
+constexpr const char* kClasses = "categories";
+constexpr const char* kLatencyObjective = "aim";
+constexpr const char* kLatencyObjectivePerWork = "aimStretch";
+constexpr const char* kClientTimeout = "giveUp";
+constexpr const char* kLateValue = "lateWorth";
+constexpr const char* kIdempotency = "effect";
+constexpr const char* kDedupScope = "group";
+constexpr const char* kDedupWindow = "dedupWindow";
+
+constexpr const char* kTenants = "realms";
+constexpr const char* kQuota = "allowancePerS";
+
+constexpr const char* kBounds = "bounds";
+constexpr const char* kMaxAttempts = "maxAttempts";
+constexpr const char* kCanHedge = "secondCopies";
+constexpr const char* kCanCancel = "cancel";
+constexpr const char* kHonorsRetryAfter = "retryAfter";
+constexpr const char* kMaxRetryAfter = "maxRetryAfter";
+
+constexpr const char* kRules = "rules";
+constexpr const char* kPollInterval = "askWithin";
+constexpr const char* kSlowStartMinCapacity = "startCapacity";
+constexpr const char* kSlowStartWindow = "rampTime";
+
+constexpr const char* kCosts = "fees";
+constexpr const char* kCrossZoneCost = "crossZone";
+
+}  // namespace key
+
+// A field of Settings and where it stands on the wire.
+struct WireKey {
+  std::string_view field;
+  const char* parent;  // empty: at the top
+  const char* key;
+};
+
+constexpr WireKey kWireKeys[] = {
+    {"replica_index", "", key::kReplicaIndex},
+    {"replica_count", "", key::kReplicaCount},
+    {"tier", "", key::kTier},
+    {"clock_granularity", "", key::kClockGranularity},
+    {"over_quota_weight", "", key::kOverQuotaWeight},
+    {"max_attempts", key::kBounds, key::kMaxAttempts},
+    {"max_retry_after", key::kBounds, key::kMaxRetryAfter},
+    {"poll_interval", key::kRules, key::kPollInterval},
+    {"slow_start_min_capacity", key::kRules, key::kSlowStartMinCapacity},
+    {"slow_start_window", key::kRules, key::kSlowStartWindow},
+    {"cross_zone_cost", key::kCosts, key::kCrossZoneCost},
+    {"classes[].idempotency", "categories[]", key::kIdempotency},
+    {"classes[].dedup_scope", "categories[]", key::kDedupScope},
+    {"classes[].latency_objective", "categories[]", key::kLatencyObjective},
+    {"classes[].latency_objective_per_work", "categories[]", key::kLatencyObjectivePerWork},
+    {"classes[].client_timeout", "categories[]", key::kClientTimeout},
+    {"classes[].late_value", "categories[]", key::kLateValue},
+    {"classes[].dedup_window", "categories[]", key::kDedupWindow},
+    {"tenants[].quota", "realms[]", key::kQuota}};
+
+std::string path_of(const WireKey& entry) {
+  const std::string parent = entry.parent;
+  return parent.empty() ? entry.key : parent + "." + entry.key;
 }
 
-double number(const Value& object, const char* field) {
-  const Value& value = need(object, field);
-  if (!value.IsNumber()) wrong(field, "a number");
-  return value.GetDouble();
+std::string wire_path_of(const std::string& field) {
+  for (const WireKey& entry : kWireKeys) {
+    if (entry.field == field) return path_of(entry);
+  }
+  return field;
 }
 
-double number_or(const Value& object, const char* field, double otherwise) {
-  return find(object, field) == nullptr ? otherwise : number(object, field);
+// A requirement may refer to the replica count.
+std::string wire_requirement_of(std::string requirement) {
+  constexpr std::string_view kField = "replica_count";
+  const std::size_t at = requirement.find(kField);
+  if (at != std::string::npos) requirement.replace(at, kField.size(), key::kReplicaCount);
+  return requirement;
 }
 
-int whole(const Value& object, const char* field) {
-  const Value& value = need(object, field);
-  if (value.IsInt()) return value.GetInt();
-  wrong(field, "a whole number in range");
+Idempotency read_idempotency(const Value& in) {
+  const std::string_view word = text(in, key::kIdempotency);
+  if (word == "safe") return Idempotency::kIdempotent;
+  if (word == "keyed") return Idempotency::kIdempotentWithKey;
+  if (word == "unsafe") return Idempotency::kNotIdempotent;
+  throw UnknownWord("categories[].effect", std::string(word));
 }
 
-int whole_or(const Value& object, const char* field, int otherwise) {
-  return find(object, field) == nullptr ? otherwise : whole(object, field);
+DedupScope read_dedup_scope(const Value& in) {
+  const std::string_view word = text(in, key::kDedupScope);
+  if (word == "all") return DedupScope::kAll;
+  if (word == "zone") return DedupScope::kZone;
+  if (word == "cell") return DedupScope::kCell;
+  throw UnknownWord("categories[].group", std::string(word));
 }
 
-std::size_t index_or_zero(const Value& object, const char* field) {
-  const int value = whole_or(object, field, 0);
-  if (value < 0) wrong(field, "a whole number in range");
-  return static_cast<std::size_t>(value);
+RequestClass read_class(const Value& in) {
+  RequestClass out;
+  out.latency_objective = number(in, key::kLatencyObjective);
+  out.latency_objective_per_work = number_or(in, key::kLatencyObjectivePerWork, 0);
+  out.client_timeout = number(in, key::kClientTimeout);
+  out.late_value = number_or(in, key::kLateValue, 0);
+  out.idempotency = read_idempotency(in);
+  if (out.idempotency == Idempotency::kIdempotentWithKey) {
+    out.dedup_scope = read_dedup_scope(in);
+    out.dedup_window = number_or(in, key::kDedupWindow, 0);
+  }
+  return out;
 }
 
-bool flag(const Value& object, const char* field) {
-  const Value* value = find(object, field);
-  if (value == nullptr) return false;
-  if (!value->IsBool()) wrong(field, "true or false");
-  return value->GetBool();
+Tenant read_tenant(const Value& in) {
+  Tenant out;
+  if (find(in, key::kQuota) != nullptr) out.quota = number(in, key::kQuota);
+  return out;
 }
 
-std::string_view text(const Value& object, const char* field) {
-  const Value& value = need(object, field);
-  if (!value.IsString()) wrong(field, "a string");
-  return {value.GetString(), value.GetStringLength()};
+void read_bounds(const Value& in, Settings& out) {
+  out.max_attempts = whole_or(in, key::kMaxAttempts, 1);
+  out.can_hedge = flag(in, key::kCanHedge);
+  out.can_cancel = flag(in, key::kCanCancel);
+  out.max_retry_after = flag(in, key::kHonorsRetryAfter) ? number_or(in, key::kMaxRetryAfter, 0) : 0;
 }
 
-std::uint64_t token(const Value& object, const char* field) {
-  const Value& value = need(object, field);
-  if (!value.IsUint64()) wrong(field, "a whole number from 0");
-  return value.GetUint64();
+void read_rules(const Value& in, Settings& out) {
+  out.poll_interval = number_or(in, key::kPollInterval, 0);
+  out.slow_start_min_capacity = number_or(in, key::kSlowStartMinCapacity, 1);
+  out.slow_start_window = number_or(in, key::kSlowStartWindow, 0);
 }
 
-const Value& array(const Value& object, const char* field) {
-  const Value& value = need(object, field);
-  if (!value.IsArray()) wrong(field, "an array");
-  return value;
-}
+}  // namespace
 
-namespace {
+UnknownWord::UnknownWord(const std::string& key, const std::string& word)
+    : std::invalid_argument(key + ": '" + word + "' is unknown"), key_(key), word_(word) {}
 
-RequestClass read_class(const Value& in) {
-  RequestClass out;
-  out.latency_objective = number(in, "aim");
-  out.latency_objective_per_work = number_or(in, "aimStretch", 0);
-  out.client_timeout = number(in, "giveUp");
-  out.late_value = number_or(in, "lateWorth", 0);
-  const std::string_view idempotency = text(in, "effect");
-  if (idempotency == "safe") {
-    out.idempotency = Idempotency::kIdempotent;
-  } else if (idempotency == "keyed") {
-    out.idempotency = Idempotency::kIdempotentWithKey;
-    const std::string_view group = text(in, "group");
-    if (group == "all") {
-      out.dedup_scope = DedupScope::kAll;
-    } else if (group == "zone") {
-      out.dedup_scope = DedupScope::kZone;
-    } else if (group == "cell") {
-      out.dedup_scope = DedupScope::kCell;
-    } else {
-      throw std::invalid_argument("categories[].group: '" + std::string(group) + "' is unknown");
-    }
-    out.dedup_window = number_or(in, "dedupWindow", 0);
-  } else if (idempotency == "unsafe") {
-    out.idempotency = Idempotency::kNotIdempotent;
-  } else {
-    throw std::invalid_argument("categories[].effect: '" + std::string(idempotency) + "' is unknown");
+Settings read_settings(const Value& in) {
+  Settings out;
+  out.replica_index = whole(in, key::kReplicaIndex);
+  out.replica_count = whole(in, key::kReplicaCount);
+  out.tier = whole_or(in, key::kTier, 0);
+  out.zone = whole_or(in, key::kZone, 0);
+  out.clock_granularity = number_or(in, key::kClockGranularity, 0);
+  for (const Value& item : array(in, key::kClasses).GetArray()) out.classes.push_back(read_class(item));
+  if (find(in, key::kTenants) != nullptr) {
+    for (const Value& item : array(in, key::kTenants).GetArray()) out.tenants.push_back(read_tenant(item));
   }
+  out.over_quota_weight = number_or(in, key::kOverQuotaWeight, 1);
+  read_bounds(need(in, key::kBounds), out);
+  out.uses_watch = find(in, key::kWatchMode) != nullptr && text(in, key::kWatchMode) == "subscribe";
+  if (const Value* rules = find(in, key::kRules)) read_rules(*rules, out);
+  if (const Value* costs = find(in, key::kCosts))
+    out.cross_zone_cost = number_or(*costs, key::kCrossZoneCost, 0);
   return out;
 }
 
-}  // namespace
-
-Settings read_settings(const Value& in) {
-  Settings out;
-  out.replica_index = whole(in, "position");
-  out.replica_count = whole(in, "peersTotal");
-  out.tier = whole_or(in, "stage", 0);
-  out.zone = whole_or(in, "zone", 0);
-  out.clock_granularity = number_or(in, "granularity", 0);
-  for (const Value& item : array(in, "categories").GetArray()) out.classes.push_back(read_class(item));
-  if (find(in, "realms") != nullptr) {
-    for (const Value& item : array(in, "realms").GetArray()) {
-      Tenant tenant;
-      if (find(item, "allowancePerS") != nullptr) tenant.quota = number(item, "allowancePerS");
-      out.tenants.push_back(tenant);
-    }
-  }
-  out.over_quota_weight = number_or(in, "overShareWorth", 1);
-  const Value& bounds = need(in, "bounds");
-  out.max_attempts = whole_or(bounds, "maxAttempts", 1);
-  out.can_hedge = flag(bounds, "secondCopies");
-  out.can_cancel = flag(bounds, "cancel");
-  out.max_retry_after = flag(bounds, "retryAfter") ? number_or(bounds, "maxRetryAfter", 0) : 0;
-  out.uses_watch = find(in, "registryMode") != nullptr && text(in, "registryMode") == "subscribe";
-  if (const Value* rules = find(in, "rules")) {
-    out.poll_interval = number_or(*rules, "askWithin", 0);
-    out.slow_start_min_capacity = number_or(*rules, "startCapacity", 1);
-    out.slow_start_window = number_or(*rules, "rampTime", 0);
+void validate_settings(const Settings& settings) {
+  try {
+    validate(settings);
+  } catch (const InvalidSettings& problem) {
+    throw InvalidSettings(wire_path_of(problem.field()), wire_requirement_of(problem.requirement()));
   }
-  if (const Value* fees = find(in, "fees")) out.cross_zone_cost = number_or(*fees, "crossZone", 0);
-  return out;
 }
 
 }  // namespace thymewood::json
--- a/json/settings_reader.h
+++ b/json/settings_reader.h
@@ -1,39 +1,31 @@
-// Reads fields of JSON objects, and the settings, which the bench's wire and a real node's configuration
-// hold in the same form.
+// Maps the settings' keys on the wire, which the simulator's protocol and a node's configuration share, to
+// Settings. The keys' names appear here and nowhere else.
 #pragma once
 
-#include <cstdint>
 #include <stdexcept>
-#include <string_view>
+#include <string>
 
-#include "rapidjson/document.h"
-#include "thymewood/balancer.h"
+#include "field_reader.h"
+#include "thymewood/settings.h"
 
 namespace thymewood::json {
 
-using Value = rapidjson::Value;
+// A key has a word that is not in its list.
+class UnknownWord : public std::invalid_argument {
+ public:
+  UnknownWord(const std::string& key, const std::string& word);
+  [[nodiscard]] const std::string& key() const { return key_; }
+  [[nodiscard]] const std::string& word() const { return word_; }
 
-// What is wrong with a message; the text names the field.
-struct BadMessage : std::runtime_error {
-  using std::runtime_error::runtime_error;
+ private:
+  std::string key_;
+  std::string word_;
 };
 
-// A field that is missing or null is not there.
-const Value* find(const Value& object, const char* field);
-const Value& need(const Value& object, const char* field);
-[[noreturn]] void wrong(const char* field, const char* wanted);
-
-double number(const Value& object, const char* field);
-double number_or(const Value& object, const char* field, double otherwise);
-int whole(const Value& object, const char* field);
-int whole_or(const Value& object, const char* field, int otherwise);
-std::size_t index_or_zero(const Value& object, const char* field);
-bool flag(const Value& object, const char* field);
-std::string_view text(const Value& object, const char* field);
-std::uint64_t token(const Value& object, const char* field);
-const Value& array(const Value& object, const char* field);
-
-// Throws BadMessage, or std::invalid_argument for a word that is not known.
-Settings read_settings(const Value& in);
+// Throws FieldError or UnknownWord. Ranges are checked by validate_settings().
+[[nodiscard]] Settings read_settings(const Value& in);
+
+// Like thymewood::validate(), but InvalidSettings names the key as it is written on the wire.
+void validate_settings(const Settings& settings);
 
 }  // namespace thymewood::json
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -23,6 +23,7 @@
 #include "frontend.h"
 #include "operators_file.h"
 #include "peers.h"
+#include "settings_reader.h"
 #include "upstream.h"
 
 namespace {
@@ -152,6 +153,7 @@
   // Where lists are pushed the whole one costs nothing, and is there whether or not anything has changed.
   if (settings.uses_watch && !config.known.members.empty()) discovery.set_index(config.known.index);
   try {
+    thymewood::json::validate_settings(settings);
     node::Dispatcher dispatcher(io, clock, settings, config.seed, config.max_open, upstream,
                                 {[&discovery] { discovery.watch(); }, [&discovery] { discovery.refresh(); }});
     to = &dispatcher;
--- a/policy/settings.cpp
+++ b/policy/settings.cpp
@@ -30,7 +30,9 @@
 }  // namespace
 
 InvalidSettings::InvalidSettings(std::string field, const std::string& requirement)
-    : std::invalid_argument("thymewood settings: " + field + " " + requirement), field_(std::move(field)) {}
+    : std::invalid_argument("thymewood settings: " + field + " " + requirement),
+      field_(std::move(field)),
+      requirement_(requirement) {}
 
 void validate(const Settings& s) {
   require(s.replica_count > 0, "replica_count", "must be above 0");
--- a/tests/adapter/simulator_adapter_test.cpp
+++ b/tests/adapter/simulator_adapter_test.cpp
@@ -1,4 +1,4 @@
-// The adapter as a program: a conversation, bad lines, and one process against three.
+// The adapter as a program: batches, errors, and the independence of instances in one process.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -12,32 +12,32 @@
 
 namespace {
 
-struct Ran {
+struct Result {
   std::vector<std::string> lines;
   std::string errors;
   int code = 0;
 };
 
-std::string slurp(const std::string& path) {
+std::string read_file(const std::string& path) {
   std::ifstream in(path);
   std::stringstream out;
   out << in.rdbuf();
   return out.str();
 }
 
-Ran run(const std::vector<std::string>& lines) {
-  const std::string base = testing::TempDir() + "/wirehost_" + std::to_string(getpid());
+Result run(const std::vector<std::string>& lines) {
+  const std::string base = testing::TempDir() + "/simulator_adapter_" + std::to_string(getpid());
   {
     std::ofstream in(base + ".in");
     for (const std::string& line : lines) in << line << '\n';
   }
   const std::string command =
-      std::string(WIREHOST) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
-  Ran out;
+      std::string(SIMULATOR_ADAPTER) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
+  Result out;
   out.code = WEXITSTATUS(std::system(command.c_str()));
-  std::istringstream answers(slurp(base + ".out"));
+  std::istringstream answers(read_file(base + ".out"));
   for (std::string line; std::getline(answers, line);) out.lines.push_back(line);
-  out.errors = slurp(base + ".err");
+  out.errors = read_file(base + ".err");
   for (const char* end : {".in", ".out", ".err"}) std::remove((base + end).c_str());
   return out;
 }
@@ -66,8 +66,8 @@
 
 bool has(const std::string& line, const std::string& part) { return line.find(part) != std::string::npos; }
 
-TEST(Adapter, HoldsAConversation) {
-  const Ran r = run({
+TEST(SimulatorAdapter, AnswersEachBatch) {
+  const Result r = run({
       batch(1, 1, ""),
       batch(2, 1.5, open_node(4)),
       batch(3, 2, R"({"who":4,"news":[{"kind":"QUERY","txn":"a","profile":0,"timeLeft":2,"later":[1]}]})"),
@@ -86,20 +86,20 @@
   EXPECT_EQ(r.lines[4], R"({"turn":5,"nodes":[]})");
 }
 
-TEST(Adapter, StopsAndStartsWithinABatch) {
+TEST(SimulatorAdapter, RestartsAnInstanceWithinABatch) {
   const std::string query = R"(,{"kind":"QUERY","txn":"a","profile":0,"timeLeft":2})";
   std::string node = open_node(1, query);
   node.insert(node.find("{\"kind\":\"OPEN"),
               R"({"kind":"QUERY","txn":"old","timeLeft":2},{"kind":"POWER_OFF"},)");
-  const Ran r = run({batch(1, 1, open_node(1)), batch(2, 2, node)});
+  const Result r = run({batch(1, 1, open_node(1)), batch(2, 2, node)});
   EXPECT_EQ(r.code, 0) << r.errors;
   ASSERT_EQ(r.lines.size(), 2U);
-  EXPECT_FALSE(has(r.lines[1], "\"old\"")) << "what the stopped instance held is void";
+  EXPECT_FALSE(has(r.lines[1], "\"old\"")) << "the actions of the stopped instance are dropped";
   EXPECT_TRUE(has(r.lines[1], R"("txn":"a")"));
 }
 
-TEST(Adapter, ListNumbersAreReusedWithinABatch) {
-  const Ran r = run(
+TEST(SimulatorAdapter, EndpointListNumbersAreReusedWithinABatch) {
+  const Result r = run(
       {batch(1, 1, open_node(1)),
        batch(
            2, 2,
@@ -111,45 +111,49 @@
   EXPECT_TRUE(has(r.lines[1], R"("server":"c:1")"));
 }
 
-TEST(Adapter, SaysWhatIsWrongWithALine) {
-  const auto fails = [](const std::string& line, const std::string& turn, const std::string& part) {
-    const Ran r = run({line});
+TEST(SimulatorAdapter, ReportsTheLineTurnAndFieldOfAnError) {
+  const auto expect_error = [](const std::string& line, const std::string& turn, const std::string& part) {
+    const Result r = run({line});
     EXPECT_NE(r.code, 0);
     EXPECT_TRUE(r.lines.empty());
-    EXPECT_TRUE(has(r.errors, "thymewood_wirehost: line 1, turn " + turn + ": ")) << r.errors;
+    EXPECT_TRUE(has(r.errors, "thymewood_simulator_adapter: line 1, turn " + turn + ": ")) << r.errors;
     EXPECT_EQ(std::count(r.errors.begin(), r.errors.end(), '\n'), 1) << r.errors;
     EXPECT_TRUE(has(r.errors, part)) << r.errors;
   };
-  fails("{\"turn\":", "unknown", "not valid JSON");
-  fails("[1]", "unknown", "not an object");
-  fails(R"({"turn":7,"nodes":[]})", "7", "'clock'");
-  fails(R"({"turn":7,"clock":1})", "7", "'nodes'");
-  fails(batch(7, 1, R"({"news":[]})"), "7", "'who'");
-  fails(batch(7, 1, R"({"who":1,"news":[{"txn":"a"}]})"), "7", "'kind'");
-  fails(batch(7, 1, R"({"who":1,"news":[{"kind":"OPEN_INSTANCE","initSeed":1}]})"), "7", "'config'");
-  fails(batch(7, 1, open_node(1, R"(,{"kind":"QUERY","timeLeft":1})")), "7", "'txn'");
-  fails(batch(7, 1, open_node(1, R"(,{"kind":"QUERY","txn":"a"})")), "7", "'timeLeft'");
-  fails(batch(7, 1, open_node(1, R"(,{"kind":"QUERY","txn":"a","timeLeft":1,"account":-1})")), "7",
-        "'account'");
-  fails(batch(7, 1, open_node(1, R"(,{"kind":"DONE","txn":"a","try":"x","outcome":"delivered"})")), "7",
-        "'try'");
-  fails(batch(7, 1, open_node(1, R"(,{"kind":"DIRECTORY_UPDATE","form":"F","sheet":9})")), "7", "'sheet'");
-  fails(batch(7, 1, open_node(1, R"(,{"kind":"DIRECTORY_UPDATE","form":"Q","sheet":3})")), "7", "'form'");
+  expect_error("{\"turn\":", "unknown", "not valid JSON");
+  expect_error("[1]", "unknown", "not an object");
+  expect_error(R"({"turn":7,"nodes":[]})", "7", "'clock'");
+  expect_error(R"({"turn":7,"clock":1})", "7", "'nodes'");
+  expect_error(batch(7, 1, R"({"news":[]})"), "7", "'who'");
+  expect_error(batch(7, 1, R"({"who":1,"news":[{"txn":"a"}]})"), "7", "'kind'");
+  expect_error(batch(7, 1, R"({"who":1,"news":[{"kind":"OPEN_INSTANCE","initSeed":1}]})"), "7", "'config'");
+  expect_error(batch(7, 1, open_node(1, R"(,{"kind":"QUERY","timeLeft":1})")), "7", "'txn'");
+  expect_error(batch(7, 1, open_node(1, R"(,{"kind":"QUERY","txn":"a"})")), "7", "'timeLeft'");
+  expect_error(batch(7, 1, open_node(1, R"(,{"kind":"QUERY","txn":"a","timeLeft":1,"account":-1})")), "7",
+               "'account'");
+  expect_error(batch(7, 1, open_node(1, R"(,{"kind":"DONE","txn":"a","try":"x","outcome":"delivered"})")),
+               "7", "'try'");
+  expect_error(batch(7, 1, open_node(1, R"(,{"kind":"DIRECTORY_UPDATE","form":"F","sheet":9})")), "7",
+               "'sheet'");
+  expect_error(batch(7, 1, open_node(1, R"(,{"kind":"DIRECTORY_UPDATE","form":"Q","sheet":3})")), "7",
+               "'form'");
   const std::string table = R"({"kind":"TABLE","sheet":3,"nodesList":[)";
-  fails(batch(7, 1, R"({"who":1,"news":[)" + table + R"({"server":"a:1","mode":"Odd"}]}]})"), "7", "'mode'");
-  fails(batch(7, 1, R"({"who":1,"news":[)" + table + R"({"mode":"Ready"}]}]})"), "7", "'server'");
-  fails(R"({"turn":-1,"clock":1,"nodes":[]})", "unknown", "'turn'");
-  fails(R"({"turn":"7","clock":1,"nodes":[]})", "unknown", "'turn'");
+  expect_error(batch(7, 1, R"({"who":1,"news":[)" + table + R"({"server":"a:1","mode":"Odd"}]}]})"), "7",
+               "'mode'");
+  expect_error(batch(7, 1, R"({"who":1,"news":[)" + table + R"({"mode":"Ready"}]}]})"), "7", "'server'");
+  expect_error(R"({"turn":-1,"clock":1,"nodes":[]})", "unknown", "'turn'");
+  expect_error(R"({"turn":"7","clock":1,"nodes":[]})", "unknown", "'turn'");
 }
 
-// Unknown outcomes may have run; what is out of range, late or told twice is harmless.
-TEST(Adapter, OddButLegalEventsAreHarmless) {
+// An attempt with an unknown outcome may have run. Events that are out of range, late or repeated are
+// ignored.
+TEST(SimulatorAdapter, IgnoresUnknownAndRepeatedEvents) {
   const std::string odd = R"({"kind":"DONE","txn":"a","try":9,"outcome":"delivered"},)"
                           R"({"kind":"DONE","txn":"never","outcome":"expired"},)"
                           R"({"kind":"QUERY","txn":"b","account":99,"profile":99,"timeLeft":2})";
   const std::string strange = R"({"kind":"DONE","txn":"a","outcome":"from a later wire","lag":0.1})";
   const auto news = [](const std::string& events) { return R"({"who":4,"news":[)" + events + "]}"; };
-  const Ran r =
+  const Result r =
       run({batch(1, 1, open_node(4)), batch(2, 2, news(R"({"kind":"QUERY","txn":"a","timeLeft":2})")),
            batch(3, 2.1, news(odd)), batch(4, 2.2, news(strange)), batch(5, 2.3, news(strange))});
   EXPECT_EQ(r.code, 0) << r.errors;
@@ -159,26 +163,31 @@
   EXPECT_EQ(r.lines[4], R"({"turn":5,"nodes":[]})");
 }
 
-TEST(Adapter, EndOfInputEndsTheProgram) { EXPECT_EQ(run({}).code, 0); }
+TEST(SimulatorAdapter, ExitsAtEndOfInput) { EXPECT_EQ(run({}).code, 0); }
 
-TEST(Adapter, PanicsOnSettingsItCannotUse) {
-  const auto panics = [](const std::string& from, const std::string& to, const std::string& part) {
+TEST(SimulatorAdapter, ReportsInvalidSettingsByTheirWireKey) {
+  const auto expect_panic = [](const std::string& from, const std::string& to, const std::string& part) {
     std::string config = config_text();
     config.replace(config.find(from), from.size(), to);
-    const Ran r = run({batch(1, 1, open_node(2, "", config))});
+    const Result r = run({batch(1, 1, open_node(2, "", config))});
     EXPECT_EQ(r.code, 0);
     ASSERT_EQ(r.lines.size(), 1U);
     EXPECT_TRUE(has(r.lines[0], R"("kind":"PANIC")")) << r.lines[0];
     EXPECT_TRUE(has(r.lines[0], part)) << r.lines[0];
   };
-  panics(R"("peersTotal":1)", R"("peersTotal":0)", "replica_count");
-  panics(R"("position":0)", R"("position":1)", "replica_index");
-  panics(R"("aim":1.0)", R"("aim":-1.0)", "latency_objective");
-  panics(R"("effect":"unsafe")", R"("effect":"odd")", "effect");
+  expect_panic(R"("peersTotal":1)", R"("peersTotal":0)", "thymewood settings: peersTotal must be above 0");
+  expect_panic(R"("position":0)", R"("position":1)",
+               "thymewood settings: position must be from 0 to peersTotal - 1");
+  expect_panic(R"("aim":1.0)", R"("aim":-1.0)", "thymewood settings: categories[].aim must be");
+  expect_panic(R"("giveUp":2.0)", R"("giveUp":-2.0)",
+               "thymewood settings: categories[].giveUp must be a finite number and not negative");
+  expect_panic(R"("maxAttempts":3)", R"("maxAttempts":0)",
+               "thymewood settings: bounds.maxAttempts must be above 0");
+  expect_panic(R"("effect":"unsafe")", R"("effect":"odd")", "categories[].effect: 'odd' is unknown");
 }
 
-// Sharing nothing: the actions of an instance do not depend on who else lives in its process.
-TEST(Adapter, OneProcessOrThreeMakesNoDifference) {
+// The actions of an instance do not depend on the other instances in its process.
+TEST(SimulatorAdapter, InstancesOfOneProcessAreIndependent) {
   const auto lines_for = [](const std::vector<int>& whos) {
     std::vector<std::string> lines;
     std::string nodes;
@@ -198,13 +207,13 @@
     }
     return lines;
   };
-  const Ran together = run(lines_for({0, 1, 2}));
+  const Result together = run(lines_for({0, 1, 2}));
   ASSERT_EQ(together.code, 0) << together.errors;
-  std::vector<Ran> apart;
+  std::vector<Result> apart;
   for (const int who : {0, 1, 2}) apart.push_back(run(lines_for({who})));
   for (std::size_t i = 0; i < together.lines.size(); ++i) {
     std::string joined;
-    for (const Ran& one : apart) {
+    for (const Result& one : apart) {
       const std::string& line = one.lines.at(i);
       const std::size_t start = line.find('[') + 1;
       const std::string inner = line.substr(start, line.rfind(']') - start);
--- a/tests/node/deployments_test.cpp
+++ b/tests/node/deployments_test.cpp
@@ -146,7 +146,7 @@
     {"NoDeadline", R"({"name":"a","aim":1,"effect":"safe"})", kGoodBounds, "giveUp"},
     {"NoAim", R"({"name":"a","giveUp":1,"effect":"safe"})", kGoodBounds, "aim"},
     {"NegativeDeadline", R"({"name":"a","aim":1,"giveUp":-2,"effect":"safe"})", kGoodBounds,
-     "client_timeout"},
+     "giveUp"},
     {"DeadlineNoNumber", R"({"name":"a","aim":1,"giveUp":"2","effect":"safe"})", kGoodBounds, "giveUp"},
     {"DeadlineZero", R"({"name":"a","aim":1,"giveUp":0,"effect":"safe"})", kGoodBounds, nullptr},
     {"DeadlineHuge", R"({"name":"a","aim":1,"giveUp":1e300,"effect":"safe"})", kGoodBounds, nullptr},
@@ -154,7 +154,7 @@
     {"UnknownEffect", R"({"name":"a","aim":1,"giveUp":2,"effect":"maybe"})", kGoodBounds, "effect"},
     {"NoGroup", R"({"name":"a","aim":1,"giveUp":2,"effect":"keyed"})", kGoodBounds, "group"},
     {"NegativeWindow", R"({"name":"a","aim":1,"giveUp":2,"effect":"keyed","group":"all","dedupWindow":-1})",
-     kGoodBounds, "dedup_window"},
+     kGoodBounds, "dedupWindow"},
     {"WindowZero", R"({"name":"a","aim":1,"giveUp":2,"effect":"keyed","group":"all","dedupWindow":0})",
      kGoodBounds, nullptr},
     {"NoClass", "", kGoodBounds, nullptr},
@@ -163,9 +163,9 @@
     {"IdleTiny", kGoodClass, R"("idleClose":0.0001)", nullptr},
     {"IdleHuge", kGoodClass, R"("idleClose":1e300)", "idleClose"},
     {"DialZero", kGoodClass, R"("dialTimeout":0)", "dialTimeout"},
-    {"NoAttempts", kGoodClass, R"("maxAttempts":0)", "max_attempts"},
+    {"NoAttempts", kGoodClass, R"("maxAttempts":0)", "maxAttempts"},
     {"AdviceHuge", kGoodClass, R"("retryAfter":true,"maxRetryAfter":1e300)", nullptr},
-    {"AdviceNegative", kGoodClass, R"("retryAfter":true,"maxRetryAfter":-1)", "max_retry_after"},
+    {"AdviceNegative", kGoodClass, R"("retryAfter":true,"maxRetryAfter":-1)", "maxRetryAfter"},
 };
 
 class Settled : public testing::TestWithParam<Bad> {};
