--- a/fleet_rig/history/views.cpp
+++ b/fleet_rig/history/views.cpp
@@ -19,7 +19,7 @@
 
 bool is_node(const Party& party) { return party.kind == PartyKind::kNode; }
 
-// The value of ` key=value`, empty where the key is absent.
+// The value of `key=value`; empty where the key is absent.
 std::string_view field_of(std::string_view fields, std::string_view key) {
   std::size_t at = 0;
   while (at < fields.size()) {
@@ -220,7 +220,7 @@
 
 std::optional<ObservedView> parse_view(const Record& record) {
   if (record.what != What::kView) return std::nullopt;
-  if (const auto view = parse_fields(record.note)) return view;
+  if (auto view = parse_fields(record.note)) return view;
   return parse_sentence(record.note);
 }
 
--- a/membership/detector.cpp
+++ b/membership/detector.cpp
@@ -56,13 +56,14 @@
   if (delay > kPauseFraction * config_.probe_interval) recover_from_pause(now, delay);
   relay_.on_timer(now);
   prober_.request_indirect_probes_if_due(now);
-  if (const std::optional<NodeId> suspect = prober_.finish_probe_if_due(now)) merger_.accuse(now, *suspect);
+  if (const std::optional<NodeId> suspect = prober_.finish_probe_if_due(now))
+    merger_.report_missing_ack(now, *suspect);
   merger_.expire_suspicions(now);
   prober_.begin_probe_if_due(now);
   return take_outputs();
 }
 
-// While the loop was paused nothing could be received: nobody is to be accused for it, and the pause is
+// While the loop was paused nothing could be received: nobody is to be suspected for it, and the pause is
 // evidence against this node's own health.
 void Detector::recover_from_pause(double now, double duration) {
   counters_.pauses += 1;
--- a/membership/detector_config.cpp
+++ b/membership/detector_config.cpp
@@ -44,7 +44,7 @@
 }
 
 // Each round probes every peer once, so the dead node's turn comes within the length of two rounds; then the
-// suspicion lasts as long as with a single accuser.
+// suspicion lasts as long as with a single reporter.
 double max_time_to_failure(const DetectorConfig& config, std::size_t node_count) {
   const auto others = static_cast<double>(node_count > 1 ? node_count - 1 : 1);
   return (2 * others + 2) * config.probe_interval +
--- a/membership/detector_config.h
+++ b/membership/detector_config.h
@@ -15,8 +15,8 @@
   double ack_timeout_fraction = 0.3;  // of the probe interval; without an ack by then, indirect probes follow
   int indirect_probe_count = 3;       // nodes that are requested to ping in this node's place
   int suspicion_multiplier = 4;       // see min_suspicion_timeout()
-  double max_suspicion_multiplier = 6;  // of the minimum: the suspicion timeout with a single accuser
-  int expected_confirmations = 3;       // further accusers that shorten the timeout to its minimum
+  double max_suspicion_multiplier = 6;  // of the minimum: the suspicion timeout with a single reporter
+  int expected_confirmations = 3;       // further reporters that shorten the timeout to its minimum
   int max_local_health = 8;             // all timeouts are up to 1 + this times longer
   int retransmit_multiplier = 4;        // x log10(nodes): how often a record is piggybacked
   int rejoin_interval = 3;              // probe intervals between two pings of a failed node
--- a/membership/detector_output.h
+++ b/membership/detector_output.h
@@ -30,7 +30,7 @@
   MemberRecord current;
   MemberRecord previous;
   ChangeReason reason = ChangeReason::kHeardDirectly;
-  int accuser_count = 0;  // kSuspicionTimedOut
+  int reporter_count = 0;  // kSuspicionTimedOut
 };
 
 // This node raised its own incarnation above what was claimed of it.
--- a/membership/member_record.h
+++ b/membership/member_record.h
@@ -31,7 +31,7 @@
 
 struct MemberRecord {
   NodeId id = 0;
-  NodeId reported_by = 0;  // the accuser for kSuspect and kFailed, otherwise the node itself
+  NodeId reported_by = 0;  // the reporter for kSuspect and kFailed, otherwise the node itself
   MemberState state = MemberState::kAlive;
   std::uint8_t zone = 0;
   Incarnation incarnation = 0;  // 0: nothing was heard of the node yet
--- a/membership/prober.h
+++ b/membership/prober.h
@@ -3,8 +3,8 @@
 // Peers are probed in an order that is shuffled for each round, so each waits at most two rounds for its turn
 // and no two nodes probe in step. Without an ack in time the peer is pinged again, and other nodes are
 // requested to ping it in this node's place. A peer that has not acked by the end of the interval is probed
-// once more in the next one before it is accused: otherwise random loss in a large replica set causes more
-// accusations than datagrams can carry.
+// once more in the next one before it is suspected: otherwise random loss in a large replica set causes more
+// suspicions than datagrams can carry.
 #pragma once
 
 #include <cstdint>
@@ -39,7 +39,7 @@
   void restart(double now);
 
   void request_indirect_probes_if_due(double now);
-  // Returns the peer to accuse, if any.
+  // Returns the peer to suspect, if any.
   [[nodiscard]] std::optional<NodeId> finish_probe_if_due(double now);
   void begin_probe_if_due(double now);
   [[nodiscard]] double next_deadline() const;
@@ -81,7 +81,7 @@
 
   std::vector<NodeId> round_;  // the peers that are left in this round, next one last
   std::optional<Probe> probe_;
-  std::optional<NodeId> retry_target_;  // was not acked; probed once more before it is accused
+  std::optional<NodeId> retry_target_;  // was not acked; probed once more before it is suspected
   double next_probe_at_ = 0;
   int interval_count_ = 0;
   int sample_size_ = 0;
--- a/membership/record_merger.cpp
+++ b/membership/record_merger.cpp
@@ -35,17 +35,17 @@
     return;
   }
   merge(now, sender, message.sender, false);
-  std::vector<NodeId> accused;
+  std::vector<NodeId> suspected;
   for (const MemberRecord& record : message.records) {
     // Nodes that are not configured here belong to a larger replica set.
     if (!table_.contains(record.id) || record.incarnation == 0) continue;
-    const bool is_first = std::find(accused.begin(), accused.end(), record.id) == accused.end();
-    if (record.state != MemberState::kAlive) accused.push_back(record.id);
+    const bool is_first = std::find(suspected.begin(), suspected.end(), record.id) == suspected.end();
+    if (record.state != MemberState::kAlive) suspected.push_back(record.id);
     merge(now, record, message.sender, is_first);
   }
 }
 
-void RecordMerger::merge(double now, const MemberRecord& record, NodeId sender, bool may_accuse) {
+void RecordMerger::merge(double now, const MemberRecord& record, NodeId sender, bool may_suspect) {
   if (record.id == table_.local_id()) {
     merge_local(record);
     return;
@@ -60,43 +60,43 @@
   const bool is_outdated = record.incarnation < known.incarnation || known.state >= MemberState::kFailed;
   if (is_outdated && !is_newer) return;
   if (is_newer) {
-    // An accusation also shows that this incarnation was alive.
+    // A suspicion also shows that this incarnation was alive.
     MemberRecord alive = record;
     alive.state = MemberState::kAlive;
     alive.reported_by = record.id;
     apply(alive, ChangeReason::kReportedAlive);
   }
-  if (!may_accuse) return;
-  MemberRecord accusation = record;
-  accusation.state = MemberState::kSuspect;
-  const bool has_accuser = record.state != MemberState::kLeft && table_.contains(record.reported_by) &&
-                           record.reported_by != record.id;
-  if (!has_accuser) accusation.reported_by = sender;
-  suspect(now, accusation);
+  if (!may_suspect) return;
+  MemberRecord report = record;
+  report.state = MemberState::kSuspect;
+  const bool has_reporter = record.state != MemberState::kLeft && table_.contains(record.reported_by) &&
+                            record.reported_by != record.id;
+  if (!has_reporter) report.reported_by = sender;
+  suspect(now, report);
 }
 
-void RecordMerger::accuse(double now, NodeId id) {
-  MemberRecord accusation = table_.at(id).record;
-  accusation.state = MemberState::kSuspect;
-  accusation.reported_by = table_.local_id();
-  suspect(now, accusation);
+void RecordMerger::report_missing_ack(double now, NodeId id) {
+  MemberRecord report = table_.at(id).record;
+  report.state = MemberState::kSuspect;
+  report.reported_by = table_.local_id();
+  suspect(now, report);
 }
 
-void RecordMerger::suspect(double now, const MemberRecord& accusation) {
-  MemberTable::Member& member = table_.at(accusation.id);
-  if (member.record.incarnation > 0 && accusation.incarnation < member.record.incarnation) return;
+void RecordMerger::suspect(double now, const MemberRecord& report) {
+  MemberTable::Member& member = table_.at(report.id);
+  if (member.record.incarnation > 0 && report.incarnation < member.record.incarnation) return;
   if (!member.suspicion) {
     counters_.suspicions += 1;
-    apply(accusation, ChangeReason::kNoAck);
-    member.suspicion.emplace(now, accusation.reported_by);
+    apply(report, ChangeReason::kNoAck);
+    member.suspicion.emplace(now, report.reported_by);
     return;
   }
-  // A further accusation is gossiped as well, so that other nodes can count it.
-  if (member.suspicion->confirm(accusation.reported_by, config_)) gossip_.add(accusation);
+  // A further report is gossiped as well, so that other nodes can count it.
+  if (member.suspicion->confirm(report.reported_by, config_)) gossip_.add(report);
 }
 
 // Puts the record into the table and gossips it.
-void RecordMerger::apply(const MemberRecord& record, ChangeReason reason, int accuser_count) {
+void RecordMerger::apply(const MemberRecord& record, ChangeReason reason, int reporter_count) {
   const MemberTable::Member& member = table_.at(record.id);
   const MemberRecord previous = member.record;
   const bool was_restarted = start_time_of(record.incarnation) != start_time_of(previous.incarnation);
@@ -104,7 +104,7 @@
   table_.replace(record);
   gossip_.add(record);
   if (record.state != previous.state || was_restarted)
-    outputs_.emplace_back(MemberChanged{record, previous, reason, accuser_count});
+    outputs_.emplace_back(MemberChanged{record, previous, reason, reporter_count});
 }
 
 void RecordMerger::merge_local(const MemberRecord& record) {
@@ -136,7 +136,7 @@
     failed.state = MemberState::kFailed;
     failed.reported_by = table_.local_id();
     counters_.failures += 1;
-    apply(failed, ChangeReason::kSuspicionTimedOut, static_cast<int>(member.suspicion->accuser_count()));
+    apply(failed, ChangeReason::kSuspicionTimedOut, static_cast<int>(member.suspicion->reporter_count()));
   }
 }
 
--- a/membership/record_merger.h
+++ b/membership/record_merger.h
@@ -22,10 +22,10 @@
                DetectorCounters& counters, std::vector<Output>& outputs);
 
   // All records of one datagram: the sender's own first, then those it reports. At most one of them counts as
-  // an accusation of the same node.
+  // a report of the same node.
   void merge_message(double now, const Message& message);
   // This node itself had no ack of `id`.
-  void accuse(double now, NodeId id);
+  void report_missing_ack(double now, NodeId id);
 
   void expire_suspicions(double now);
   void extend_suspicions(double seconds);
@@ -36,10 +36,10 @@
  private:
   static constexpr int kMaxIdConflicts = 3;  // raised incarnations that this node's earlier runs may explain
 
-  void merge(double now, const MemberRecord& record, NodeId sender, bool may_accuse);
+  void merge(double now, const MemberRecord& record, NodeId sender, bool may_suspect);
   void merge_local(const MemberRecord& record);
-  void suspect(double now, const MemberRecord& accusation);
-  void apply(const MemberRecord& record, ChangeReason reason, int accuser_count = 0);
+  void suspect(double now, const MemberRecord& report);
+  void apply(const MemberRecord& record, ChangeReason reason, int reporter_count = 0);
   void refute(const MemberRecord& claim);
 
   const DetectorConfig& config_;
--- a/membership/suspicion.cpp
+++ b/membership/suspicion.cpp
@@ -5,10 +5,10 @@
 
 namespace thymewood::membership {
 
-bool Suspicion::confirm(NodeId accuser, const DetectorConfig& config) {
-  if (accusers_.size() > static_cast<std::size_t>(config.expected_confirmations)) return false;
-  if (std::find(accusers_.begin(), accusers_.end(), accuser) != accusers_.end()) return false;
-  accusers_.push_back(accuser);
+bool Suspicion::confirm(NodeId reporter, const DetectorConfig& config) {
+  if (reporters_.size() > static_cast<std::size_t>(config.expected_confirmations)) return false;
+  if (std::find(reporters_.begin(), reporters_.end(), reporter) != reporters_.end()) return false;
+  reporters_.push_back(reporter);
   return true;
 }
 
@@ -18,7 +18,7 @@
   // No more confirmations can be expected than there are other nodes.
   const auto expected = std::min<std::size_t>(static_cast<std::size_t>(config.expected_confirmations),
                                               node_count > 3 ? node_count - 2 : 1);
-  const double confirmations = static_cast<double>(accusers_.size() - 1);
+  const double confirmations = static_cast<double>(reporters_.size() - 1);
   const double fraction = std::log(confirmations + 1) / std::log(static_cast<double>(expected) + 1);
   return started_at_ + extension_ +
          std::max(min_timeout, max_timeout - (max_timeout - min_timeout) * fraction);
--- a/node/peer_log.cpp
+++ b/node/peer_log.cpp
@@ -34,7 +34,7 @@
     if (change.reason == membership::ChangeReason::kNoAck)
       event.with("reported_by", int{change.current.reported_by});
     if (change.reason == membership::ChangeReason::kSuspicionTimedOut)
-      event.with("accusers", change.accuser_count);
+      event.with("reporters", change.reporter_count);
   }
 
   void operator()(const membership::Refuted& refuted) const {
--- a/operators/toml_table.cpp
+++ b/operators/toml_table.cpp
@@ -58,7 +58,7 @@
 std::optional<std::string> TomlTable::text(const char* key) {
   const toml::node* node = find(key);
   if (node == nullptr) return std::nullopt;
-  const std::optional<std::string> value = node->is_string() ? node->value<std::string>() : std::nullopt;
+  std::optional<std::string> value = node->is_string() ? node->value<std::string>() : std::nullopt;
   if (!value || value->empty()) reject(key, "has to be text, and not empty");
   return value;
 }
--- a/tests/membership/detector_test.cpp
+++ b/tests/membership/detector_test.cpp
@@ -10,9 +10,9 @@
 namespace thymewood::membership {
 namespace {
 
-// What the fleet as a whole takes, where all reach each other: some node's turn comes within a few periods,
-// and others come to the same result, or the suspect's time runs out. `most_until_failed` is the bound for a
-// single node that has nobody to help it; this is the usual case, and is what the operators' page states.
+// The stated time to failure where all live nodes reach each other: one of them probes the stopped node
+// within a few intervals, and others confirm the suspicion or it times out. max_time_to_failure() bounds an
+// observer without helpers.
 double expected_time_to_failure(int nodes) {
   const DetectorConfig config;
   const double log10 = std::max(1.0, std::log10(nodes));
@@ -327,7 +327,8 @@
       EXPECT_LT(net.detector(0).record(static_cast<NodeId>(i)).state, MemberState::kFailed) << "at once";
     }
     net.run(120);
-    EXPECT_EQ(net.false_failures(), 0) << "nor later: each refutes in time, though all were accused at once";
+    EXPECT_EQ(net.false_failures(), 0)
+        << "nor later: each refutes in time, though all were suspected at once";
     EXPECT_TRUE(net.has_converged());
   }
 }
@@ -338,20 +339,20 @@
   net.start_all();
   net.run(0.01);
   Message m = message_of(net, 5);
-  MemberRecord accused;
-  accused.id = 3;
-  accused.state = MemberState::kSuspect;
-  accused.incarnation = net.detector(3).record(3).incarnation;
+  MemberRecord suspected;
+  suspected.id = 3;
+  suspected.state = MemberState::kSuspect;
+  suspected.incarnation = net.detector(3).record(3).incarnation;
   for (const int by : {1, 2, 4, 5, 6, 7}) {
-    accused.reported_by = static_cast<NodeId>(by);
-    m.records.push_back(accused);
+    suspected.reported_by = static_cast<NodeId>(by);
+    m.records.push_back(suspected);
   }
   net.inject(0, 5, encode(m));
   ASSERT_EQ(net.detector(0).record(3).state, MemberState::kSuspect);
   const double least = min_suspicion_timeout({}, 9);
   net.run(least * 1.5);
   EXPECT_EQ(net.detector(0).record(3).state, MemberState::kSuspect)
-      << "with six accusers it would have timed out";
+      << "with six reporters it would have timed out";
   net.run(least * DetectorConfig{}.max_suspicion_multiplier);
   EXPECT_EQ(net.detector(0).record(3).state, MemberState::kFailed);
 }
