--- a/operators/operators_file.cpp
+++ b/operators/operators_file.cpp
@@ -43,22 +43,18 @@
   out.suspicion_multiplier = table.integer("suspicion_periods", 1, 100).value_or(out.suspicion_multiplier);
 }
 
-void read_view(TomlTable& table, double probe_interval, membership::ReplicaSetViewConfig& out) {
-  out.settle_time =
-      table.milliseconds("hold_ms", 0, kMaxSettleMs).value_or(kSettleIntervals * probe_interval);
-  out.min_change_interval =
-      table.milliseconds("calm_ms", 0, kMaxSettleMs).value_or(kMinChangeIntervals * probe_interval);
-  out.flap_decay_interval =
-      table.milliseconds("forgive_ms", 1, kMaxFlapDecayMs).value_or(kFlapDecayIntervals * probe_interval);
-}
-
 ReplicaSetOptions read_replica_set(TomlTable table) {
   ReplicaSetOptions out;
   out.enabled = table.boolean("enabled").value_or(out.enabled);
   out.name = table.text("name").value_or(out.name);
   read_detector(table, out.detector);
-  read_view(table, out.detector.probe_interval, out.view);
+  const double interval = out.detector.probe_interval;
+  out.view.settle_time = table.milliseconds("hold_ms", 0, kMaxSettleMs).value_or(kSettleIntervals * interval);
+  out.view.min_change_interval =
+      table.milliseconds("calm_ms", 0, kMaxSettleMs).value_or(kMinChangeIntervals * interval);
   out.rejects_when_isolated = table.boolean("refuse_when_cut_off").value_or(out.rejects_when_isolated);
+  out.view.flap_decay_interval =
+      table.milliseconds("forgive_ms", 1, kMaxFlapDecayMs).value_or(kFlapDecayIntervals * interval);
   table.reject_unknown_keys();
   return out;
 }
