--- a/tests/node/deployments_test.cpp
+++ b/tests/node/deployments_test.cpp
@@ -145,8 +145,7 @@
 const Bad kSettings[] = {
     {"NoDeadline", R"({"name":"a","aim":1,"effect":"safe"})", kGoodBounds, "giveUp"},
     {"NoAim", R"({"name":"a","giveUp":1,"effect":"safe"})", kGoodBounds, "aim"},
-    {"NegativeDeadline", R"({"name":"a","aim":1,"giveUp":-2,"effect":"safe"})", kGoodBounds,
-     "giveUp"},
+    {"NegativeDeadline", R"({"name":"a","aim":1,"giveUp":-2,"effect":"safe"})", kGoodBounds, "giveUp"},
     {"DeadlineNoNumber", R"({"name":"a","aim":1,"giveUp":"2","effect":"safe"})", kGoodBounds, "giveUp"},
     {"DeadlineZero", R"({"name":"a","aim":1,"giveUp":0,"effect":"safe"})", kGoodBounds, nullptr},
     {"DeadlineHuge", R"({"name":"a","aim":1,"giveUp":1e300,"effect":"safe"})", kGoodBounds, nullptr},
