--- a/fleet_rig/run/fleet_observation.cpp
+++ b/fleet_rig/run/fleet_observation.cpp
@@ -30,10 +30,11 @@
 void Fleet::read_log(const Actor& actor, Node& node) {
   std::ifstream log(node.machine->folder() + "/log");
   if (!log.seekg(node.log_position)) return;
-  constexpr std::string_view kMark = "fleet: view ";
+  constexpr std::string_view kMark = " event=replica_set_changed ";
   for (std::string line; std::getline(log, line) && !log.eof();) {
     node.log_position += static_cast<std::streamoff>(line.size()) + 1;
-    if (line.rfind(kMark, 0) == 0) record(Record::What::kView, actor, line.substr(kMark.size()));
+    const std::size_t at = line.find(kMark);
+    if (at != std::string::npos) record(Record::What::kView, actor, line.substr(at + kMark.size()));
   }
 }
 
--- a/node/config.cpp
+++ b/node/config.cpp
@@ -58,7 +58,7 @@
   return *address;
 }
 
-PeersTold::Endpoint to_peer_address(std::string_view text, const char* field) {
+PeerAddresses::Endpoint to_peer_address(std::string_view text, const char* field) {
   const asio::ip::tcp::endpoint address = to_socket_address(text, field);
   return {address.address(), address.port()};
 }
@@ -126,11 +126,11 @@
 }
 
 // Messages between replicas need the platform's permission, an address to listen at, and those of the peers.
-std::optional<PeersTold> read_peers(const json::Value& in, const Settings& settings) {
+std::optional<PeerAddresses> read_peers(const json::Value& in, const Settings& settings) {
   const json::Value* const permitted = json::find(json::need(json::need(in, "settings"), "bounds"), "peers");
   if (permitted == nullptr || !permitted->IsBool() || !permitted->GetBool()) return std::nullopt;
   if (json::find(in, "peer_listen") == nullptr || json::find(in, "peers") == nullptr) return std::nullopt;
-  PeersTold peers;
+  PeerAddresses peers;
   peers.listen = to_peer_address(json::text(in, "peer_listen"), "peer_listen");
   for (const json::Value& peer : json::array(in, "peers").GetArray()) {
     if (!peer.IsString()) json::wrong("peers", "an array of addresses with ports");
@@ -140,7 +140,7 @@
     json::wrong("peers", "an address for this node's own position");
   if (peers.peers.size() > kMaxPeers) json::wrong("peers", "60000 addresses at most");
   if (json::find(in, "peers_all") != nullptr)
-    peers.all = to_peer_address(json::text(in, "peers_all"), "peers_all");
+    peers.broadcast = to_peer_address(json::text(in, "peers_all"), "peers_all");
   return peers;
 }
 
--- a/node/config.h
+++ b/node/config.h
@@ -29,9 +29,9 @@
   Settings settings;
   std::vector<std::string> class_names, tenant_names;  // in the order of the settings
   ZoneNames zones;
-  EndpointList known_endpoints;    // from before the start
-  StartTimes start_times;          // of those
-  std::optional<PeersTold> peers;  // where the platform permits messages between replicas
+  EndpointList known_endpoints;        // from before the start
+  StartTimes start_times;              // of those
+  std::optional<PeerAddresses> peers;  // where the platform permits messages between replicas
 };
 
 // A configuration that cannot be used. what() is one line that names the field.
--- a/node/load_balancer_node.h
+++ b/node/load_balancer_node.h
@@ -31,7 +31,7 @@
  public:
   // Throws std::invalid_argument when no balancer can work with the settings.
   LoadBalancerNode(boost::asio::io_context& io, const Clock& clock, Config config,
-                   operators::FleetFile replica_set, MemoryBudget& message_budget);
+                   operators::ReplicaSetOptions replica_set, MemoryBudget& message_budget);
 
   // Throws StartupError when an address cannot be listened at.
   void start();
@@ -50,7 +50,7 @@
   boost::asio::io_context& io_;
   const Clock& clock_;
   Config config_;
-  operators::FleetFile replica_set_;
+  operators::ReplicaSetOptions replica_set_;
   DescriptorLimits descriptors_;
   Upstream upstream_;
   DiscoveryWatch discovery_;
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -15,6 +15,7 @@
 #include "memory_budget.h"
 #include "operators_file.h"
 #include "process_limits.h"
+#include "settings_reader.h"
 
 namespace {
 
@@ -50,7 +51,9 @@
   }
   message_budget.set_limit(node::message_memory(config.memory_bytes));
   try {
-    node::LoadBalancerNode balancer(io, clock, std::move(config), std::move(operators.fleet), message_budget);
+    thymewood::json::validate_settings(config.settings);
+    node::LoadBalancerNode balancer(io, clock, std::move(config), std::move(operators.replica_set),
+                                    message_budget);
     balancer.start();
     node::on_each_signal(reload_signals, [&] { balancer.reload(config_path); });
     stop_signals.async_wait([&](boost::system::error_code cancelled, int) {
