--- a/fleet_rig/actors/server_stand_in.cpp
+++ b/fleet_rig/actors/server_stand_in.cpp
@@ -71,7 +71,7 @@
   error_code ignored;
   acceptor_.close(ignored);
   next_.cancel(ignored);
-  for (const std::shared_ptr<Socket>& socket : sockets_) end_hard(*socket);
+  for (const std::shared_ptr<Socket>& socket : sockets_) reset_connection(*socket);
   sockets_.clear();
   model_.take_all();
   for (const auto& [number, waiter] : std::exchange(working_, {})) waiter->timer.cancel(ignored);
--- a/fleet_rig/net/address_block.cpp
+++ b/fleet_rig/net/address_block.cpp
@@ -14,7 +14,8 @@
 }  // namespace
 
 AddressBlock::AddressBlock(boost::asio::io_context& io) : claim_(io) {
-  // Processes begin at different places, so that many that start at once do not all probe the same block first.
+  // Processes begin at different places, so that many that start at once do not all probe the same block
+  // first.
   const int begin = static_cast<int>(::getpid());
   for (int i = 0; i <= kLast - kFirst; ++i) {
     number_ = kFirst + (begin + i) % (kLast - kFirst + 1);
--- a/fleet_rig/net/sockets.h
+++ b/fleet_rig/net/sockets.h
@@ -1,8 +1,10 @@
-// How every listener of the rig begins and how its connections are broken off; the same everywhere, so that a
-// stand-in that starts again finds its port free.
+// How every listener of the rig is opened and how its connections are reset; the same everywhere, so that a
+// stand-in that restarts finds its port free.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
+#include <sstream>
+#include <string>
 
 namespace thymewood::fleet {
 
@@ -19,8 +21,16 @@
   return acceptor.local_endpoint();
 }
 
+// "ADDRESS:PORT".
+template <class Endpoint>
+std::string endpoint_text(const Endpoint& endpoint) {
+  std::ostringstream out;
+  out << endpoint;
+  return out.str();
+}
+
 // Its peer sees a reset.
-inline void end_hard(boost::asio::ip::tcp::socket& socket) {
+inline void reset_connection(boost::asio::ip::tcp::socket& socket) {
   boost::system::error_code ignored;
   socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
   socket.close(ignored);
--- a/fleet_rig/net/tcp_relay.cpp
+++ b/fleet_rig/net/tcp_relay.cpp
@@ -77,8 +77,8 @@
     forth_.timer.cancel(ignored);
     back_.timer.cancel(ignored);
     if (hard) {
-      end_hard(near_);
-      end_hard(far_);
+      reset_connection(near_);
+      reset_connection(far_);
     } else {
       near_.close(ignored);
       far_.close(ignored);
@@ -307,7 +307,7 @@
     connection->at = connections_.insert(connections_.end(), connection);
     connection->start();
   }
-  for (tcp::socket& filler : fillers_) end_hard(filler);
+  for (tcp::socket& filler : fillers_) reset_connection(filler);
   fillers_.clear();
   acceptor_.listen(kListenBacklog, ignored);
   accept();
--- a/fleet_rig/run/fleet.cpp
+++ b/fleet_rig/run/fleet.cpp
@@ -16,7 +16,7 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "node_config.h"
+#include "sockets.h"
 
 namespace thymewood::fleet {
 
@@ -25,17 +25,11 @@
 
 namespace {
 
+constexpr std::chrono::milliseconds kHealthInterval{20};
 constexpr double kUpWithin = 20;       // s; for all nodes to come up
 constexpr double kDrainTime = 30;      // s; after the run's end, for what is still under way
 constexpr double kLastAttempts = 0.1;  // s; for servers to record what was sent at the end
 
-template <class Endpoint>
-std::string text_of(const Endpoint& endpoint) {
-  std::ostringstream out;
-  out << endpoint;
-  return out.str();
-}
-
 void raise_descriptors() {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
@@ -43,7 +37,7 @@
   setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-// Loaded only where a run needs it: without it a node is as it is shipped.
+// Preloaded only where a fault needs it, so that all other runs see the node as it is shipped.
 bool wants_shim(const bench::Scenario& scenario) {
   return std::any_of(scenario.faults.begin(), scenario.faults.end(), [](const Fault& f) {
     return f.what == Fault::What::kDiskFails || f.what == Fault::What::kDiskReadOnly ||
@@ -51,7 +45,7 @@
   });
 }
 
-std::string made(const std::string& folder) {
+std::string create_folder(const std::string& folder) {
   std::filesystem::create_directories(folder);
   return folder;
 }
@@ -63,7 +57,7 @@
       topology_(scenario.topology()),
       options_(std::move(options)),
       addresses_(io_),
-      history_(made(options_.folder) + "/history.jsonl"),
+      history_(create_folder(options_.folder) + "/history.jsonl"),
       lateness_(io_, history_, kDiscoveryActor),
       observe_timer_(io_) {
   raise_descriptors();
@@ -100,7 +94,9 @@
             }
             return std::nullopt;
           },
-          [this](const Actor& node, const Actor& server) { return text_of(relay(node, server).where()); },
+          [this](const Actor& node, const Actor& server) {
+            return endpoint_text(relay(node, server).where());
+          },
           [this](const Actor& node) { return !links_.way(kDiscoveryActor, node).cut(); }},
       options_.seed ^ 0xD15C);
   build_relays();
@@ -168,7 +164,7 @@
 
 TcpRelay& Fleet::relay(const Actor& from, const Actor& to) { return *relays_.at({from, to}); }
 
-void Fleet::start_nodes() {
+void Fleet::start_servers() {
   for (auto& [actor, server] : servers_) {
     const auto& all = actor.kind == ActorKind::kBackend ? scenario_.backends : scenario_.servers;
     if (all.at(static_cast<std::size_t>(actor.number)).up) {
@@ -177,31 +173,37 @@
       refuse_connections_to(actor, true);
     }
   }
-  discovery_->up();
-  std::vector<Actor> sidecar;
+}
+
+// Returns the sidecars that were started; those of servers that are down are not.
+std::vector<Actor> Fleet::start_nodes() {
+  std::vector<Actor> sidecars;
   for (const auto& [actor, node] : nodes_) {
-    const bool beside = actor.kind == ActorKind::kSidecar;
-    if (!beside || servers_.at({ActorKind::kServer, actor.number})->is_up()) start_node(actor);
-    if (beside && nodes_.at(actor).should_run) sidecar.push_back(actor);
+    const bool is_sidecar = actor.kind == ActorKind::kSidecar;
+    if (is_sidecar && !servers_.at({ActorKind::kServer, actor.number})->is_up()) continue;
+    start_node(actor);
+    if (is_sidecar) sidecars.push_back(actor);
   }
-  // The servers' own nodes are looked at as the front looks at its own.
-  const auto is_healthy = std::make_shared<std::size_t>(0);
-  for (const Actor& actor : sidecar) {
-    asio::co_spawn(
-        io_,
-        [](Fleet& fleet, Actor who, std::shared_ptr<std::size_t> count) -> asio::awaitable<void> {
-          asio::steady_timer timer(fleet.io_);
-          error_code ignored;
-          while (!co_await fleet.nodes_.at(who).client->is_healthy()) {
-            timer.expires_after(std::chrono::milliseconds(20));
-            co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-          }
-          *count += 1;
-        }(*this, actor, is_healthy),
-        asio::detached);
+  return sidecars;
+}
+
+asio::awaitable<void> Fleet::count_when_healthy(Actor sidecar, std::shared_ptr<std::size_t> healthy) {
+  asio::steady_timer timer(io_);
+  error_code ignored;
+  while (!co_await nodes_.at(sidecar).client->is_healthy()) {
+    timer.expires_after(kHealthInterval);
+    co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
+  *healthy += 1;
+}
+
+// Until the clients have found all nodes healthy, and the rig all sidecars.
+void Fleet::await_healthy(const std::vector<Actor>& sidecars) {
+  const auto healthy = std::make_shared<std::size_t>(0);
+  for (const Actor& sidecar : sidecars)
+    asio::co_spawn(io_, count_when_healthy(sidecar, healthy), asio::detached);
   const double until = history_.now() + kUpWithin;
-  while (clients_->up() < static_cast<std::size_t>(scenario_.replicas) || *is_healthy < sidecar.size()) {
+  while (clients_->up() < static_cast<std::size_t>(scenario_.replicas) || *healthy < sidecars.size()) {
     io_.run_for(std::chrono::milliseconds(10));
     for (auto& [actor, node] : nodes_) {
       const bool ended = node.should_run && !node.machine->running();
@@ -212,7 +214,7 @@
   }
 }
 
-// The clients make them; here they are put beside the faults.
+// The clients send them; the history has them among the faults.
 void Fleet::record_floods() {
   for (const bench::Flood& flood : scenario_.floods) {
     const std::string text = "flood of " + scenario_.tenants.at(flood.tenant).name +
@@ -224,9 +226,11 @@
 }
 
 std::string Fleet::play() {
-  start_nodes();
-  constexpr double kBreath = 0.1;  // s; before the load
-  history_.begin(kBreath);
+  start_servers();
+  discovery_->up();
+  await_healthy(start_nodes());
+  constexpr double kLeadTime = 0.1;  // s; before the load
+  history_.begin(kLeadTime);
   Record begin;
   begin.what = Record::What::kBegin;
   begin.limit = scenario_.seconds;
@@ -241,7 +245,7 @@
   clients_->start();
   const double end = scenario_.seconds + kDrainTime;
   while (!clients_->done() && history_.now() < end) io_.run_for(std::chrono::milliseconds(20));
-  // What a server works on for clients that have gone is still to be seen where it was sent: a moment more.
+  // Attempts that were sent last still have to be recorded by their servers.
   const double quiet = history_.now() + kLastAttempts;
   while (history_.now() < quiet) io_.run_for(std::chrono::milliseconds(10));
   if (clients_->done()) {
--- a/fleet_rig/run/fleet.h
+++ b/fleet_rig/run/fleet.h
@@ -68,7 +68,12 @@
   void build();
   void build_relays();
   void build_servers();
-  void start_nodes();
+  void start_servers();
+  std::vector<Actor> start_nodes();
+  boost::asio::awaitable<void> count_when_healthy(Actor sidecar, std::shared_ptr<std::size_t> healthy);
+  void await_healthy(const std::vector<Actor>& sidecars);
+
+  // fleet_nodes.cpp
   void write_config(const Actor& node);
   void start_node(const Actor& node);
   boost::asio::awaitable<void> admit_when_listening(Actor node, int life);
@@ -76,6 +81,7 @@
   boost::asio::awaitable<void> restart(Actor node, double down);
   boost::asio::awaitable<void> starve(Actor node, double share);
 
+  // fleet_faults.cpp
   void at(double seconds, std::function<void()> what);
   void run_steps(std::vector<Step> steps, std::size_t next);
   void apply(const Step& step);
--- a/fleet_rig/run/fleet_nodes.cpp
+++ b/fleet_rig/run/fleet_nodes.cpp
@@ -6,11 +6,11 @@
 #include <boost/asio/use_awaitable.hpp>
 #include <filesystem>
 #include <fstream>
-#include <sstream>
 #include <stdexcept>
 
 #include "fleet.h"
 #include "node_config.h"
+#include "sockets.h"
 
 namespace thymewood::fleet {
 
@@ -24,13 +24,6 @@
 constexpr double kLongestDeadline = 3, kKillAfter = 0.75;
 constexpr double kRouteAfterTerm = 0.3;  // s; for which clients go on using a node that was sent SIGTERM
 
-template <class Endpoint>
-std::string text_of(const Endpoint& endpoint) {
-  std::ostringstream out;
-  out << endpoint;
-  return out.str();
-}
-
 }  // namespace
 
 void Fleet::write_config(const Actor& actor) {
@@ -39,8 +32,8 @@
   const Node& node = nodes_.at(actor);
   NodeParameters parameters;
   parameters.name = bench::name_of(actor);
-  parameters.listen = text_of(addresses_.node(actor));
-  parameters.discovery = text_of(relay(actor, kDiscoveryActor).where());
+  parameters.listen = endpoint_text(addresses_.node(actor));
+  parameters.discovery = endpoint_text(relay(actor, kDiscoveryActor).where());
   parameters.seed = options_.seed * 1000003 + static_cast<std::uint64_t>(member) * 1009 +
                     static_cast<std::uint64_t>(node.incarnation) * (sidecar ? 31 : 17);
   parameters.position = actor.number;
@@ -49,10 +42,10 @@
   parameters.zone = topology_.zone_of(actor);
   parameters.known = discovery_->known(actor);
   if (hub_ && !sidecar) {
-    parameters.peer_listen = text_of(addresses_.node_gossip(actor));
-    parameters.peers_all = text_of(hub_->all());
+    parameters.peer_listen = endpoint_text(addresses_.node_gossip(actor));
+    parameters.peers_all = endpoint_text(hub_->all());
     for (int i = 0; i < scenario_.replicas; ++i)
-      parameters.peers.push_back(text_of(hub_->face(static_cast<std::size_t>(i))));
+      parameters.peers.push_back(endpoint_text(hub_->face(static_cast<std::size_t>(i))));
   }
   if (!scenario_.operators.empty()) {
     std::ofstream operators(node.machine->folder() + "/operators.toml", std::ios::trunc);
