--- a/node/pending_requests.cpp
+++ b/node/pending_requests.cpp
@@ -55,7 +55,8 @@
     if (!cancelled) on_deadline_(id);
   });
   for (std::size_t i = 0; i < request.attempts.size(); ++i) {
-    if (request.is_attempt_open[i]) upstream_.shorten_deadline(request.attempts[i], clock_.at(request.attempts_end));
+    if (request.is_attempt_open[i])
+      upstream_.shorten_deadline(request.attempts[i], clock_.at(request.attempts_end));
   }
 }
 
