--- a/include/thymewood/balancer.h
+++ b/include/thymewood/balancer.h
@@ -33,6 +33,9 @@
   double probed_bound = 0;   // the bound that probing has put on the limit; infinite where none
 };
 
+// The decisions of one replica: which server gets a request, whether to retry, reject or fail it, and when to
+// open a watch on discovery. The host owns the sockets, the clock and the timers: it passes each event to
+// handle(), in the order of time, and performs the actions. Not synchronized: for one thread at a time.
 class Balancer {
  public:
   // Throws InvalidSettings, naming the field, when the settings cannot be used.
