--- a/fleet_rig/cast/server.h
+++ b/fleet_rig/actors/server_stand_in.h
@@ -1,12 +1,13 @@
 // A server of a fleet on a socket of its own: it can do what its capacity model says
-// (bench/model/capacity.h), in real time, speaks PROTOCOL's side of HTTP, and in the first of two tiers makes
-// its calls to the second through a node of its own, holding its slot while it waits.
+// (bench/model/server_model.h), in real time, speaks PROTOCOL's side of HTTP, and in the first of two tiers
+// makes its calls to the second through a node of its own, holding its slot while it waits.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
+#include <boost/beast/http.hpp>
 #include <deque>
 #include <functional>
 #include <list>
@@ -15,27 +16,29 @@
 #include <optional>
 #include <string>
 
-#include "asker.h"
-#include "capacity.h"
-#include "historian.h"
+#include "history_writer.h"
+#include "http_client.h"
 #include "scenario.h"
+#include "server_model.h"
 #include "tcp_relay.h"
 
 namespace thymewood::fleet {
 
-class Server {
+class ServerStandIn {
  public:
   using Endpoint = boost::asio::ip::tcp::endpoint;
+  // How a request ended; kLost: the process ended before it did.
+  enum class Fate { kCompleted, kFailed, kRejected, kLost };
   // By the peer's port of one of its connections: who that is.
   using Origin = std::function<std::optional<TcpRelay::Origin>(unsigned short)>;
 
   // `calls`: by whom it calls the second tier, none where it does not. All outlive it.
-  Server(boost::asio::io_context& io, const bench::Scenario& scenario, Historian& history, const Party& who,
-         const bench::ScenarioServer& spec, const Endpoint& where, Origin origin, Asker* calls,
-         std::uint64_t seed);
-  ~Server();
-  Server(const Server&) = delete;
-  Server& operator=(const Server&) = delete;
+  ServerStandIn(boost::asio::io_context& io, const bench::Scenario& scenario, HistoryWriter& history,
+                const Actor& who, const bench::ScenarioServer& spec, const Endpoint& where, Origin origin,
+                HttpClient* calls, std::uint64_t seed);
+  ~ServerStandIn();
+  ServerStandIn(const ServerStandIn&) = delete;
+  ServerStandIn& operator=(const ServerStandIn&) = delete;
 
   // Listens; after its first start it is cold. Throws boost::system::system_error.
   void up(bool cold);
@@ -56,31 +59,43 @@
     boost::asio::steady_timer timer;
     bool over = false;
   };
-  enum class Fate { kDone, kFailed, kTurnedAway, kLost };
-  struct Asked {
+  struct IncomingRequest {
     std::string id, first, class_name, key, tenant;
     bool body = true;
     double time = 0;
   };
 
+  // What the server does with a request on its arrival.
+  struct Admission {
+    enum class Kind { kProcess, kFail, kReject, kNoResponse };
+    Kind kind = Kind::kProcess;
+    double work = 0;  // s
+  };
+
   boost::asio::awaitable<void> accept(std::uint64_t life);
   boost::asio::awaitable<void> serve(std::shared_ptr<Socket> socket, std::uint64_t life);
-  boost::asio::awaitable<Fate> handle(const Asked& asked, double work, std::uint64_t life);
-  boost::asio::awaitable<Fate> work_off(double work, std::uint64_t life);
-  boost::asio::awaitable<Fate> call_on(const Asked& asked, double until, std::uint64_t life);
+  static IncomingRequest parse(const boost::beast::http::request<boost::beast::http::string_body>& request);
+  double draw_work(const IncomingRequest& request);
+  Record received(const IncomingRequest& request, double work, unsigned short port) const;
+  Admission admit(const IncomingRequest& request, unsigned short port);
+  bool is_full(std::size_t queued) const;
+  boost::asio::awaitable<Fate> handle(const IncomingRequest& request, double work, std::uint64_t life);
+  boost::asio::awaitable<Fate> run_in_model(double work, std::uint64_t life);
+  boost::asio::awaitable<Fate> call_second_tier(const IncomingRequest& request, double until,
+                                                std::uint64_t life);
   boost::asio::awaitable<void> wait(const std::shared_ptr<Waiter>& waiter);
-  void give_slot();
+  void release_slot();
   void act();
   void plan();
 
   boost::asio::io_context& io_;
   const bench::Scenario& scenario_;
-  Historian& history_;
-  Party who_;
+  HistoryWriter& history_;
+  Actor who_;
   bench::ScenarioServer spec_;
   Endpoint where_;
   Origin origin_;
-  Asker* calls_;
+  HttpClient* calls_;
   bench::Random random_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer next_;
--- a/node/connection_pool.h
+++ b/node/connection_pool.h
@@ -7,6 +7,7 @@
 #include <deque>
 #include <memory>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "clock.h"
@@ -63,7 +64,6 @@
   void evict_longest_idle();
 
   [[nodiscard]] const boost::asio::ip::tcp::endpoint& endpoint() const { return endpoint_; }
-  [[nodiscard]] UpstreamContext& context() const { return *context_; }
 
  private:
   enum class Origin { kConnected, kReleased };  // how a connection becomes free
--- a/node/dispatcher.cpp
+++ b/node/dispatcher.cpp
@@ -142,10 +142,10 @@
     log_debug("server_listed").with("server", endpoint.address).with("status", log_name(endpoint.state));
     set_ready(endpoint.address, is_ready);
     if (endpoint.state == EndpointState::kRemoved) {
-      upstream_.retire(endpoint.address);
+      upstream_.remove_endpoint(endpoint.address);
       is_ready_.erase(endpoint.address);
     } else {
-      upstream_.place(endpoint.address, listed.socket_address, endpoint.started_at, is_ready);
+      upstream_.update_endpoint(endpoint.address, listed.socket_address, endpoint.started_at, is_ready);
     }
     event.endpoints.push_back(endpoint);
   }
@@ -164,7 +164,7 @@
       continue;
     }
     ready_servers_ -= at->second ? 1 : 0;
-    upstream_.retire(at->first);
+    upstream_.remove_endpoint(at->first);
     at = is_ready_.erase(at);
   }
 }
