--- a/node/dispatcher.cpp
+++ b/node/dispatcher.cpp
@@ -46,7 +46,7 @@
 }
 
 bool Dispatcher::can_serve() const {
-  return ready_servers_ > 0 && !is_awaiting_first_list_ && !(isolation_ && isolation_->isolated());
+  return ready_servers_ > 0 && !is_awaiting_first_list_ && !(isolation_ && isolation_->is_isolated());
 }
 
 // ---------------------------------------------------------------- start
@@ -83,7 +83,7 @@
   const double now = clock_.now();
   event.time_left = std::min(event.time_left, latest_response_ - now);
   if (event.time_left <= 0 || requests_.size() >= max_pending_requests_ ||
-      (isolation_ && isolation_->refuses(now))) {
+      (isolation_ && isolation_->should_reject(now))) {
     return handler.on_response({FinalResponse::Kind::kRejected, busy_retry_after_, {}});
   }
   PendingRequest& request =
@@ -192,9 +192,9 @@
   });
 }
 
-void Dispatcher::on_replica_set(const membership::FleetView& view) {
-  if (isolation_) isolation_->sees(view.confidence);
-  post_event(ReplicaSetChanged{view.rank, view.live, view.bound, view.moving});
+void Dispatcher::on_replica_set(const membership::ReplicaSetView& view) {
+  if (isolation_) isolation_->on_connectivity(view.connectivity);
+  post_event(ReplicaSetChanged{view.rank, view.live_count, view.max_count, view.is_settling});
 }
 
 // ---------------------------------------------------------------- events to actions
@@ -248,8 +248,8 @@
   // An attempt that was cancelled or never sent says nothing about its server.
   const bool concerns_server = end.outcome != Outcome::kCancelled && end.outcome != Outcome::kNotSent;
   if (isolation_ && concerns_server)
-    isolation_->attempt_ended(clock_.now(),
-                              end.outcome != Outcome::kConnectFailed && end.outcome != Outcome::kTimedOut);
+    isolation_->on_attempt_ended(clock_.now(),
+                                 end.outcome != Outcome::kConnectFailed && end.outcome != Outcome::kTimedOut);
   if (end.outcome == Outcome::kSuccess && !request->is_answered()) {
     requests_.respond(*request, {FinalResponse::Kind::kFromServer, 0, std::move(end.response)});
   }
--- a/node/dispatcher.h
+++ b/node/dispatcher.h
@@ -58,9 +58,9 @@
   void on_watch_failed(const WatchFailure& failure) override;
 
   // The live replicas of this node's set have changed.
-  void on_replica_set(const membership::FleetView& view);
+  void on_replica_set(const membership::ReplicaSetView& view);
   // From now on requests are rejected at once while this node is isolated from replicas and servers alike.
-  void reject_when_isolated(const membership::IsolationPlan& plan) { isolation_.emplace(plan); }
+  void reject_when_isolated(const membership::IsolationConfig& config) { isolation_.emplace(config); }
 
  private:
   void post_event(Event event);
@@ -87,7 +87,7 @@
   Upstream& upstream_;
   EndpointWatch& endpoint_watch_;
   PendingRequests requests_;
-  std::optional<membership::Isolation> isolation_;
+  std::optional<membership::IsolationDetector> isolation_;
 
   bool uses_watch_;
   std::size_t max_pending_requests_;
--- a/node/load_balancer_node.cpp
+++ b/node/load_balancer_node.cpp
@@ -27,20 +27,20 @@
   return static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
 }
 
-ms::Self self_of(const Config& config, const std::string& replica_set) {
-  ms::Self self;
-  self.number = static_cast<ms::Number>(config.settings.replica_index);
-  self.peers = static_cast<std::uint16_t>(config.peers->peers.size());
-  self.zone = static_cast<std::uint8_t>(config.settings.zone);
-  self.start_ms = unix_time_ms();
-  self.fleet = ms::fleet_of(replica_set);
-  return self;
+ms::LocalNode local_node(const Config& config, const std::string& replica_set) {
+  ms::LocalNode local;
+  local.id = static_cast<ms::NodeId>(config.settings.replica_index);
+  local.peer_count = static_cast<std::uint16_t>(config.peers->peers.size());
+  local.zone = static_cast<std::uint8_t>(config.settings.zone);
+  local.start_ms = unix_time_ms();
+  local.replica_set_id = ms::replica_set_id_of(replica_set);
+  return local;
 }
 
 }  // namespace
 
 LoadBalancerNode::LoadBalancerNode(asio::io_context& io, const Clock& clock, Config config,
-                                   operators::FleetFile replica_set, MemoryBudget& message_budget)
+                                   operators::ReplicaSetOptions replica_set, MemoryBudget& message_budget)
     : io_(io),
       clock_(clock),
       config_(std::move(config)),
@@ -83,12 +83,12 @@
 // Needs the permission of the platform's configuration and of the operators' file.
 void LoadBalancerNode::start_peers() {
   if (!replica_set_.enabled || !config_.peers) return;
-  const ms::Self self = self_of(config_, replica_set_.name);
-  if (replica_set_.refuse_when_cut_off) dispatcher_.reject_when_isolated({});
+  const ms::LocalNode local = local_node(config_, replica_set_.name);
+  if (replica_set_.rejects_when_isolated) dispatcher_.reject_when_isolated({});
   try {
-    peers_ = std::make_unique<Peers>(io_, clock_, *config_.peers, self, replica_set_.plan, replica_set_.view,
-                                     config_.seed,
-                                     [this](const ms::FleetView& view) { dispatcher_.on_replica_set(view); });
+    peers_ = std::make_unique<Peers>(
+        io_, clock_, *config_.peers, local, replica_set_.detector, replica_set_.view, config_.seed,
+        [this](const ms::ReplicaSetView& view) { dispatcher_.on_replica_set(view); });
   } catch (const boost::system::system_error& problem) {
     throw StartupError("peer_listen: " + problem.code().message());
   }
