--- a/node/client_session.cpp
+++ b/node/client_session.cpp
@@ -98,7 +98,7 @@
   socket_.close(ignored);
   SessionContext* context = std::exchange(context_, nullptr);
   if (context == nullptr) return;
-  if (was_waiting) context->dispatcher.client_gone(request_id_);
+  if (was_waiting) context->dispatcher.on_client_disconnected(request_id_);
   context->owner.on_session_ended(*this);
 }
 
@@ -242,9 +242,9 @@
     return reject({http::status::method_not_allowed, "GET only"}, Framing::kLost);
   }
   is_proven_ = true;
-  if (!context_->dispatcher.awaits_list()) return respond_to_health_check();
+  if (!context_->dispatcher.is_awaiting_first_list()) return respond_to_health_check();
   begin_waiting();
-  context_->dispatcher.when_listed([weak = weak_from_this()] {
+  context_->dispatcher.notify_on_first_list([weak = weak_from_this()] {
     if (const auto self = weak.lock()) self->run_guarded([&] { self->respond_to_health_check(); });
   });
 }
@@ -261,7 +261,7 @@
   if (const auto rejection = read_request_event(request, context_->catalog, event)) {
     return reject(*rejection, Framing::kIntact);
   }
-  if (context_->dispatcher.holds(event.id)) {
+  if (context_->dispatcher.is_pending(event.id)) {
     return reject({http::status::bad_request, "X-Request-ID is that of an open request"}, Framing::kIntact);
   }
   is_proven_ = true;
@@ -302,15 +302,15 @@
 void ClientSession::hand_over(Request&& event, std::shared_ptr<const HttpRequest> request) {
   const auto weak = weak_from_this();
   try {
-    context_->dispatcher.take(std::move(event), std::move(request),
-                              {[weak](FinalResponse&& response) {
-                                 if (const auto self = weak.lock())
-                                   self->on_final_response(std::move(response));
-                               },
-                               [weak] {
-                                 const auto self = weak.lock();
-                                 return self && self->state_ == State::kWaiting && self->read_available();
-                               }});
+    context_->dispatcher.submit(std::move(event), std::move(request),
+                                {[weak](FinalResponse&& response) {
+                                   if (const auto self = weak.lock())
+                                     self->on_final_response(std::move(response));
+                                 },
+                                 [weak] {
+                                   const auto self = weak.lock();
+                                   return self && self->state_ == State::kWaiting && self->read_available();
+                                 }});
   } catch (const std::exception& problem) {
     log_warning("request_not_taken").with("id", request_id_).with("problem", problem.what());
     if (context_ != nullptr && state_ == State::kWaiting) shed();
--- a/node/dispatcher.cpp
+++ b/node/dispatcher.cpp
@@ -79,7 +79,7 @@
 
 // ---------------------------------------------------------------- requests
 
-void Dispatcher::take(Request event, std::shared_ptr<const HttpRequest> message, ResponseHandler handler) {
+void Dispatcher::submit(Request event, std::shared_ptr<const HttpRequest> message, ResponseHandler handler) {
   const double now = clock_.now();
   event.time_left = std::min(event.time_left, latest_response_ - now);
   if (event.time_left <= 0 || requests_.size() >= max_pending_requests_ ||
@@ -96,12 +96,12 @@
   post_event(std::move(event));
 }
 
-void Dispatcher::answer_by(double latest) {
+void Dispatcher::limit_deadlines(double latest) {
   latest_response_ = latest;
   requests_.limit_deadlines(latest);
 }
 
-void Dispatcher::client_gone(const std::string& id) {
+void Dispatcher::on_client_disconnected(const std::string& id) {
   PendingRequest* const request = requests_.find_unanswered(id);
   if (request == nullptr) return;
   requests_.abandon(*request);
--- a/node/dispatcher.h
+++ b/node/dispatcher.h
@@ -38,18 +38,18 @@
 
   // While the first pushed list is awaited it is not known whether the node can serve; `then` is called once
   // it is.
-  bool awaits_list() const { return is_awaiting_first_list_; }
-  void when_listed(std::function<void()> then) { first_list_callbacks_.push_back(std::move(then)); }
+  bool is_awaiting_first_list() const { return is_awaiting_first_list_; }
+  void notify_on_first_list(std::function<void()> then) { first_list_callbacks_.push_back(std::move(then)); }
 
   // Every request, pending or to come, gets its final response by then, s on the clock.
-  void answer_by(double latest);
+  void limit_deadlines(double latest);
 
   // Takes a request whose client waits for `event.time_left` from now. The response may come from within.
   // Throws std::exception, and takes nothing, when memory does not suffice.
-  void take(Request event, std::shared_ptr<const HttpRequest> message, ResponseHandler handler);
+  void submit(Request event, std::shared_ptr<const HttpRequest> message, ResponseHandler handler);
   // Whether a request of this id is pending.
-  bool holds(const std::string& id) const { return requests_.contains(id); }
-  void client_gone(const std::string& id);
+  bool is_pending(const std::string& id) const { return requests_.contains(id); }
+  void on_client_disconnected(const std::string& id);
 
   void on_endpoints(const EndpointList& update) override;
   void on_list_current() override;
--- a/node/graceful_shutdown.cpp
+++ b/node/graceful_shutdown.cpp
@@ -39,7 +39,7 @@
   response_deadline_ = now + Clock::span(longest_timeout + kResponseDeadline);
   accept_deadline_ = now + Clock::span(close_after);
   // Requests that were accepted before may have later deadlines of their own.
-  dispatcher_.answer_by(clock_.now() + longest_timeout + kResponseDeadline);
+  dispatcher_.limit_deadlines(clock_.now() + longest_timeout + kResponseDeadline);
   call_after(kAcceptPeriod, &GracefulShutdown::stop_accepting);
   call_after(close_after, &GracefulShutdown::close_idle_sessions);
 }
