--- a/bench/model/fleet_tables.h
+++ b/bench/model/fleet_tables.h
@@ -1,4 +1,4 @@
-// The tables of a scenario file that are about a fleet: clients who come again and a second tier, and, played
+// The tables of a scenario file that are about a fleet: clients that retry and a second tier, and, played
 // by a fleet of processes alone, machines, links, faults and a discovery that is late. All times are seconds,
 // all rates a second.
 #pragma once
@@ -21,7 +21,7 @@
   double reorder = 0;    // part of datagrams that are overtaken by later ones
   double rate = std::numeric_limits<double>::infinity();  // bytes a second
   bool cut = false;                                       // nothing passes; connections stay open and silent
-  static constexpr double kResend = 0.2;  // s; the usual least retransmission time-out of a kernel
+  static constexpr double kResend = 0.2;  // s; the minimum retransmission timeout of common kernels
 };
 
 // From the beginning, between all of `from` and all of `to`, both ways.
@@ -70,7 +70,7 @@
   std::string text;    // as the file has it, for reports
 };
 
-// Clients who come again by themselves. Without them each asks once.
+// Clients that retry by themselves. Without them each asks once.
 struct ClientBehavior {
   int retries = 0;                  // further attempts at most
   double attempt_share = 1;         // an attempt is given up after this part of the class's time
--- a/bench/model/rule_monitor.cpp
+++ b/bench/model/rule_monitor.cpp
@@ -21,7 +21,7 @@
   if (wanted) {
     not_ready_since_.erase(pair_of(replica, server));
   } else {
-    not_ready_since_.try_emplace(pair_of(replica, server), now);  // told twice counts from the first time
+    not_ready_since_.try_emplace(pair_of(replica, server), now);  // the first notification counts
   }
 }
 
--- a/bench/model/rule_monitor.h
+++ b/bench/model/rule_monitor.h
@@ -1,4 +1,4 @@
-// The four rules, watched from outside: told what a node was given, what it sent and what it answered, the
+// The four rules, checked from outside: given what a node received, sent and answered, the
 // monitor says which rule was broken and by what. It knows nothing of how a node decides.
 //
 // Times are seconds on one clock, durations seconds. Events come in the order of their times.
@@ -19,11 +19,12 @@
 class RuleMonitor {
  public:
   struct Limits {
-    double drain_grace = 1;       // s; nothing new to a server this long after its drain or end was told
+    double drain_grace =
+        1;  // s; nothing new to a server this long after the notification of its drain or removal
     double fall_multiple = 4;     // x what a cold server can do at that moment ...
     double fall_s = 1;            // ... sent to it for this long pushes it over
     double slack = 0;             // s; what times measured on sockets may be off
-    std::size_t max_texts = 100;  // breaks that are kept as text; all are counted
+    std::size_t max_texts = 100;  // violations that are retained as text; all are counted
   };
   struct Place {  // what decides where a keyed request may go again
     int zone = 0, cell = 0;
@@ -31,7 +32,7 @@
 
   RuleMonitor(const Limits& limits, std::vector<RequestClass> classes, std::vector<Place> servers);
 
-  // drains-kept: a replica was told that a server may have new work, or may not (draining or gone).
+  // drains-kept: a replica was notified that a server is ready, or is not (draining or removed).
   void endpoint_notified(double now, int replica, std::size_t server, bool wanted);
 
   // one-final-answer: a replica took a request whose client waits until `deadline`.
--- a/bench/model/scenario.cpp
+++ b/bench/model/scenario.cpp
@@ -96,7 +96,7 @@
   for (const LoadStep& step : scenario.load) most_ = std::max(most_, step.rate);
 }
 
-// By thinning: arrivals at the highest rate, of which the rate's part is kept.
+// By thinning: arrivals at the highest rate, of which the rate's share is retained.
 double Arrivals::after(double t) {
   if (most_ <= 0) return std::numeric_limits<double>::infinity();
   while (t <= scenario_.seconds) {
--- a/bench/model/scenario.h
+++ b/bench/model/scenario.h
@@ -39,7 +39,7 @@
 struct LoadTenant {
   std::string name;
   double share = 1;
-  std::optional<double> quota;  // requests a second that are told to the node
+  std::optional<double> quota;  // requests a second; the node is configured with it
 };
 
 // From `at` on the rate is this; with `ramp` it goes straight to it from where it was at the step before.
@@ -101,10 +101,10 @@
   double net = 0.0002;  // s; one way between a replica and a server, and between a client and its replica
   int max_attempts = 3;
   double max_retry_after = 1;
-  double slow_start_min_capacity = 0.3, slow_start_window = 0;  // told to the replicas
+  double slow_start_min_capacity = 0.3, slow_start_window = 0;  // settings of the replicas
   double over_quota_weight = 1;
   std::vector<LoadClass> classes;
-  std::vector<LoadTenant> tenants;  // empty: none are told apart
+  std::vector<LoadTenant> tenants;  // empty: no tenants
   std::vector<ScenarioServer> servers;
   std::vector<LoadStep> load;
   std::vector<ClosedLoop> closed_loops;
@@ -137,8 +137,8 @@
   Topology topology() const;
 };
 
-// Reads and checks a whole file. Throws std::runtime_error with one line: file, line, key and what is wrong.
-// `times` multiplies the load, so that one file serves for a sweep.
+// Reads and checks a complete file. Throws std::runtime_error with one line: file, line, key and what is
+// wrong. `times` multiplies the load, so that one file serves for a sweep.
 Scenario read_scenario(const std::string& path, double times = 1);
 Scenario parse_scenario(const std::string& text, const std::string& name, double times = 1);
 
--- a/bench/rig/model_server.h
+++ b/bench/rig/model_server.h
@@ -1,6 +1,7 @@
 // A server on a loopback socket that can do what a capacity model says (model/server_model.h), in real time.
-// It speaks as much HTTP/1.1 as a node needs (RFC 9112): requests with Content-Length on kept connections,
-// and answers with the request's id as the body, or 503 with X-Not-Processed when its queue is full.
+// It speaks as much HTTP/1.1 as a node needs (RFC 9112): requests with Content-Length on persistent
+// connections, and answers with the request's id as the body, or 503 with X-Not-Processed when its queue is
+// full.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -20,7 +21,7 @@
 
 class ModelServer {
  public:
-  // What it took in, told in its own thread: `now` in seconds since the run began.
+  // A request that arrived; reported in its own thread: `now` in seconds since the run began.
   struct Came {
     double now = 0;
     std::size_t server = 0;
--- a/bench/rig/node_process.h
+++ b/bench/rig/node_process.h
@@ -14,7 +14,7 @@
 
 class NodeProcess {
  public:
-  // Starts `program` as the replica of that number, told of servers on these ports of 127.0.0.1, and waits
+  // Starts `program` as the replica of that number, with servers on these ports of 127.0.0.1, and waits
   // until it listens. Its configuration and log go to a folder of its own in `folder`. Throws
   // std::runtime_error when it does not come up.
   NodeProcess(const std::string& program, const std::string& folder, const Scenario& scenario, int replica,
--- a/bench/virtual/event_queue.h
+++ b/bench/virtual/event_queue.h
@@ -24,7 +24,7 @@
     kNotified,
     kUp,
     kClientRetries,  // a client whose attempt was not served
-    kFlood,          // a tenant that sends more than usual, once more
+    kFlood,          // the next request of a tenant's flood
     kCallEnded,      // a first-tier server has its answer from the second tier
     kSecond
   };
--- a/bench/virtual/player.h
+++ b/bench/virtual/player.h
@@ -1,4 +1,4 @@
-// Plays a scenario in virtual time: replicas of the decision module against modelled servers, thousands of
+// Runs a scenario in virtual time: replicas of the decision module against modelled servers, thousands of
 // times faster than on sockets and the same every time. What a node adds on sockets (connection attempt, the
 // loop's delay) is not here; the rig measures that.
 #pragma once
@@ -39,16 +39,16 @@
 struct Report {
   // Of what was due while figures count (see Scenario::settle).
   double offered = 0, in_time = 0, served = 0, rejected = 0, failed = 0;
-  double unsent = 0;    // of the refused, those that never left the node: there was no room
+  double unsent = 0;    // of the rejected, those that never left the node: the concurrency limit was reached
   double possible = 0;  // of these, what the servers could have served at most, at any moment
   double client_attempts = 0,
          attempts = 0;              // by clients, and by replicas at servers, for all that was offered
   double second_tier = 0;           // by servers' own replicas at the second tier, for all that was offered
   double work = 0, wasted = 0;      // s of work done, and of it for no answer that came in time
-  std::vector<TenantPart> tenants;  // by their places in the file; one for all where none are told apart
+  std::vector<TenantPart> tenants;  // by their places in the file; one for all without tenants
   Histogram latency;                // of served requests, from when each was due
-  std::vector<Second> seconds;      // the whole run
-  std::uint64_t broken = 0;         // rules, in the whole run
+  std::vector<Second> seconds;      // the complete run
+  std::uint64_t broken = 0;         // rules, in the complete run
   std::vector<std::string> breaks;
   std::vector<std::string> log;  // what the replicas logged, the first lines
 
--- a/bench/virtual/records.h
+++ b/bench/virtual/records.h
@@ -17,7 +17,7 @@
   std::size_t request = 0, server = 0;
   int number = 0;
   double sent = 0, work = 0;
-  double until = 0;  // what its server was told that the replica waits
+  double until = 0;  // the deadline that its server was given
   int calls = 0;     // to the second tier that are still to be made for it
   bool call_served = false;
   std::uint64_t turn = 0;  // tells this use of the record from earlier ones
--- a/bench/virtual/session.h
+++ b/bench/virtual/session.h
@@ -110,7 +110,7 @@
     double fails = 0, mute = 0;     // the part of its calls that it fails, or never answers
     int out = 0;                    // attempts sent to it that have not ended there
     std::uint64_t generation = 0;   // which planned act is the valid one
-    int slots = 0;                  // held by what runs or calls on, of a first-tier server that calls on
+    int slots = 0;                  // in use by requests that run or wait for the second tier
     std::deque<std::size_t> queue;  // attempts that wait for a slot
     std::set<std::size_t> calling;  // attempts that wait for the second tier
   };
--- a/bench/virtual/session_replicas.cpp
+++ b/bench/virtual/session_replicas.cpp
@@ -25,7 +25,7 @@
   notify(replica, Started{});
 }
 
-// A replica that is killed takes what it knew and what it held with it; servers go on with what they have.
+// A killed replica loses its state and its requests in flight; servers continue with what they received.
 void Session::end_replica(int replica) {
   if (!replicas_[static_cast<std::size_t>(replica)]) return;
   replicas_[static_cast<std::size_t>(replica)].reset();
@@ -47,7 +47,7 @@
 }
 
 void Session::notify(int replica, const thymewood::Event& event) {
-  // Other fronts have no replicas, and are told all the same: what they do not heed has to show.
+  // Other fronts have no replicas and are notified all the same, so that the rules show what they ignore.
   const bool there = replicas_[static_cast<std::size_t>(replica)] != nullptr;
   if (front_ == Front::kModule && !there) return;
   std::vector<Action> actions;
@@ -68,7 +68,7 @@
 void Session::act(int replica, const SetTimer& a) {
   push(a.at, Event::Kind::kTimer, static_cast<std::size_t>(replica), a.token);
 }
-void Session::act(int, const WatchEndpoints&) {}  // what changes is told by the scenario
+void Session::act(int, const WatchEndpoints&) {}  // the scenario sends updates by itself
 void Session::act(int replica, const SheddingReport& a) {
   if (report_.log.size() < kMaxLogLines)
     report_.log.push_back(std::to_string(now_) + " s, copy " + std::to_string(replica) + ": " + describe(a));
--- a/bench/virtual/session_servers.cpp
+++ b/bench/virtual/session_servers.cpp
@@ -9,7 +9,7 @@
 namespace thymewood::bench {
 namespace {
 
-// s. What a call to the second tier is told less than is left, so that the answer can still be passed on.
+// s; by which the timeout of a call to the second tier is shorter than the time left, for the way back.
 constexpr double kCallMargin = 0.02;
 
 }  // namespace
--- a/fleet_rig/actors/client_pool.h
+++ b/fleet_rig/actors/client_pool.h
@@ -1,5 +1,5 @@
 // The clients of a fleet and the front through which they come: it deals out their requests over the nodes
-// that it believes to be up, and learns of a death late. Clients come again by themselves, as the scenario
+// that it believes to be up, and learns of a death late. Clients retry by themselves, as the scenario
 // says.
 #pragma once
 
--- a/fleet_rig/actors/discovery_stand_in.cpp
+++ b/fleet_rig/actors/discovery_stand_in.cpp
@@ -215,7 +215,7 @@
   }
 }
 
-// A watch whose node does not read is left to fill its kernel's buffer; what finds no room is lost with the
+// A watch whose node does not read is left to fill its kernel's buffer; what exceeds it is lost with the
 // watch.
 void DiscoveryStandIn::write(const std::shared_ptr<Socket>& socket, const std::string& text) {
   error_code bad;
--- a/fleet_rig/actors/discovery_stand_in.h
+++ b/fleet_rig/actors/discovery_stand_in.h
@@ -1,5 +1,5 @@
-// Discovery of a fleet: the list of servers, with a watch, as PROTOCOL has it. What changes is told to each
-// node after a lag of its own; a watch that begins is given the whole list as that node would have it by now.
+// Discovery of a fleet: the list of servers, with a watch, as PROTOCOL has it. Each node is notified of a
+// change after a lag of its own; a new watch begins with the complete list as that node would have it by now.
 // Nodes of the first tier hear of servers, nodes of servers of backends.
 #pragma once
 
@@ -39,7 +39,7 @@
   DiscoveryStandIn& operator=(const DiscoveryStandIn&) = delete;
 
   void up();
-  // Watches end, connections are refused; what is told meanwhile is told by the next watch.
+  // Watches end, connections are refused; changes meanwhile are sent by the next watch.
   void down();
   const Endpoint& where() const { return where_; }
 
@@ -49,7 +49,7 @@
   void lag_more(double seconds) { more_ += seconds; }
   // What was written while a node could not be reached has got there now.
   void healed(const Actor& node);
-  // The list that a node starts with, as PROTOCOL has it: what it would have been told by now.
+  // The list that a node starts with, as PROTOCOL has it: what it would have been sent by now.
   std::string known(const Actor& node);
 
  private:
@@ -59,7 +59,7 @@
     std::int64_t since_ms = 0;
   };
   struct View {
-    std::vector<Entry> entries;  // as this node has been told, or will be by its next watch
+    std::vector<Entry> entries;  // as sent to this node, or to be sent by its next watch
     std::uint64_t index = 1;
     double lag = 0;
     std::shared_ptr<Socket> watch;
--- a/fleet_rig/actors/http_client.cpp
+++ b/fleet_rig/actors/http_client.cpp
@@ -128,7 +128,7 @@
       note(Record::What::kClientLeft, 0);
       co_return reply;
     }
-    // The node may close a kept connection between two requests; one that crosses that goes again, once.
+    // The node may close an idle connection as a request is sent; that request is sent again on another.
     if (!fresh) continue;
     note(Record::What::kConnectionBroken, 0);
     co_return reply;
--- a/fleet_rig/actors/http_client.h
+++ b/fleet_rig/actors/http_client.h
@@ -1,5 +1,5 @@
-// Asks nodes as PROTOCOL has it: one request at a time on a connection, kept connections, a new one when all
-// are busy. Writes what it saw to the history.
+// An HTTP client of a node as PROTOCOL has it: one request at a time on a connection, persistent connections,
+// a new one when all are busy. Writes what it saw to the history.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -18,14 +18,14 @@
   std::string class_name, tenant, key;  // key: empty unless the class is keyed
   int request_class = 0, tenant_number = 0, tier = 0;
   bool body = true;   // false: a GET
-  double time = 1;    // s that the node is told
+  double time = 1;    // s; the timeout that the node is given
   double leaves = 0;  // s after which it closes all the same; 0: it waits for what it said, and a moment
 };
 
 struct ClientResponse {
   int status = 0;      // 0: no answer was heard
   double advised = 0;  // s, from Retry-After
-  bool asked = false;  // the request was written whole
+  bool asked = false;  // the request was written completely
 };
 
 class HttpClient {
@@ -36,7 +36,7 @@
              const Endpoint& where)
       : io_(io), history_(history), by_(by), node_(node), where_(where) {}
 
-  // The call is copied: the client's may be gone before the answer comes.
+  // By value: the caller's object may not live until the answer arrives.
   boost::asio::awaitable<ClientResponse> ask(ClientRequest call);
   // One that waits for ever says nothing to the history: GET /_health, whether it was answered 200.
   boost::asio::awaitable<bool> is_healthy();
--- a/fleet_rig/actors/server_stand_in.h
+++ b/fleet_rig/actors/server_stand_in.h
@@ -103,7 +103,7 @@
   std::list<std::shared_ptr<Socket>> sockets_;
   std::map<std::uint64_t, std::shared_ptr<Waiter>> working_;
   std::deque<std::shared_ptr<Waiter>> queue_;  // for a slot, where it holds them over its calls
-  int slots_ = 0;                              // held
+  int slots_ = 0;                              // in use
   std::uint64_t life_ = 0, requests_ = 0, calls_made_ = 0;
   double fail_ = 0, mute_ = 0, work_done_ = 0;
 };
--- a/fleet_rig/history/figures.h
+++ b/fleet_rig/history/figures.h
@@ -22,11 +22,11 @@
   double wanted = 0, served = 0, in_time = 0, rejected = 0, failed = 0;
   double client_attempts = 0;              // by clients, a first attempt
   double first_tier = 0, second_tier = 0;  // attempts that came to servers and to backends, a first attempt
-  double most_first_tier = 0;              // the highest of any second with a tenth of the usual load
+  double most_first_tier = 0;              // the highest of any second with at least a tenth of the mean load
   double p50 = 0, p99 = 0;                 // s; of what was served
-  double worst_second = 1;                 // least part served of any second with a tenth of the usual load
-  double recovery = 0;     // s after the last fault's end until well again; -1: never, see below
-  double most_server = 1;  // requests that came to the first-tier server with the most, against the mean
+  double worst_second = 1;  // least part served of any second with at least a tenth of the mean load
+  double recovery = 0;      // s after the last fault's end until well again; -1: never, see below
+  double most_server = 1;   // requests that came to the first-tier server with the most, against the mean
   double least_node = 1, most_node = 1;  // least and most served part of any node that was up all the time
   double least_tenant = 1;               // least served part of any tenant that does not flood
   double memory_kb = 0,
--- a/fleet_rig/history/history_writer.h
+++ b/fleet_rig/history/history_writer.h
@@ -17,7 +17,7 @@
   // Throws std::runtime_error when the file can't be written.
   explicit HistoryWriter(const std::string& path);
 
-  // The run begins `after` seconds from now. Until then records are held back, and times count from the
+  // The run begins `after` seconds from now. Until then records are buffered, and times count from the
   // making of this; no time that now() gave before may be used after.
   void begin(double after);
 
@@ -27,7 +27,7 @@
 
   // Its time is now, unless it has one already.
   void add(Record record);
-  // A file that could not be written whole would let checkers see less than was.
+  // Checkers would miss what could not be written.
   void flush();
 
  private:
--- a/fleet_rig/history/record.h
+++ b/fleet_rig/history/record.h
@@ -20,24 +20,24 @@
     kActorJoined,     // `by` takes part, from here on it writes what it sees
     kOperationBegan,  // a client `by` wants something: `first`, to be served whatever it takes
     kOperationEnded,  // ... and has its last word on it: `status`, 0 where it heard none
-    kRequestSent,     // a client `by` has written a request whole, to node `to`; `limit`: it waits until then
-    kResponse,        // it has a whole answer: `status`, `wait` advised
+    kRequestSent,  // a client `by` has written a complete request, to node `to`; `limit`: it waits until then
+    kResponse,     // it has a complete answer: `status`, `wait` advised
     kConnectionBroken,  // its connection ended without one
     kClientLeft,        // it waits no longer, and has closed
-    kServerReceived,    // a server `by` has a request whole, from node `to`; `left`: when its last byte had
-                        // left the node
-    kServerAnswered,    // the server has written its answer: `status`
-    kNotified,          // discovery has said to node `by` that server `to` is wanted (`yes`) or not
-    kUp,                // a node or server runs, and can be reached
-    kDown,              // a node or server was ended by the rig
-    kTerm,              // a node was told to end by SIGTERM
-    kPaused,            // a node is stopped or starved from here ...
-    kResumed,           // ... to here
-    kCrash,             // a node ended by itself
-    kFault,             // `note` is in force
-    kHealed,            // `note` is over
-    kBadLink,           // between `by` and `to` nothing is sure from here ...
-    kGoodLink,          // ... to here
+    kServerReceived,  // a server `by` has a complete request, from node `to`; `left`: when its last byte had
+                      // left the node
+    kServerAnswered,  // the server has written its answer: `status`
+    kNotified,        // discovery has said to node `by` that server `to` is wanted (`yes`) or not
+    kUp,              // a node or server runs, and can be reached
+    kDown,            // a node or server was ended by the rig
+    kTerm,            // a node was sent SIGTERM
+    kPaused,          // a node is stopped or starved from here ...
+    kResumed,         // ... to here
+    kCrash,           // a node ended by itself
+    kFault,           // `note` is in force
+    kHealed,          // `note` is over
+    kBadLink,         // between `by` and `to` nothing is sure from here ...
+    kGoodLink,        // ... to here
     kUsage,  // of a node: cpu `work` s so far, memory `status` kB, descriptors `count`, `tier` of them kept
              // open by its clients
     kOpen,   // `count` connections are open at all servers
--- a/fleet_rig/machine/machine.cpp
+++ b/fleet_rig/machine/machine.cpp
@@ -29,7 +29,7 @@
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-// Between fork and exec: only what is safe in a signal handler, for other threads may have held locks.
+// Between fork and exec: only what is safe in a signal handler, for other threads may have had locks.
 [[noreturn]] void become(const char* program, const char* log, char* const* environment, pid_t parent,
                          std::uint64_t descriptors) {
   ::setpgid(0, 0);
@@ -134,7 +134,7 @@
 
 void Machine::pause() {
   if (!running() || paused_) return;
-  // Danger: a process that waits in vfork(2) for a child that is stopped before its exec never stops itself.
+  // A process that waits in vfork(2) for a child that is stopped before its exec never stops itself.
   // So the group is let go on for a moment, and stopped again.
   constexpr int kLooks = 100;
   for (;;) {
--- a/fleet_rig/machine/machine.h
+++ b/fleet_rig/machine/machine.h
@@ -45,7 +45,7 @@
     std::uint64_t descriptors = 0;         // RLIMIT_NOFILE from the start; 0: as here
     std::string shim;                      // preloaded, see fleet_rig/shim; empty: none
   };
-  // What proc(5) says of it; zeros where it is gone.
+  // What proc(5) says of it; zeros where there is none.
   struct Usage {
     double cpu_s = 0;
     std::uint64_t memory_kb = 0;  // resident
@@ -62,7 +62,7 @@
   // after the loss of a disk. The log goes on at its end. Throws std::runtime_error where no process can be
   // made.
   void start(bool wipe = false);
-  void kill();       // SIGKILL, and gone when this returns
+  void kill();       // SIGKILL; the process has ended when this returns
   void terminate();  // SIGTERM; goes in its own time
   void signal(int number) const;
 
--- a/fleet_rig/net/http_messages.h
+++ b/fleet_rig/net/http_messages.h
@@ -16,7 +16,7 @@
   bool has_body = true;  // false: a GET
 };
 
-// The whole request, with a body of four bytes where it has one.
+// The complete request, with a body of four bytes where it has one.
 inline std::string request_text(const RequestHead& head) {
   std::string text = (head.has_body ? "POST /" : "GET /") + head.class_name + "/" + head.operation +
                      " HTTP/1.1\r\nHost: " + head.host + "\r\nX-Request-ID: " + head.id +
--- a/fleet_rig/net/tcp_relay.h
+++ b/fleet_rig/net/tcp_relay.h
@@ -1,10 +1,10 @@
 // Carries TCP connections between two actors, and does to them what the link table says. One listener stands
-// for one pair: `from` is told its address as that of `to`.
+// for one pair: `from` uses its address as that of `to`.
 //
 // What a relay can't do as a broken network does: an actor's kernel sees the relay's kernel, so that bytes
 // are acknowledged by the relay, and what a cut holds back comes at once when it is healed, without the
 // pauses of a sender that has backed off. New connections are as in a network: while either way is cut a
-// connection attempt never comes up, for the listener's queue is kept full and the kernel drops what comes.
+// connection attempt never comes up, for the listener's backlog stays full and the kernel drops what comes.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -57,8 +57,9 @@
   class Connection;
   void open();
   void accept();
-  void fill();
-  void empty();
+  void add_connection(boost::asio::ip::tcp::socket socket);
+  void fill_backlog();
+  void drain_backlog();
 
   boost::asio::io_context& io_;
   LinkTable& table_;
--- a/fleet_rig/plan/planner.cpp
+++ b/fleet_rig/plan/planner.cpp
@@ -79,7 +79,7 @@
   return out;
 }
 
-// What is over in the moment in which it begins: connections are reset once, a process is told to end once.
+// What is over in the moment in which it begins: connections are reset once, a process gets SIGTERM once.
 bool is_once(Fault::What what) {
   return what == Fault::What::kReset || what == Fault::What::kRestart || what == Fault::What::kHangup;
 }
--- a/fleet_rig/run/fleet.h
+++ b/fleet_rig/run/fleet.h
@@ -1,4 +1,4 @@
-// Plays a scenario with a fleet of real processes: nodes as machines, everything between any two actors
+// Runs a scenario with a fleet of real processes: nodes as machines, everything between any two actors
 // through relays, servers, discovery and clients as stand-ins in one event loop here. What they saw is in the
 // history file.
 #pragma once
@@ -10,6 +10,7 @@
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
 #include <vector>
@@ -88,7 +89,11 @@
   void begin_fault(const Fault& fault, const Step& step);
   void end_fault(const Fault& fault, const Step& step);
   void apply_link_fault(const Step& step, bool on);
+  void begin_node_fault(const Fault& fault, const Actor& node);
+  void end_node_fault(const Fault& fault, const Actor& node);
   void change(const bench::Change& c);
+  std::optional<DiscoveryStandIn::Status> change_server(const bench::Change& c, const Actor& server);
+  void kill_and_restart(int replica, double down);
   void open_idle_connections(const Actor& node, int count);
   void start_server(const Actor& server);
   void stop_server(const Actor& server);
--- a/fleet_rig/run/fleet_faults.cpp
+++ b/fleet_rig/run/fleet_faults.cpp
@@ -83,46 +83,50 @@
   }
 }
 
+void Fleet::begin_node_fault(const Fault& fault, const Actor& actor) {
+  Node& node = nodes_.at(actor);
+  if (FaultPlan* const plan = node.machine->faults()) set_faults(*plan, fault, true);
+  switch (fault.what) {
+    case Fault::What::kKill:
+      if (node.should_run && actor.kind == ActorKind::kNode)
+        clients_->lost(actor.number, scenario_.client_behavior.failure_detection);
+      stop_node(actor);
+      break;
+    case Fault::What::kRestart:
+      asio::co_spawn(io_, restart(actor, std::isfinite(fault.lasts) ? fault.lasts : 0), asio::detached);
+      break;
+    case Fault::What::kPause:
+      record(Record::What::kPaused, actor);
+      node.machine->pause();
+      break;
+    case Fault::What::kStarve:
+      record(Record::What::kPaused, actor);
+      node.starved = true;
+      asio::co_spawn(io_, starve(actor, fault.share), asio::detached);
+      break;
+    case Fault::What::kHangup:
+      // Never in its first second, nor before it is ready.
+      if (history_.now() - node.started_at > kFirstSecond && clients_->is_up(actor.number))
+        node.machine->signal(SIGHUP);
+      break;
+    case Fault::What::kCrowd:
+      open_idle_connections(actor, fault.count);
+      break;
+    case Fault::What::kDescriptors:
+      node.machine->limit_descriptors(static_cast<std::uint64_t>(fault.count));
+      break;
+    case Fault::What::kDiskFull:
+      node.machine->fill_disk();
+      break;
+    default:
+      break;
+  }
+}
+
 void Fleet::begin_fault(const Fault& fault, const Step& step) {
   for (const Actor& actor : step.who) {
     if (actor.kind == ActorKind::kDiscovery) break;
-    Node& node = nodes_.at(actor);
-    if (FaultPlan* const plan = node.machine->faults()) set_faults(*plan, fault, true);
-    switch (fault.what) {
-      case Fault::What::kKill:
-        if (node.should_run && actor.kind == ActorKind::kNode)
-          clients_->lost(actor.number, scenario_.client_behavior.failure_detection);
-        stop_node(actor);
-        break;
-      case Fault::What::kRestart:
-        asio::co_spawn(io_, restart(actor, std::isfinite(fault.lasts) ? fault.lasts : 0), asio::detached);
-        break;
-      case Fault::What::kPause:
-        record(Record::What::kPaused, actor);
-        node.machine->pause();
-        break;
-      case Fault::What::kStarve:
-        record(Record::What::kPaused, actor);
-        node.starved = true;
-        asio::co_spawn(io_, starve(actor, fault.share), asio::detached);
-        break;
-      case Fault::What::kHangup:
-        // Never in its first second, nor before it is ready.
-        if (history_.now() - node.started_at > kFirstSecond && clients_->is_up(actor.number))
-          node.machine->signal(SIGHUP);
-        break;
-      case Fault::What::kCrowd:
-        open_idle_connections(actor, fault.count);
-        break;
-      case Fault::What::kDescriptors:
-        node.machine->limit_descriptors(static_cast<std::uint64_t>(fault.count));
-        break;
-      case Fault::What::kDiskFull:
-        node.machine->fill_disk();
-        break;
-      default:
-        break;
-    }
+    begin_node_fault(fault, actor);
   }
   if (fault.what == Fault::What::kSilence) discovery_->down();
   if (fault.what == Fault::What::kLag) discovery_->lag_more(fault.delay);
@@ -140,36 +144,40 @@
   }
 }
 
+void Fleet::end_node_fault(const Fault& fault, const Actor& actor) {
+  Node& node = nodes_.at(actor);
+  if (FaultPlan* const plan = node.machine->faults()) set_faults(*plan, fault, false);
+  switch (fault.what) {
+    case Fault::What::kKill:
+      if (!node.should_run) start_node(actor);
+      break;
+    case Fault::What::kPause:
+      node.machine->resume();
+      record(Record::What::kResumed, actor);
+      break;
+    case Fault::What::kStarve:
+      node.starved = false;
+      node.machine->resume();
+      record(Record::What::kResumed, actor);
+      break;
+    case Fault::What::kCrowd:
+      idle_clients_.erase(actor);
+      break;
+    case Fault::What::kDescriptors:
+      node.machine->limit_descriptors(0);
+      break;
+    case Fault::What::kDiskFull:
+      node.machine->clear_disk();
+      break;
+    default:
+      break;
+  }
+}
+
 void Fleet::end_fault(const Fault& fault, const Step& step) {
   for (const Actor& actor : step.who) {
     if (actor.kind == ActorKind::kDiscovery) break;
-    Node& node = nodes_.at(actor);
-    if (FaultPlan* const plan = node.machine->faults()) set_faults(*plan, fault, false);
-    switch (fault.what) {
-      case Fault::What::kKill:
-        if (!node.should_run) start_node(actor);
-        break;
-      case Fault::What::kPause:
-        node.machine->resume();
-        record(Record::What::kResumed, actor);
-        break;
-      case Fault::What::kStarve:
-        node.starved = false;
-        node.machine->resume();
-        record(Record::What::kResumed, actor);
-        break;
-      case Fault::What::kCrowd:
-        idle_clients_.erase(actor);
-        break;
-      case Fault::What::kDescriptors:
-        node.machine->limit_descriptors(0);
-        break;
-      case Fault::What::kDiskFull:
-        node.machine->clear_disk();
-        break;
-      default:
-        break;
-    }
+    end_node_fault(fault, actor);
   }
   if (fault.what == Fault::What::kSilence) discovery_->up();
   if (fault.what == Fault::What::kLag) discovery_->lag_more(-fault.delay);
@@ -213,10 +221,10 @@
 
 // Clients that connect, say nothing, and stay until they are closed on.
 void Fleet::open_idle_connections(const Actor& node, int count) {
-  std::vector<std::shared_ptr<asio::ip::tcp::socket>>& held = idle_clients_[node];
+  std::vector<std::shared_ptr<asio::ip::tcp::socket>>& sockets = idle_clients_[node];
   for (int i = 0; i < count; ++i) {
     const auto socket = std::make_shared<asio::ip::tcp::socket>(io_);
-    held.push_back(socket);
+    sockets.push_back(socket);
     socket->async_connect(relay(kClientsActor, node).where(), [socket](error_code bad) {
       if (bad) return;
       socket->async_wait(asio::ip::tcp::socket::wait_read, [socket](error_code) {
@@ -250,54 +258,58 @@
   if (actor.kind == ActorKind::kServer && nodes_.contains(sidecar)) stop_node(sidecar);
 }
 
-void Fleet::change(const bench::Change& c) {
+void Fleet::kill_and_restart(int replica, double down) {
+  const Actor node{ActorKind::kNode, replica};
+  clients_->lost(replica, scenario_.client_behavior.failure_detection);
+  stop_node(node);
+  at(history_.now() + down, [this, node] { start_node(node); });
+}
+
+// Returns the status that discovery has to announce, if that has changed.
+std::optional<DiscoveryStandIn::Status> Fleet::change_server(const bench::Change& c, const Actor& actor) {
   using What = bench::Change::What;
-  if (options_.progress) options_.progress(history_.now(), "change of servers");
-  if (c.what == What::kRestart) {
-    const Actor node{ActorKind::kNode, c.replica};
-    clients_->lost(c.replica, scenario_.client_behavior.failure_detection);
-    stop_node(node);
-    return at(history_.now() + c.down, [this, node] { start_node(node); });
+  ServerStandIn& server = *servers_.at(actor);
+  switch (c.what) {
+    case What::kSlow:
+      server.slow_down(c.factor);
+      return std::nullopt;
+    case What::kFail:
+      server.fail(c.part);
+      return std::nullopt;
+    case What::kMute:
+      server.mute(c.part);
+      return std::nullopt;
+    case What::kDrain:
+      return DiscoveryStandIn::Status::kDraining;
+    case What::kStop:
+      stop_server(actor);
+      return DiscoveryStandIn::Status::kRemoved;
+    case What::kStart:
+      start_server(actor);
+      return DiscoveryStandIn::Status::kUp;
+    case What::kRestart:
+      break;
   }
+  return std::nullopt;
+}
+
+void Fleet::change(const bench::Change& c) {
+  if (options_.progress) options_.progress(history_.now(), "change of servers");
+  if (c.what == bench::Change::What::kRestart) return kill_and_restart(c.replica, c.down);
   const auto now_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
                           std::chrono::system_clock::now().time_since_epoch())
                           .count();
   for (std::size_t i = c.first; i <= c.last; ++i) {
     const Actor actor{c.backends ? ActorKind::kBackend : ActorKind::kServer, static_cast<int>(i)};
-    ServerStandIn& server = *servers_.at(actor);
-    std::optional<DiscoveryStandIn::Status> new_status;
-    switch (c.what) {
-      case What::kSlow:
-        server.slow_down(c.factor);
-        break;
-      case What::kFail:
-        server.fail(c.part);
-        break;
-      case What::kMute:
-        server.mute(c.part);
-        break;
-      case What::kDrain:
-        new_status = DiscoveryStandIn::Status::kDraining;
-        break;
-      case What::kStop:
-        stop_server(actor);
-        new_status = DiscoveryStandIn::Status::kRemoved;
-        break;
-      case What::kStart:
-        start_server(actor);
-        new_status = DiscoveryStandIn::Status::kUp;
-        break;
-      case What::kRestart:
-        break;
-    }
-    if (!new_status) continue;
-    const auto notify = [this, actor, status = *new_status, now_ms] {
+    const std::optional<DiscoveryStandIn::Status> status = change_server(c, actor);
+    if (!status) continue;
+    const auto announce = [this, actor, status = *status, now_ms] {
       discovery_->change(actor, status, status == DiscoveryStandIn::Status::kUp ? now_ms : 0);
     };
     if (c.notify_delay > 0) {
-      at(history_.now() + c.notify_delay, notify);
+      at(history_.now() + c.notify_delay, announce);
     } else {
-      notify();
+      announce();
     }
   }
 }
--- a/fleet_rig/run/relay_cost.h
+++ b/fleet_rig/run/relay_cost.h
@@ -1,5 +1,5 @@
 // What a relay adds to a round trip on loopback: one byte there and back on one connection, straight and
-// through a relay in turn, while others are held open on the relay.
+// through a relay in turn, while others are open on the relay.
 #pragma once
 
 #include <cstddef>
--- a/fleet_rig/shim/shim.cpp
+++ b/fleet_rig/shim/shim.cpp
@@ -66,7 +66,7 @@
   return Fate::kAll;
 }
 
-// `call` takes a length; half of one byte is none, so that goes whole.
+// `call` takes a length; half of one byte is none, so that is written in full.
 template <class ClientRequest>
 ssize_t faulty(FaultPlan& p, std::size_t size, ClientRequest call) {
   switch (fate_of_write(p)) {
--- a/fleet_rig/soak/soak_scenario.cpp
+++ b/fleet_rig/soak/soak_scenario.cpp
@@ -110,7 +110,7 @@
       case 1:
       case 2:
       case 3:
-        // A node is told to end; some have been told to read their configuration again a moment before.
+        // A node gets SIGTERM; some got SIGHUP a moment before.
         if (chance(0.5)) head("hangup", "node:*");
         head("restart", some_nodes());
         out_ << "stagger = " << between(0.1, 0.8) << '\n';
--- a/tests/bench/concurrency_scenarios_test.cpp
+++ b/tests/bench/concurrency_scenarios_test.cpp
@@ -1,4 +1,4 @@
-// The room that the module learns, shown by whole scenarios in virtual time: below what the servers can do
+// The adaptive concurrency limit in complete scenarios in virtual time: below what the servers can do
 // nothing is rejected, beyond it as much is served in time as they can do, and no rule is ever broken. The
 // scenarios are those of bench/scenarios, with fixed seeds: the same figures each time.
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
   std::string name;
   double times = 1;
   double seconds = 0;  // 0: as the file says
-  double bound = 0;    // the most rejected, or the least kept
+  double bound = 0;    // the most rejected, or the least goodput
 };
 
 // For the names that the test runner lists.
@@ -93,7 +93,7 @@
                     Case{"shared_slow", 1.2, 0, kLeastKept}, Case{"shared_slow", 2, 0, kLeastKept},
                     Case{"burst", 2, 0, kLeastKept}, Case{"tenants", 2, 20, kLeastKept},
                     Case{"drains", 1.2, 0, kLeastKept}, Case{"drains", 2, 40, kLeastKept},
-                    // Not yet at the aim of 0.95; see docs/design/learned-room.md.
+                    // Not yet at the target of 0.95; see docs/design/learned-room.md.
                     Case{"slow", 1.2, 0, 0.8}, Case{"slow", 2, 0, 0.8}, Case{"two_classes", 2, 20, 0.9},
                     Case{"wide", 1.2, 6, 0.85}),
     name_of);
@@ -115,7 +115,7 @@
     EXPECT_GE(r.seconds[i].in_time, 0.8 * r.seconds[i].capacity) << "in second " << i;
 }
 
-// ---------------------------------------------------------------- scenarios on which servers and replicas
+// ---------------------------------------------------------------- scenarios in which servers and replicas
 // fail
 
 class FaultScenarios : public testing::TestWithParam<Case> {};
@@ -126,16 +126,17 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Scenarios, FaultScenarios,
-    testing::Values(Case{"day_replaced", 0.5, 0, 0.99}, Case{"day_replaced", 0.7, 0, 0.99},
-                    Case{"day_failing", 0.5, 0, 0.97}, Case{"day_failing", 0.7, 0, 0.97},
-                    Case{"day_silent", 0.5, 0, 0.98}, Case{"day_silent", 0.7, 0, 0.98},
-                    // What the dead replica held, and who came while none was up, is lost.
-                    Case{"day_restart", 0.5, 0, 0.95}, Case{"day_restart", 0.7, 0, 0.95},
-                    Case{"day_half_gone", 0.5, 0, 0.98}, Case{"day_half_gone", 0.7, 0, 0.97}),
+    testing::Values(
+        Case{"day_replaced", 0.5, 0, 0.99}, Case{"day_replaced", 0.7, 0, 0.99},
+        Case{"day_failing", 0.5, 0, 0.97}, Case{"day_failing", 0.7, 0, 0.97},
+        Case{"day_silent", 0.5, 0, 0.98}, Case{"day_silent", 0.7, 0, 0.98},
+        // The requests in flight at the killed replica, and those that arrive while none runs, are lost.
+        Case{"day_restart", 0.5, 0, 0.95}, Case{"day_restart", 0.7, 0, 0.95},
+        Case{"day_half_gone", 0.5, 0, 0.98}, Case{"day_half_gone", 0.7, 0, 0.97}),
     name_of);
 
-// Danger: a replica that starts under full load takes the first answers, all of which waited, for an idle
-// tier.
+// A replica that starts under full load must not take its first responses, all of which queued, for those of
+// an idle tier.
 TEST(ConcurrencyLimit, ReplicaRestartedUnderLoadRecoversWithinASecond) {
   const Report r = play(scenario_of("day_restart", 0.7), Front::kModule, kSeed);
   for (const std::size_t up : {12U, 29U, 44U}) {
@@ -165,7 +166,7 @@
   EXPECT_GE(play(scenario_of("tight", 2), Front::kModule, kSeed).kept(), 0.88) << "beyond capacity";
 }
 
-// What was seen on sockets: a node that had been idle refused 95% of eight clients, for good.
+// A node that had been idle must not go on rejecting most of eight clients.
 TEST(ConcurrencyLimit, IdlePeriodDoesNotCausePersistentRejections) {
   for (const char* name : {"closed_8", "closed_32", "closed_128"}) {
     const Report r = play(scenario_of(name, 1), Front::kModule, kSeed);
--- a/tests/bench/model_test.cpp
+++ b/tests/bench/model_test.cpp
@@ -304,7 +304,7 @@
   rules.endpoint_notified(1, 0, 2, false);
   rules.endpoint_notified(1.9, 0, 2, false);
   rules.sent(2, "r", 0, 2);
-  rules.sent(2.5, "r", 1, 2);  // another replica, which was not told
+  rules.sent(2.5, "r", 1, 2);  // another replica, which was not notified
   EXPECT_EQ(rules.broken(), 0u);
   rules.sent(2.1, "r", 0, 2);
   expect_broken(rules, "drains-kept");
--- a/tests/bench/player_test.cpp
+++ b/tests/bench/player_test.cpp
@@ -130,7 +130,7 @@
   EXPECT_LT(beside.failed, 10) << "some of half a tenth of a second; then the other copy serves";
 }
 
-// Clients who come again by themselves: what they want counts once, and how much is made of it shows.
+// Clients that retry by themselves: what they want counts once, and how much is made of it shows.
 TEST(Player, RetriesCountOnceAsOfferedAndEachAsAnAttempt) {
   const std::string fails = kOneWorker + "[[load]]\nrate = 2\n[[change]]\nat = 0\nwhat = \"fail\"\n";
   const Report once = play_direct(fails);
--- a/tests/bench/rig_test.cpp
+++ b/tests/bench/rig_test.cpp
@@ -52,7 +52,7 @@
 }
 
 TEST(Rig, ModelServerFollowsTheModel) {
-  // One worker of 50 ms, asked without a node at 5 times what it can do, with room for four that wait.
+  // One worker of 50 ms, loaded without a node at 5 times its capacity, with a queue of four.
   const Scenario s = scenario_of(
       "service = \"constant\"\nmean_ms = 50\n[[servers]]\nworkers = 1\nqueue = 4\n[[load]]\nx = 5\n");
   const Seen seen = play_on_sockets(s, "", true, folder(), 1);
@@ -71,7 +71,7 @@
 }
 
 TEST(Rig, LatencyIsMeasuredFromTheDueTime) {
-  // All connections are held by one long request each; those that follow open new ones and are not held up.
+  // Each connection carries one long request; later requests open new connections and are not delayed.
   const Scenario s =
       scenario_of("service = \"constant\"\nmean_ms = 300\n[[servers]]\nworkers = 1\n[[load]]\nrate = 10\n");
   const Seen seen = play_on_sockets(s, "", true, folder(), 1);
--- a/tests/fleet_rig/checkers_test.cpp
+++ b/tests/fleet_rig/checkers_test.cpp
@@ -1,4 +1,4 @@
-// Each checker on histories that are planted: what it has to see, and what it must not blame.
+// Each checker on made-up histories: what it has to report, and what it must not.
 #include "checkers.h"
 
 #include <gtest/gtest.h>
--- a/tests/fleet_rig/membership_test.cpp
+++ b/tests/fleet_rig/membership_test.cpp
@@ -1,5 +1,5 @@
 // Nodes that know each other, as processes with faults between them: judged on how they see the fleet and on
-// the rules alike. Their times are a fifth of the usual, so that a run is short.
+// the rules alike. Their times are a fifth of the defaults, so that a run is short.
 #include <algorithm>
 
 #include "scenario_fixture.h"
--- a/tests/fleet_rig/net_test.cpp
+++ b/tests/fleet_rig/net_test.cpp
@@ -246,7 +246,7 @@
   EXPECT_EQ(read_some(q.near), "!");
 }
 
-// A buffer must not hide that the receiver has gone: the sender hears of it although its bytes were taken.
+// A relay buffer must not hide a reset: the sender gets it although its bytes were read.
 TEST_F(TcpLink, ResetReachesASenderThatKeepsSending) {
   Pair p = connect();
   lay(true, false, {.delay = 0.05});
--- a/tests/fleet_rig/scenario_fixture.h
+++ b/tests/fleet_rig/scenario_fixture.h
@@ -1,5 +1,5 @@
-// Plays a short run with the node that was built, and holds what every run has to keep: the rules, checkers
-// that could see, and a rig that was in time. What is peculiar to a run is for its test.
+// Runs a short scenario with the node that was built, and holds what every run has to keep: the rules,
+// checkers that could see, and a rig that was in time. What is peculiar to a run is for its test.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 
 namespace thymewood::fleet {
 
-// s; of a machine that others use too. The rules that are held here are broken by seconds.
+// s; of a machine that others use too. Violations that this looks for are seconds long.
 constexpr double kTestSlack = 0.5;
 
 // A class that is keyed and one that must not run twice.
--- a/tests/fleet_rig/scenarios_test.cpp
+++ b/tests/fleet_rig/scenarios_test.cpp
@@ -117,7 +117,7 @@
   EXPECT_GE(notified, 8) << "each node was told of each drain";
 }
 
-// A stopped node wakes among clients who have gone, and with a drain in its socket.
+// A paused node resumes with clients that have disconnected and an unread drain in its socket.
 TEST(FleetScenario, NodeIsPausedForSecondsAndResumes) {
   const Played p = play("paused",
                         "[[fault]]\nat = 1\nlasts = 3\nwhat = \"pause\"\nwho = \"node:0-1\"\n"
--- a/tests/fleet_rig/shim_worker.cpp
+++ b/tests/fleet_rig/shim_worker.cpp
@@ -1,4 +1,4 @@
-// For the tests of the shim: does once what it is told, and says how the system took it.
+// For the tests of the shim: performs one operation and prints its result.
 #include <fcntl.h>
 #include <sys/uio.h>
 #include <unistd.h>
