--- a/bench/membership/simulated_network.cpp
+++ b/bench/membership/simulated_network.cpp
@@ -119,8 +119,8 @@
   if (records_traffic) traffic.push_back({from, to, datagram});
   if (from != to && delivers && !delivers(from, to)) return;
   if (draw_unit() < links.loss) return;
-  const int copies = draw_unit() < links.duplicate ? 2 : 1;
-  for (int i = 0; i < copies; ++i) {
+  const int deliveries = draw_unit() < links.duplicate ? 2 : 1;
+  for (int i = 0; i < deliveries; ++i) {
     double at = now_ + links.delay + links.jitter * draw_unit();
     if (draw_unit() < links.reorder) at += kReorderFactor * (links.delay + links.jitter);
     events_.push({at, ++event_count_, false, from, to, 0, datagram});
--- a/bench/model/scenario_file.cpp
+++ b/bench/model/scenario_file.cpp
@@ -57,16 +57,16 @@
   if (s.servers.empty()) t.fail("there are no [[servers]]");
   s.load = read_load(t.tables("load"), s.full_rate(), times);
   for (TableReader& c : t.tables("callers")) {
-    ClosedLoop callers;
-    callers.count = static_cast<int>(std::lround(times * c.integer("count", 1, 0, 1000000)));
-    callers.from = c.number("from", 0);
-    callers.to = c.number("to", callers.to, callers.from, std::numeric_limits<double>::infinity());
-    callers.think = c.ms("think_ms", 0);
-    callers.after_refusal = c.number("after_refusal_ms", 0, -1) / 1000;
+    ClosedLoop clients;
+    clients.count = static_cast<int>(std::lround(times * c.integer("count", 1, 0, 1000000)));
+    clients.from = c.number("from", 0);
+    clients.to = c.number("to", clients.to, clients.from, std::numeric_limits<double>::infinity());
+    clients.think = c.ms("think_ms", 0);
+    clients.after_refusal = c.number("after_refusal_ms", 0, -1) / 1000;
     c.finish();
-    s.closed_loops.push_back(callers);
+    s.closed_loops.push_back(clients);
   }
-  if (s.load.empty() && s.closed_loops.empty()) t.fail("there is neither [[load]] nor [[callers]]");
+  if (s.load.empty() && s.closed_loops.empty()) t.fail("there is neither [[load]] nor [[clients]]");
   read_fleet(t, s);
   for (TableReader& change : t.tables("change")) s.changes.push_back(read_change(change, s));
   for (TableReader& flood : t.tables("flood")) s.floods.push_back(read_flood(flood, s));
--- a/fleet_rig/net/udp_hub.cpp
+++ b/fleet_rig/net/udp_hub.cpp
@@ -15,7 +15,7 @@
   explicit Socket(asio::io_context& io) : socket(io) {}
   udp::socket socket;
   Endpoint sender;
-  std::array<char, 65536> room{};
+  std::array<char, 65536> receive_buffer{};
 };
 
 UdpHub::UdpHub(asio::io_context& io, LinkTable& table, std::vector<Peer> peers, const Endpoint& all,
@@ -37,27 +37,29 @@
 
 void UdpHub::receive(std::size_t at) {
   Socket& socket = *sockets_[at];
-  socket.socket.async_receive_from(
-      asio::buffer(socket.room), socket.sender, [this, alive = alive_, at](error_code bad, std::size_t n) {
-        if (!*alive || bad == asio::error::operation_aborted) return;
-        Socket& held = *sockets_[at];
-        if (!bad) {
-          const auto from = std::find_if(peers_.begin(), peers_.end(),
-                                         [&](const Peer& p) { return p.listens == held.sender; });
-          const std::string bytes(held.room.data(), n);
-          counts_.came += 1;
-          counts_.longest = std::max<std::uint64_t>(counts_.longest, n);
-          if (from == peers_.end()) {
-            counts_.strange += 1;
-          } else {
-            const auto sender = static_cast<std::size_t>(from - peers_.begin());
-            for (std::size_t to = 0; to < peers_.size(); ++to) {
-              if (to != sender && (at == peers_.size() || at == to)) pass_on(sender, to, bytes);
-            }
-          }
-        }
-        receive(at);
-      });
+  socket.socket.async_receive_from(asio::buffer(socket.receive_buffer), socket.sender,
+                                   [this, alive = alive_, at](error_code bad, std::size_t n) {
+                                     if (!*alive || bad == asio::error::operation_aborted) return;
+                                     Socket& held = *sockets_[at];
+                                     if (!bad) {
+                                       const auto from = std::find_if(
+                                           peers_.begin(), peers_.end(),
+                                           [&](const Peer& p) { return p.listens == held.sender; });
+                                       const std::string bytes(held.receive_buffer.data(), n);
+                                       counts_.came += 1;
+                                       counts_.longest = std::max<std::uint64_t>(counts_.longest, n);
+                                       if (from == peers_.end()) {
+                                         counts_.strange += 1;
+                                       } else {
+                                         const auto sender = static_cast<std::size_t>(from - peers_.begin());
+                                         for (std::size_t to = 0; to < peers_.size(); ++to) {
+                                           if (to != sender && (at == peers_.size() || at == to))
+                                             pass_on(sender, to, bytes);
+                                         }
+                                       }
+                                     }
+                                     receive(at);
+                                   });
 }
 
 void UdpHub::pass_on(std::size_t from, std::size_t to, const std::string& bytes) {
--- a/node/client_session.h
+++ b/node/client_session.h
@@ -84,7 +84,7 @@
 
  private:
   enum class State { kReading, kWaiting, kWriting, kPausing, kLingering, kClosed };
-  enum class Framing { kIntact, kLost };  // whether the next request can be told from the present one
+  enum class Framing { kIntact, kLost };  // whether the start of the next request is known
 
   template <class Work>
   void run_guarded(const Work& work);
--- a/node/connection_pool.cpp
+++ b/node/connection_pool.cpp
@@ -46,7 +46,7 @@
   close_idle();
   end_partly_written();
   // Another server may be reachable at the address by now and must not receive the requests of this one. They
-  // end after the caller has processed the removal.
+  // end after the calling function has processed the removal.
   const std::deque<std::shared_ptr<UpstreamAttempt>> waiting = std::exchange(waiting_, {});
   for (const std::shared_ptr<UpstreamAttempt>& attempt : waiting) attempt->end_later(Outcome::kConnectFailed);
 }
--- a/node/event_log.h
+++ b/node/event_log.h
@@ -61,7 +61,7 @@
 inline LogEvent log_info(std::string_view name) { return {LogLevel::kInfo, name}; }
 inline LogEvent log_warning(std::string_view name) { return {LogLevel::kWarning, name}; }
 
-// Whether debug events are written, for callers whose values are costly to compute.
+// Whether debug events are written, for code whose values are costly to compute.
 bool is_debug_logged();
 
 // Reads the level from THYMEWOOD_LOG; an unknown one is a warning and means `info`.
--- a/tests/fleet_rig/net_test.cpp
+++ b/tests/fleet_rig/net_test.cpp
@@ -58,9 +58,9 @@
 // One byte or more within the patience of a test; empty at an end, "!" at a reset.
 std::string read_some(Wire& wire) {
   if (!has_bytes(wire.fd(), std::chrono::milliseconds(node::kPatience))) return "nothing";
-  char room[65536];
-  const ssize_t n = ::recv(wire.fd(), room, sizeof room, 0);
-  return n < 0 ? "!" : std::string(room, static_cast<std::size_t>(n));
+  char buffer[65536];
+  const ssize_t n = ::recv(wire.fd(), buffer, sizeof buffer, 0);
+  return n < 0 ? "!" : std::string(buffer, static_cast<std::size_t>(n));
 }
 
 // A relay between a client and a listener of the test's own.
@@ -97,7 +97,7 @@
       relay_->changed();
     });
   }
-  Wire dial() { return Wire::to(relay_->where().port()); }
+  Wire connect_client() { return Wire::to(relay_->where().port()); }
   Wire accept() {
     pollfd wait{listen_.get(), POLLIN, 0};
     if (::poll(&wait, 1, static_cast<int>(std::chrono::milliseconds(node::kPatience).count())) <= 0)
@@ -108,7 +108,7 @@
     Wire near, far;
   };
   Pair connect() {
-    Wire near = dial();
+    Wire near = connect_client();
     Wire far = accept();
     EXPECT_TRUE(near.is_open() && far.is_open());
     return {std::move(near), std::move(far)};
@@ -246,7 +246,7 @@
   EXPECT_EQ(read_some(q.near), "!");
 }
 
-// A buffer must not hide that the receiver has gone: the sender hears of it although its bytes were taken.
+// A relay buffer must not hide a reset: the sender gets it although its bytes were read.
 TEST_F(TcpLink, ResetReachesASenderThatKeepsSending) {
   Pair p = connect();
   lay(true, false, {.delay = 0.05});
@@ -270,7 +270,7 @@
 TEST_F(TcpLink, RefusesNewConnectionsAndLeavesOpenOnes) {
   Pair p = connect();
   loop_.in([&] { relay_->refuse(true); });
-  EXPECT_FALSE(dial().is_open());
+  EXPECT_FALSE(connect_client().is_open());
   p.near.write("x");
   EXPECT_EQ(read_some(p.far), "x");
   loop_.in([&] { relay_->refuse(false); });
@@ -282,7 +282,7 @@
 TEST_F(TcpLink, PartitionOutlastsARefusal) {
   lay(true, true, {.cut = true});
   loop_.in([&] { relay_->refuse(true); });
-  EXPECT_FALSE(dial().is_open());
+  EXPECT_FALSE(connect_client().is_open());
   loop_.in([&] { relay_->refuse(false); });
   EXPECT_FALSE(comes_up(300ms)) << "it listens again, and is still cut off";
   lift();
@@ -335,7 +335,7 @@
 
 TEST_F(TcpLink, ConnectionEndsWhenTheTargetDoesNotListen) {
   listen_.reset();
-  Wire near = dial();
+  Wire near = connect_client();
   EXPECT_EQ(read_some(near), "!");
 }
 
@@ -393,12 +393,12 @@
   // The text and the port that it came from; an empty text where nothing comes.
   std::pair<std::string, int> receive(int at, std::chrono::milliseconds wait = node::kPatience) {
     if (!has_bytes(sockets_[at].get(), wait)) return {"", 0};
-    char room[2048];
+    char buffer[2048];
     sockaddr_in from{};
     socklen_t size = sizeof from;
     const ssize_t n =
-        ::recvfrom(sockets_[at].get(), room, sizeof room, 0, reinterpret_cast<sockaddr*>(&from), &size);
-    return {std::string(room, static_cast<std::size_t>(std::max<ssize_t>(n, 0))), ntohs(from.sin_port)};
+        ::recvfrom(sockets_[at].get(), buffer, sizeof buffer, 0, reinterpret_cast<sockaddr*>(&from), &size);
+    return {std::string(buffer, static_cast<std::size_t>(std::max<ssize_t>(n, 0))), ntohs(from.sin_port)};
   }
   void lay(int from, int to, const Shape& shape) {
     loop_.in([&] { table_.way(actor(from), actor(to)).lay(1, shape); });
