--- a/fleet_rig/history/views.cpp
+++ b/fleet_rig/history/views.cpp
@@ -77,9 +77,10 @@
       continue;
     }
     const bool node = is_node(r.by);
-    const bool change = (node && (r.what == What::kUp || r.what == What::kDown || r.what == What::kCrash ||
-                                  r.what == What::kPaused || r.what == What::kResumed || r.what == What::kTerm)) ||
-                        r.what == What::kBadLink || r.what == What::kGoodLink;
+    const bool change =
+        (node && (r.what == What::kUp || r.what == What::kDown || r.what == What::kCrash ||
+                  r.what == What::kPaused || r.what == What::kResumed || r.what == What::kTerm)) ||
+        r.what == What::kBadLink || r.what == What::kGoodLink;
     look(r.t);
     if (!change) continue;
     changed = r.t;
