--- a/bench/model/scenario_file.cpp
+++ b/bench/model/scenario_file.cpp
@@ -66,7 +66,7 @@
     c.finish();
     s.closed_loops.push_back(clients);
   }
-  if (s.load.empty() && s.closed_loops.empty()) t.fail("there is neither [[load]] nor [[clients]]");
+  if (s.load.empty() && s.closed_loops.empty()) t.fail("there is neither [[load]] nor [[callers]]");
   read_fleet(t, s);
   for (TableReader& change : t.tables("change")) s.changes.push_back(read_change(change, s));
   for (TableReader& flood : t.tables("flood")) s.floods.push_back(read_flood(flood, s));
