--- a/tests/node/fake_discovery.h
+++ b/tests/node/fake_discovery.h
@@ -39,16 +39,15 @@
             [this](Wire& wire) {
               const std::string call = wire.read_message();
               if (call.empty()) return;
-              std::string first;
               {
                 const std::lock_guard lock(mutex_);
                 calls_.push_back(call);
-                first = answer_;
+                std::string first = answer_;
                 if (first.empty())
                   first = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("\n");
+                wire.write(first);  // under the lock, so that no pushed chunk precedes the head
                 current_ = &wire;
               }
-              wire.write(first);
               wire.read_rest();
               const std::lock_guard lock(mutex_);
               if (current_ == &wire) current_ = nullptr;
