--- a/tests/fleet_rig/machine_test.cpp
+++ b/tests/fleet_rig/machine_test.cpp
@@ -189,7 +189,7 @@
   node::ConfigText config;
   const std::string folder = folder_of("node");
   std::filesystem::create_directories(folder);
-  config.known = node::list(7, true, node::member("s0", "127.0.0.1:9"));
+  config.known = node::endpoint_list_json(7, true, node::endpoint_json("s0", "127.0.0.1:9"));
   std::ofstream(folder + "/config.json") << config.text();
   Machine machine({NODE_PROGRAM, folder, {"RELAY_CONFIG=" + folder + "/config.json"}, 0});
   machine.start();
@@ -198,7 +198,7 @@
   const std::string log = machine.log();
   const int port = std::stoi(log.substr(log.find(word) + word.size()));
   machine.pause();
-  node::Wire client = node::Wire::to(port);
+  node::RawConnection client = node::RawConnection::connect_to(port);
   EXPECT_TRUE(client.is_open());
   client.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
   pollfd look{client.fd(), POLLIN, 0};
--- a/tests/fleet_rig/net_test.cpp
+++ b/tests/fleet_rig/net_test.cpp
@@ -20,7 +20,7 @@
 using bench::ActorKind;
 using node::eventually;
 using node::Fd;
-using node::Wire;
+using node::RawConnection;
 namespace asio = boost::asio;
 
 const Actor kNear{ActorKind::kNode, 0}, kFar{ActorKind::kServer, 0};
@@ -56,10 +56,10 @@
 }
 
 // One byte or more within the patience of a test; empty at an end, "!" at a reset.
-std::string read_some(Wire& wire) {
-  if (!has_bytes(wire.fd(), std::chrono::milliseconds(node::kPatience))) return "nothing";
+std::string read_some(RawConnection& connection) {
+  if (!has_bytes(connection.fd(), std::chrono::milliseconds(node::kMaxWait))) return "nothing";
   char room[65536];
-  const ssize_t n = ::recv(wire.fd(), room, sizeof room, 0);
+  const ssize_t n = ::recv(connection.fd(), room, sizeof room, 0);
   return n < 0 ? "!" : std::string(room, static_cast<std::size_t>(n));
 }
 
@@ -97,19 +97,19 @@
       relay_->changed();
     });
   }
-  Wire dial() { return Wire::to(relay_->where().port()); }
-  Wire accept() {
+  RawConnection dial() { return RawConnection::connect_to(relay_->where().port()); }
+  RawConnection accept() {
     pollfd wait{listen_.get(), POLLIN, 0};
-    if (::poll(&wait, 1, static_cast<int>(std::chrono::milliseconds(node::kPatience).count())) <= 0)
-      return Wire(Fd());
-    return Wire(Fd(::accept4(listen_.get(), nullptr, nullptr, SOCK_CLOEXEC)));
+    if (::poll(&wait, 1, static_cast<int>(std::chrono::milliseconds(node::kMaxWait).count())) <= 0)
+      return RawConnection(Fd());
+    return RawConnection(Fd(::accept4(listen_.get(), nullptr, nullptr, SOCK_CLOEXEC)));
   }
   struct Pair {
-    Wire near, far;
+    RawConnection near, far;
   };
   Pair connect() {
-    Wire near = dial();
-    Wire far = accept();
+    RawConnection near = dial();
+    RawConnection far = accept();
     EXPECT_TRUE(near.is_open() && far.is_open());
     return {std::move(near), std::move(far)};
   }
@@ -144,13 +144,13 @@
 TEST_F(TcpLink, ForwardsMegabytesBothWaysConcurrently) {
   Pair p = connect();
   constexpr std::size_t kAll = 3'000'000;
-  const auto pump = [](Wire& wire, char c) {
-    return std::thread([&wire, c] { EXPECT_TRUE(wire.write(std::string(kAll, c))); });
+  const auto pump = [](RawConnection& connection, char c) {
+    return std::thread([&connection, c] { EXPECT_TRUE(connection.write(std::string(kAll, c))); });
   };
-  const auto drain = [](Wire& wire, char c) {
+  const auto drain = [](RawConnection& connection, char c) {
     std::size_t got = 0;
     while (got < kAll) {
-      const std::string piece = read_some(wire);
+      const std::string piece = read_some(connection);
       if (piece.empty() || piece == "nothing" || piece == "!") break;
       EXPECT_EQ(piece.find_first_not_of(c), std::string::npos);
       got += piece.size();
@@ -335,7 +335,7 @@
 
 TEST_F(TcpLink, ConnectionEndsWhenTheTargetDoesNotListen) {
   listen_.reset();
-  Wire near = dial();
+  RawConnection near = dial();
   EXPECT_EQ(read_some(near), "!");
 }
 
@@ -391,7 +391,7 @@
              sizeof where);
   }
   // The text and the port that it came from; an empty text where nothing comes.
-  std::pair<std::string, int> receive(int at, std::chrono::milliseconds wait = node::kPatience) {
+  std::pair<std::string, int> receive(int at, std::chrono::milliseconds wait = node::kMaxWait) {
     if (!has_bytes(sockets_[at].get(), wait)) return {"", 0};
     char room[2048];
     sockaddr_in from{};
--- a/tests/node/client_disconnect_test.cpp
+++ b/tests/node/client_disconnect_test.cpp
@@ -5,8 +5,10 @@
 namespace thymewood::node {
 namespace {
 
-constexpr auto kDisconnectGrace = 110ms;                                          // more than the 0.1 s
-void pass(std::chrono::milliseconds span) { std::this_thread::sleep_for(span); }  // the time under test
+constexpr auto kDisconnectGrace = 110ms;  // more than the 0.1 s
+void sleep_for(std::chrono::milliseconds duration) {
+  std::this_thread::sleep_for(duration);
+}  // the time under test
 
 enum class Disconnect { kCloses, kResets, kSendsMuchAhead };
 enum class TcpInfo { kAvailable, kUnavailable };
@@ -46,9 +48,10 @@
     return GetParam().tcp_info == TcpInfo::kAvailable ? nullptr : disable_tcp_info;
   }
   // What it sends ahead exceeds the buffers of the node and its socket, so that its close follows unread.
-  static void disconnect(Wire& client) {
+  static void disconnect(RawConnection& client) {
     if (GetParam().how == Disconnect::kSendsMuchAhead)
-      client.flood(Ask{.id = "ahead", .body = std::string(8000, 'x')}.text(), std::size_t{16} << 20);
+      client.flood(ClientRequest{.id = "ahead", .body = std::string(8000, 'x')}.text(),
+                   std::size_t{16} << 20);
     if (GetParam().how == Disconnect::kResets) return client.reset();
     client.close();
   }
@@ -59,21 +62,21 @@
   full.fill();
   FakeDiscovery discovery;
   ConfigText text = config();
-  text.known = list(7, true, member("s0", full.address()));
+  text.known = endpoint_list_json(7, true, endpoint_json("s0", full.address()));
   text.discovery = discovery.address();
   Program program(text.text(), 0, true, "", in_child());
-  Wire client = Wire::to(program.port());
-  client.write(Ask{.id = "disconnected"}.text());
+  RawConnection client = RawConnection::connect_to(program.port());
+  client.write(ClientRequest{.id = "disconnected"}.text());
   ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }));
   disconnect(client);
-  pass(kDisconnectGrace);
-  Wire next = Wire::to(program.port());
-  next.write(Ask{.id = "next"}.text());
-  Wire server(full.accept());
+  sleep_for(kDisconnectGrace);
+  RawConnection next = RawConnection::connect_to(program.port());
+  next.write(ClientRequest{.id = "next"}.text());
+  RawConnection server(full.accept());
   ASSERT_TRUE(server.is_open());
   // The connection is used for the next client or closed; then a second one is opened.
   std::string first = server.read_message();
-  if (first.empty()) first = Wire(full.accept()).read_message();
+  if (first.empty()) first = RawConnection(full.accept()).read_message();
   EXPECT_EQ(field_of(first, "X-Request-ID"), "next") << first;
 }
 
@@ -81,19 +84,19 @@
   FullListener tight(true);
   FakeDiscovery discovery;
   ConfigText text = config();
-  text.known = list(7, true, member("s0", tight.address()));
+  text.known = endpoint_list_json(7, true, endpoint_json("s0", tight.address()));
   text.discovery = discovery.address();
   Program program(text.text(), 0, true, "", in_child());
-  Wire client = Wire::to(program.port());
+  RawConnection client = RawConnection::connect_to(program.port());
   const std::string body(64 * 1024, 'b');
-  client.write(Ask{.id = "disconnected", .body = body}.text());
-  Wire server(tight.accept());
+  client.write(ClientRequest{.id = "disconnected", .body = body}.text());
+  RawConnection server(tight.accept());
   ASSERT_TRUE(server.is_open());
   // Nothing is read here: a read would let the sender's buffer grow beyond the request.
-  ASSERT_TRUE(server.has_come());
+  ASSERT_TRUE(server.wait_readable());
   disconnect(client);
-  pass(kDisconnectGrace);
-  const std::string all = server.read_rest();
+  sleep_for(kDisconnectGrace);
+  const std::string all = server.read_until_close();
   EXPECT_EQ(field_of(all, "X-Request-ID"), "disconnected") << all.substr(0, 200);
   EXPECT_LT(body_of(all).size(), body.size()) << "its last byte was sent after its client had disconnected";
 }
@@ -101,21 +104,21 @@
 // The first attempt was not processed, so that a retry would follow.
 TEST_P(ClientDisconnect, WhileItsFirstAttemptIsInFlight) {
   Gate gate;
-  const FakeServer::Reply reject = [&](Wire& wire, const std::string&) {
-    return gate.wait() && wire.write(http_answer(503, "", "X-Not-Processed: 1\r\n"));
+  const FakeServer::Reply reject = [&](RawConnection& connection, const std::string&) {
+    return gate.wait() && connection.write(http_response(503, "", "X-Not-Processed: 1\r\n"));
   };
   FakeServer one(reject), two(reject);
   Deployment d({&one, &two}, config(), 0, in_child());
-  Wire client = d.client();
-  client.write(Ask{.id = "disconnected"}.text());
+  RawConnection client = d.client();
+  client.write(ClientRequest{.id = "disconnected"}.text());
   ASSERT_TRUE(eventually([&] { return one.requests().size() + two.requests().size() == 1; }));
   disconnect(client);
-  pass(kDisconnectGrace);
+  sleep_for(kDisconnectGrace);
   gate.open();
   // The node has processed the response by the time it has served two more requests.
   for (const char* id : {"a", "b"}) {
-    Wire next = d.client();
-    next.write(Ask{.id = id}.text());
+    RawConnection next = d.client();
+    next.write(ClientRequest{.id = id}.text());
     EXPECT_EQ(status_of(next.read_message()), 503);
   }
   int forwarded = 0;
@@ -129,26 +132,26 @@
 TEST_P(ClientDisconnect, WhileTheNodeIsPausedWithAnAttemptInFlight) {
   Gate gate;
   std::atomic<bool> answered = false;
-  const FakeServer::Reply reject = [&](Wire& wire, const std::string&) {
-    const bool is_written = gate.wait() && wire.write(http_answer(503, "", "X-Not-Processed: 1\r\n"));
+  const FakeServer::Reply reject = [&](RawConnection& connection, const std::string&) {
+    const bool is_written = gate.wait() && connection.write(http_response(503, "", "X-Not-Processed: 1\r\n"));
     answered = true;
     return is_written;
   };
   FakeServer one(reject), two(reject);
   Deployment d({&one, &two}, config(), 0, in_child());
-  Wire client = d.client();
-  client.write(Ask{.id = "disconnected"}.text());
+  RawConnection client = d.client();
+  client.write(ClientRequest{.id = "disconnected"}.text());
   ASSERT_TRUE(eventually([&] { return one.requests().size() + two.requests().size() == 1; }));
   d.program->signal(SIGSTOP);
   ASSERT_TRUE(eventually([&] { return d.program->state() == 'T'; }));
   gate.open();
   ASSERT_TRUE(eventually([&] { return answered.load(); }));
   disconnect(client);
-  pass(kDisconnectGrace);
+  sleep_for(kDisconnectGrace);
   d.program->signal(SIGCONT);
   for (const char* id : {"a", "b"}) {
-    Wire next = d.client();
-    next.write(Ask{.id = id}.text());
+    RawConnection next = d.client();
+    next.write(ClientRequest{.id = id}.text());
     EXPECT_EQ(status_of(next.read_message()), 503);
   }
   int forwarded = 0;
@@ -162,19 +165,19 @@
 TEST_P(ClientDisconnect, BeforeItsRequestIsRead) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server}, config(), 0, in_child());
-  Wire known = d.client();
-  known.write(Ask{.id = "before"}.text());
+  RawConnection known = d.client();
+  known.write(ClientRequest{.id = "before"}.text());
   ASSERT_EQ(status_of(known.read_message()), 200);
   d.program->signal(SIGSTOP);
   ASSERT_TRUE(eventually([&] { return d.program->state() == 'T'; }));
-  Wire fresh = d.client();
-  fresh.write(Ask{.id = "disconnected1"}.text());
-  known.write(Ask{.id = "disconnected2"}.text());
-  for (Wire* client : {&fresh, &known}) disconnect(*client);
-  pass(kDisconnectGrace);
+  RawConnection fresh = d.client();
+  fresh.write(ClientRequest{.id = "disconnected1"}.text());
+  known.write(ClientRequest{.id = "disconnected2"}.text());
+  for (RawConnection* client : {&fresh, &known}) disconnect(*client);
+  sleep_for(kDisconnectGrace);
   d.program->signal(SIGCONT);
-  Wire next = d.client();
-  next.write(Ask{.id = "after"}.text());
+  RawConnection next = d.client();
+  next.write(ClientRequest{.id = "after"}.text());
   EXPECT_EQ(status_of(next.read_message()), 200);
   for (const std::string& request : server.requests())
     EXPECT_FALSE(field_of(request, "X-Request-ID").starts_with("disconnected"));
@@ -187,31 +190,31 @@
   FakeServer server(replies(200, std::string(std::size_t{1} << 20, 'a')));
   // TCP_INFO could show the close too.
   Deployment d({&server}, {}, 0, disable_tcp_info);
-  Wire client = d.client(true);
-  client.write(Ask{.id = "first"}.text());
-  ASSERT_TRUE(client.has_come()) << "its response has begun and exceeds the buffers";
-  client.write(Ask{.id = "second"}.text());
-  client.end_sending();
+  RawConnection client = d.client(true);
+  client.write(ClientRequest{.id = "first"}.text());
+  ASSERT_TRUE(client.wait_readable()) << "its response has begun and exceeds the buffers";
+  client.write(ClientRequest{.id = "second"}.text());
+  client.half_close();
   // Both have arrived once a later client has been served.
-  Wire other = d.client();
-  other.write(Ask{.id = "other"}.text());
+  RawConnection other = d.client();
+  other.write(ClientRequest{.id = "other"}.text());
   ASSERT_EQ(status_of(other.read_message()), 200);
-  const std::string answers = client.read_rest();
+  const std::string answers = client.read_until_close();
   EXPECT_EQ(body_of(answers).size(), std::size_t{1} << 20) << "the response that was begun is completed";
   for (const std::string& request : server.requests()) EXPECT_NE(field_of(request, "X-Request-ID"), "second");
 }
 
 // Read-ahead is limited: the buffered requests are answered, then the client is rejected.
-TEST(PipelinedClient, BufferedRequestsAreAnsweredAndTheRestRejected) {
+TEST(PipelinedClient, AnswersBufferedRequestsAndRejectsFurtherOnes) {
   Gate gate;
-  FakeServer server([&](Wire& wire, const std::string& request) {
-    return gate.wait() && wire.write(http_answer(200, field_of(request, "X-Request-ID")));
+  FakeServer server([&](RawConnection& connection, const std::string& request) {
+    return gate.wait() && connection.write(http_response(200, field_of(request, "X-Request-ID")));
   });
   Deployment d({&server});
-  Wire client = d.client();
-  std::string all = Ask{.id = "r0"}.text();
+  RawConnection client = d.client();
+  std::string all = ClientRequest{.id = "r0"}.text();
   for (int i = 1; i < 40; ++i)
-    all += Ask{.id = "r" + std::to_string(i), .body = std::string(2000, 'x')}.text();
+    all += ClientRequest{.id = "r" + std::to_string(i), .body = std::string(2000, 'x')}.text();
   std::thread sender([&] { client.write(all); });
   ASSERT_TRUE(eventually([&] { return server.requests().size() == 1; }));
   sender.join();
--- a/tests/node/deployment.h
+++ b/tests/node/deployment.h
@@ -12,39 +12,41 @@
 #include "fake_discovery.h"
 #include "fake_server.h"
 #include "node_program.h"
-#include "wire.h"
+#include "raw_connection.h"
 
 namespace thymewood::node {
 
 // A node with the servers in its known list, and a discovery service without changes.
 class Deployment {
  public:
-  explicit Deployment(const std::vector<FakeServer*>& servers, ConfigText config = {}, rlim_t descriptors = 0,
-                      void (*in_child)() = nullptr) {
-    std::string members;
+  explicit Deployment(const std::vector<FakeServer*>& servers, ConfigText initial_config = {},
+                      rlim_t descriptors = 0, void (*in_child)() = nullptr)
+      : config(std::move(initial_config)) {
+    std::string endpoints;
     for (std::size_t i = 0; i < servers.size(); ++i) {
-      members += (i > 0 ? "," : "") + member("s" + std::to_string(i), servers[i]->address());
+      endpoints += (i > 0 ? "," : "") + endpoint_json("s" + std::to_string(i), servers[i]->address());
     }
-    if (config.known.empty()) config.known = list(7, true, members);
+    if (config.known.empty()) config.known = endpoint_list_json(7, true, endpoints);
     config.discovery = discovery.address();
-    told = config;
     program = std::make_unique<Program>(config.text(), descriptors, true, "", in_child);
   }
-  Wire client(bool small_buffers = false) const { return Wire::to(program->port(), small_buffers); }
+  RawConnection client(bool small_buffers = false) const {
+    return RawConnection::connect_to(program->port(), small_buffers);
+  }
 
   FakeDiscovery discovery;
-  ConfigText told;
+  ConfigText config;
   std::unique_ptr<Program> program;
 };
 
 // A client's request; the defaults are valid.
-struct Ask {
-  std::string kind = "close", id = "r1", method = "POST", body = "{}", path = "", fields = "";
+struct ClientRequest {
+  std::string request_class = "close", id = "r1", method = "POST", body = "{}", path = "", fields = "";
   std::string timeout = "15000", key = "";
   std::string text() const {
-    return method + " " + (path.empty() ? "/" + kind + "/k1?x=1" : path) +
+    return method + " " + (path.empty() ? "/" + request_class + "/k1?x=1" : path) +
            " HTTP/1.1\r\nHost: origin.svc\r\n" + (id.empty() ? "" : "X-Request-ID: " + id + "\r\n") +
-           "X-Priority-Class: " + kind + "\r\nX-Tenant-Id: acme\r\n" +
+           "X-Priority-Class: " + request_class + "\r\nX-Tenant-Id: acme\r\n" +
            (timeout.empty() ? "" : "X-Timeout-Ms: " + timeout + "\r\n") +
            (key.empty() ? "" : "Idempotency-Key: " + key + "\r\n") + fields +
            (body.empty() ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n") + "\r\n" + body;
--- a/tests/node/deployments_test.cpp
+++ b/tests/node/deployments_test.cpp
@@ -37,8 +37,8 @@
   return out;
 }
 
-Ask ask_of(const ClassUnderTest& c, const std::string& id) {
-  Ask out{.kind = c.name, .id = id, .timeout = ""};
+ClientRequest request_of(const ClassUnderTest& c, const std::string& id) {
+  ClientRequest out{.request_class = c.name, .id = id, .timeout = ""};
   if (c.idempotency == "safe") out.method = "GET", out.body = "";
   if (c.idempotency == "keyed") out.key = "k-" + id;
   return out;
@@ -57,18 +57,18 @@
 TEST_P(CustomerSettings, OnlyTheirOwnClassesAreServed) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server}, config());
-  Wire client = d.client();
+  RawConnection client = d.client();
   for (const ClassUnderTest& c : classes_of(GetParam())) {
-    client.write(ask_of(c, "r-" + c.name).text());
+    client.write(request_of(c, "r-" + c.name).text());
     EXPECT_EQ(status_of(client.read_message()), 200) << c.name;
     // A key where the class has none, or none where it needs one, is an error.
-    Ask invalid = ask_of(c, "w-" + c.name);
+    ClientRequest invalid = request_of(c, "w-" + c.name);
     invalid.key = invalid.key.empty() ? "k" : "";
     client.write(invalid.text());
     EXPECT_EQ(status_of(client.read_message()), 400) << c.name;
   }
   for (const char* foreign : {"look", "close", "dance"}) {
-    client.write(Ask{.kind = foreign, .id = std::string("f-") + foreign}.text());
+    client.write(ClientRequest{.request_class = foreign, .id = std::string("f-") + foreign}.text());
     EXPECT_EQ(status_of(client.read_message()), 400);
   }
 }
@@ -78,8 +78,9 @@
 TEST_P(CustomerSettings, RetriesFollowTheIdempotencyOfTheClass) {
   FakeServer one(replies(500, "no")), two(replies(500, "no"));
   ConfigText text = config();
-  text.known =
-      list(7, true, member("s0", one.address(), "up", 1) + "," + member("s1", two.address(), "up", 2));
+  text.known = endpoint_list_json(
+      7, true,
+      endpoint_json("s0", one.address(), "up", 1) + "," + endpoint_json("s1", two.address(), "up", 2));
   Deployment d({}, text);
   const auto sent = [&](const std::string& id) {
     std::size_t out = 0;
@@ -88,9 +89,9 @@
     return out;
   };
   for (const ClassUnderTest& c : classes_of(GetParam())) {
-    Wire client = d.client();
+    RawConnection client = d.client();
     const std::string id = "r-" + c.name;
-    client.write(ask_of(c, id).text());
+    client.write(request_of(c, id).text());
     const int status = status_of(client.read_message());
     const bool can_retry = c.idempotency == "safe" || c.name == "note" || c.name == "seal";
     EXPECT_GE(sent(id), 1U) << c.name;
@@ -103,16 +104,16 @@
 // A request that names no timeout has that of its class. That of the class "only" is too long for a
 // test, so its request names one.
 TEST_P(CustomerSettings, EveryRequestIsAnsweredWhenTheServerHangs) {
-  FakeServer hanging([](Wire&, const std::string&) { return true; });
+  FakeServer hanging([](RawConnection&, const std::string&) { return true; });
   Deployment d({&hanging}, config());
-  std::vector<Wire> clients;
+  std::vector<RawConnection> clients;
   for (const ClassUnderTest& c : classes_of(GetParam())) {
     clients.push_back(d.client());
-    Ask ask = ask_of(c, "r-" + c.name);
-    if (c.name == "only") ask.timeout = "700";
-    clients.back().write(ask.text());
+    ClientRequest request = request_of(c, "r-" + c.name);
+    if (c.name == "only") request.timeout = "700";
+    clients.back().write(request.text());
   }
-  for (Wire& client : clients) {
+  for (RawConnection& client : clients) {
     const int status = status_of(client.read_message());
     EXPECT_TRUE(status == 502 || status == 503) << status;
   }
@@ -127,8 +128,8 @@
   ConfigText config;
   config.categories = kCustomers[0].categories;
   Deployment d({&server}, config);
-  Wire client = d.client();
-  client.write(Ask{.kind = "fire", .timeout = "80"}.text());
+  RawConnection client = d.client();
+  client.write(ClientRequest{.request_class = "fire", .timeout = "80"}.text());
   ASSERT_EQ(status_of(client.read_message()), 200);
   EXPECT_GE(std::stoi(field_of(server.requests()[0], "X-Timeout-Ms")), 50)
       << "the server gets most of the 80 ms";
@@ -174,7 +175,7 @@
   ConfigText config;
   config.categories = GetParam().categories;
   config.bounds = GetParam().bounds;
-  config.known = list(7, true, member("s0", server.address()));
+  config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   if (GetParam().field != nullptr) {
     Program program(config.text(), 0, false);
     EXPECT_EQ(program.exit_status(), 2);
@@ -183,11 +184,11 @@
   }
   Program program(config.text());
   for (int i = 0; i < 3; ++i) {
-    Wire client = Wire::to(program.port());
+    RawConnection client = RawConnection::connect_to(program.port());
     const std::string key = std::string(GetParam().name) == "WindowZero" ? "k" : "";
-    Ask ask{.kind = "a", .id = "r" + std::to_string(i), .timeout = "", .key = key};
-    if (key.empty()) ask.method = "GET", ask.body = "";
-    client.write(ask.text());
+    ClientRequest request{.request_class = "a", .id = "r" + std::to_string(i), .timeout = "", .key = key};
+    if (key.empty()) request.method = "GET", request.body = "";
+    client.write(request.text());
     const int status = status_of(client.read_message());
     const std::string what = GetParam().name;
     EXPECT_EQ(status, what == "DeadlineZero" ? 503 : what == "NoClass" ? 400 : 200) << what;
--- a/tests/node/drain_test.cpp
+++ b/tests/node/drain_test.cpp
@@ -14,15 +14,15 @@
 // Their own timeout is 15 s.
 TEST(Drain, AcceptedRequestsAreAnsweredBeforeTheKill) {
   for (const char* cancel : {"true", "false"}) {
-    FakeServer hangs([](Wire&, const std::string&) { return true; });
+    FakeServer hangs([](RawConnection&, const std::string&) { return true; });
     ConfigText config;
     config.bounds = std::string(R"("cancel":)") + cancel +
                     R"(,"maxAttempts":3,"maxRetryAfter":2.0,"retryAfter":true,"secondCopies":true,)"
                     R"("dialTimeout":0.5,"idleClose":60.0)";
     Deployment d({&hangs}, config);
-    Wire unsafe = d.client(), safe = d.client();
-    unsafe.write(Ask{.id = "unsafe"}.text());
-    safe.write(Ask{.kind = "look", .id = "safe", .method = "GET", .body = ""}.text());
+    RawConnection unsafe = d.client(), safe = d.client();
+    unsafe.write(ClientRequest{.id = "unsafe"}.text());
+    safe.write(ClientRequest{.request_class = "look", .id = "safe", .method = "GET", .body = ""}.text());
     ASSERT_TRUE(eventually([&] { return hangs.requests().size() == 2; }));
     const auto start = std::chrono::steady_clock::now();
     d.program->signal(SIGTERM);
@@ -43,11 +43,11 @@
   ConfigText config;
   config.bounds = R"("cancel":true,"maxAttempts":1,"maxRetryAfter":2.0,"retryAfter":true,)"
                   R"("secondCopies":true,"dialTimeout":12.0,"idleClose":60.0)";
-  config.known = list(7, true, member("s0", full.address()));
+  config.known = endpoint_list_json(7, true, endpoint_json("s0", full.address()));
   config.discovery = discovery.address();
   Program program(config.text());
-  Wire client = Wire::to(program.port());
-  client.write(Ask{}.text());
+  RawConnection client = RawConnection::connect_to(program.port());
+  client.write(ClientRequest{}.text());
   ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }));
   const auto start = std::chrono::steady_clock::now();
   program.signal(SIGTERM);
@@ -58,17 +58,17 @@
 
 // The kill comes 0.7 s after the client timeout of 0.5 s.
 TEST(Drain, FollowsTheLongestClientTimeout) {
-  FakeServer hangs([](Wire&, const std::string&) { return true; });
+  FakeServer hangs([](RawConnection&, const std::string&) { return true; });
   ConfigText config;
   config.categories = R"({"name":"close","aim":0.2,"giveUp":0.5,"effect":"unsafe","lateWorth":0.5})";
   Deployment d({&hangs}, config);
-  Wire client = d.client(), idle = d.client();
-  client.write(Ask{.timeout = "500"}.text());
+  RawConnection client = d.client(), idle = d.client();
+  client.write(ClientRequest{.timeout = "500"}.text());
   ASSERT_TRUE(eventually([&] { return hangs.requests().size() == 1; }));
   const auto start = std::chrono::steady_clock::now();
   d.program->signal(SIGTERM);
   EXPECT_EQ(status_of(client.read_message()), 502);
-  EXPECT_EQ(idle.read_rest(), "");
+  EXPECT_EQ(idle.read_until_close(), "");
   EXPECT_LT(seconds_since(start), 1.2) << "no connection is open when the kill comes";
   EXPECT_EQ(d.program->exit_status(), 0);
 }
@@ -77,16 +77,16 @@
 TEST(Drain, ResponseThatEndsAfterIdleConnectionsWereClosedEndsItsConnection) {
   FakeServer server(replies(200, std::string(std::size_t{1} << 20, 'a')));
   Deployment d({&server});
-  Wire slow = d.client(true), idle = d.client();
+  RawConnection slow = d.client(true), idle = d.client();
   idle.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
   ASSERT_EQ(status_of(idle.read_message()), 200);
-  slow.write(Ask{}.text());
-  ASSERT_TRUE(slow.has_come()) << "its response has begun and exceeds the buffers";
+  slow.write(ClientRequest{}.text());
+  ASSERT_TRUE(slow.wait_readable()) << "its response has begun and exceeds the buffers";
   const auto start = std::chrono::steady_clock::now();
   d.program->signal(SIGTERM);
-  ASSERT_EQ(idle.read_rest(), "") << "idle connections are closed now";
+  ASSERT_EQ(idle.read_until_close(), "") << "idle connections are closed now";
   EXPECT_EQ(body_of(slow.read_message()).size(), std::size_t{1} << 20);
-  EXPECT_EQ(slow.read_rest(), "");
+  EXPECT_EQ(slow.read_until_close(), "");
   EXPECT_LT(seconds_since(start), kKill + 1) << "it stayed open for 10 s";
   EXPECT_EQ(d.program->exit_status(), 0);
 }
@@ -98,16 +98,16 @@
 #endif
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  Wire known = d.client();
-  known.write(Ask{.id = "known"}.text());
+  RawConnection known = d.client();
+  known.write(ClientRequest{.id = "known"}.text());
   ASSERT_EQ(status_of(known.read_message()), 200);
   d.program->signal(SIGSTOP);
   ASSERT_TRUE(eventually([&] { return d.program->state() == 'T'; }));
-  known.write(Ask{.id = "again"}.text());  // so that it is not evicted
-  std::vector<Wire> clients;
+  known.write(ClientRequest{.id = "again"}.text());  // so that it is not evicted
+  std::vector<RawConnection> clients;
   for (int i = 0; i < 80; ++i) {
     clients.push_back(d.client());
-    clients.back().write(Ask{.id = "late" + std::to_string(i)}.text());
+    clients.back().write(ClientRequest{.id = "late" + std::to_string(i)}.text());
   }
   d.program->limit_descriptors(d.program->next_descriptor());
   d.program->signal(SIGTERM);
@@ -125,17 +125,18 @@
 // A second SIGTERM, SIGINT, a reload before it and one during it: the accepted requests are answered.
 TEST(Drain, FurtherSignalsAreIgnored) {
   Gate gate;
-  FakeServer server(
-      [&](Wire& wire, const std::string&) { return gate.wait() && wire.write(http_answer(200, "ok")); });
+  FakeServer server([&](RawConnection& connection, const std::string&) {
+    return gate.wait() && connection.write(http_response(200, "ok"));
+  });
   Deployment d({&server});
   FakeDiscovery moved;
-  Wire client = d.client();
-  client.write(Ask{}.text());
+  RawConnection client = d.client();
+  client.write(ClientRequest{}.text());
   ASSERT_TRUE(eventually([&] { return server.requests().size() == 1; }));
   // All of them are pending before the node handles the first.
   d.program->signal(SIGSTOP);
   ASSERT_TRUE(eventually([&] { return d.program->state() == 'T'; }));
-  ConfigText config = d.told;
+  ConfigText config = d.config;
   config.discovery = moved.address();
   d.program->reload(config.text());
   for (const int number : {SIGTERM, SIGINT}) d.program->signal(number);
@@ -154,7 +155,7 @@
   for (int i = 0; i < 5; ++i) {
     FakeDiscovery discovery;
     ConfigText config;
-    config.known = list(7, true, member("s0", server.address()));
+    config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
     config.discovery = discovery.address();
     Program program(config.text());
     program.signal(SIGTERM);
--- a/tests/node/fake_discovery.h
+++ b/tests/node/fake_discovery.h
@@ -9,20 +9,20 @@
 #include <vector>
 
 #include "fake_server.h"
+#include "raw_connection.h"
 #include "test_socket.h"
-#include "wire.h"
 
 namespace thymewood::node {
 
-inline std::string member(const std::string& name, const std::string& address,
-                          const std::string& status = "up", int group = 0) {
+inline std::string endpoint_json(const std::string& name, const std::string& address,
+                                 const std::string& status = "up", int group = 0) {
   return R"({"name":")" + name + R"(","address":")" + address + R"(","zone":"a","group":)" +
          std::to_string(group) + R"(,"status":")" + status + R"(","weight":1.0,"since_ms":0})";
 }
 
-inline std::string list(int index, bool full, const std::string& members) {
+inline std::string endpoint_list_json(int index, bool full, const std::string& endpoints) {
   return R"({"index":)" + std::to_string(index) + R"(,"snapshot":)" + (full ? "true" : "false") +
-         R"(,"endpoints":[)" + members + "]}";
+         R"(,"endpoints":[)" + endpoints + "]}";
 }
 
 inline std::string chunk(const std::string& bytes) {
@@ -31,43 +31,43 @@
   return size.str() + "\r\n" + bytes + "\r\n";
 }
 
-// Answers each watch with a head and the configured answer; say() pushes more.
+// Responds to each watch with a head and the configured response; push() sends a change.
 class FakeDiscovery {
  public:
   explicit FakeDiscovery(int port = 0)
       : listener_(
-            [this](Wire& wire) {
-              const std::string call = wire.read_message();
+            [this](RawConnection& connection) {
+              const std::string call = connection.read_message();
               if (call.empty()) return;
               {
                 const std::lock_guard lock(mutex_);
                 calls_.push_back(call);
-                std::string first = answer_;
-                if (first.empty())
-                  first = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("\n");
-                wire.write(first);  // under the lock, so that no pushed chunk precedes the head
-                current_ = &wire;
+                std::string response = response_;
+                if (response.empty())
+                  response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("\n");
+                connection.write(response);  // under the lock, so that no pushed chunk precedes the head
+                current_ = &connection;
               }
-              wire.read_rest();
+              connection.read_until_close();
               const std::lock_guard lock(mutex_);
-              if (current_ == &wire) current_ = nullptr;
+              if (current_ == &connection) current_ = nullptr;
             },
             port) {}
   std::string address() const { return listener_.address(); }
   Listener& listener() { return listener_; }
-  // The answer to all later calls, with its head.
-  void answer_with(const std::string& bytes) {
+  // The response to all later calls, with its head.
+  void set_response(const std::string& bytes) {
     const std::lock_guard lock(mutex_);
-    answer_ = bytes;
+    response_ = bytes;
   }
-  bool say_raw(const std::string& bytes) {
+  bool push_bytes(const std::string& bytes) {
     return eventually([&] {
       const std::lock_guard lock(mutex_);
       return current_ != nullptr && current_->write(bytes);
     });
   }
-  bool say(const std::string& line) { return say_raw(chunk(line + "\n")); }
-  void hang_up() {
+  bool push(const std::string& line) { return push_bytes(chunk(line + "\n")); }
+  void close_watch() {
     const std::lock_guard lock(mutex_);
     if (current_ != nullptr) ::shutdown(current_->fd(), SHUT_RDWR);
   }
@@ -78,9 +78,9 @@
 
  private:
   std::mutex mutex_;
-  std::string answer_;
+  std::string response_;
   std::vector<std::string> calls_;
-  Wire* current_ = nullptr;
+  RawConnection* current_ = nullptr;
   Listener listener_;
 };
 
--- a/tests/node/fake_server.h
+++ b/tests/node/fake_server.h
@@ -16,15 +16,15 @@
 #include <utility>
 #include <vector>
 
+#include "raw_connection.h"
 #include "test_socket.h"
-#include "wire.h"
 
 namespace thymewood::node {
 
 // Accepts connections, and runs `serve` for each on a thread of its own.
 class Listener {
  public:
-  explicit Listener(std::function<void(Wire&)> serve, int port = 0) : serve_(std::move(serve)) {
+  explicit Listener(std::function<void(RawConnection&)> serve, int port = 0) : serve_(std::move(serve)) {
     listen_ = Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const int on = 1;
     ::setsockopt(listen_.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
@@ -65,21 +65,21 @@
       Fd fd(::accept4(listen_.get(), nullptr, nullptr, SOCK_CLOEXEC));
       if (fd.get() < 0) continue;
       ++accepted_;
-      const auto wire = std::make_shared<Wire>(std::move(fd));
-      const int number = wire->fd();
+      const auto connection = std::make_shared<RawConnection>(std::move(fd));
+      const int number = connection->fd();
       {
         const std::lock_guard lock(mutex_);
         open_.push_back(number);
       }
-      serving_.emplace_back([this, wire, number] {
-        serve_(*wire);
+      serving_.emplace_back([this, connection, number] {
+        serve_(*connection);
         const std::lock_guard lock(mutex_);
         std::erase(open_, number);
-        wire->close();
+        connection->close();
       });
     }
   }
-  std::function<void(Wire&)> serve_;
+  std::function<void(RawConnection&)> serve_;
   Fd listen_;
   int port_ = 0;
   std::atomic<int> accepted_ = 0;
@@ -93,18 +93,18 @@
 // Responds to each request by what `reply` writes; returning false ends the connection.
 class FakeServer {
  public:
-  using Reply = std::function<bool(Wire&, const std::string& request)>;
+  using Reply = std::function<bool(RawConnection&, const std::string& request)>;
   explicit FakeServer(Reply reply, int port = 0)
       : reply_(std::move(reply)),
         listener_(
-            [this](Wire& wire) {
-              for (std::string request = wire.read_message(); !request.empty();
-                   request = wire.read_message()) {
+            [this](RawConnection& connection) {
+              for (std::string request = connection.read_message(); !request.empty();
+                   request = connection.read_message()) {
                 {
                   const std::lock_guard lock(mutex_);
                   requests_.push_back(request);
                 }
-                if (!reply_(wire, request)) return;
+                if (!reply_(connection, request)) return;
               }
               ++ended_;
             },
@@ -125,13 +125,15 @@
   Listener listener_;
 };
 
-inline std::string http_answer(int status, const std::string& body, const std::string& fields = "") {
+inline std::string http_response(int status, const std::string& body, const std::string& fields = "") {
   return "HTTP/1.1 " + std::to_string(status) + " X\r\nContent-Length: " + std::to_string(body.size()) +
          "\r\n" + fields + "\r\n" + body;
 }
 
 inline FakeServer::Reply replies(int status, const std::string& body, const std::string& fields = "") {
-  return [=](Wire& wire, const std::string&) { return wire.write(http_answer(status, body, fields)); };
+  return [=](RawConnection& connection, const std::string&) {
+    return connection.write(http_response(status, body, fields));
+  };
 }
 
 // Delays responses until open() is called.
@@ -144,7 +146,7 @@
   }
   bool wait() {
     std::unique_lock lock(mutex_);
-    return changed_.wait_for(lock, kPatience, [this] { return open_; });
+    return changed_.wait_for(lock, kMaxWait, [this] { return open_; });
   }
 
  private:
--- a/tests/node/full_listener.h
+++ b/tests/node/full_listener.h
@@ -40,7 +40,7 @@
   Fd accept() {
     for (;;) {
       pollfd wait{listen_.get(), POLLIN, 0};
-      if (::poll(&wait, 1, static_cast<int>(std::chrono::milliseconds(kPatience).count())) <= 0) return Fd();
+      if (::poll(&wait, 1, static_cast<int>(std::chrono::milliseconds(kMaxWait).count())) <= 0) return Fd();
       sockaddr_in from{}, own{};
       socklen_t size = sizeof from;
       Fd fd(::accept4(listen_.get(), reinterpret_cast<sockaddr*>(&from), &size, SOCK_CLOEXEC));
--- a/tests/node/handover_test.cpp
+++ b/tests/node/handover_test.cpp
@@ -5,7 +5,9 @@
 namespace thymewood::node {
 namespace {
 
-void pass(std::chrono::milliseconds span) { std::this_thread::sleep_for(span); }  // the time under test
+void sleep_for(std::chrono::milliseconds duration) {
+  std::this_thread::sleep_for(duration);
+}  // the time under test
 
 // The server's idle timeout begins with its response, not with the node's read of it, which is late in a node
 // that was suspended.
@@ -13,14 +15,14 @@
   Gate gate;
   std::mutex mutex;
   std::chrono::steady_clock::time_point answered, ended;
-  FakeServer server([&](Wire& wire, const std::string&) {
+  FakeServer server([&](RawConnection& connection, const std::string&) {
     gate.wait();
-    wire.write(http_answer(200, "ok"));
+    connection.write(http_response(200, "ok"));
     {
       const std::lock_guard lock(mutex);
       answered = std::chrono::steady_clock::now();
     }
-    wire.read_rest();  // until the node closes it
+    connection.read_until_close();  // until the node closes it
     const std::lock_guard lock(mutex);
     ended = std::chrono::steady_clock::now();
     return false;
@@ -29,13 +31,13 @@
   config.bounds = R"("cancel":true,"maxAttempts":3,"maxRetryAfter":2.0,"retryAfter":true,)"
                   R"("secondCopies":true,"dialTimeout":0.5,"idleClose":3.0)";
   Deployment d({&server}, config);
-  Wire client = d.client();
-  client.write(Ask{}.text());
+  RawConnection client = d.client();
+  client.write(ClientRequest{}.text());
   ASSERT_TRUE(eventually([&] { return server.requests().size() == 1; }));
   d.program->signal(SIGSTOP);
   ASSERT_TRUE(eventually([&] { return d.program->state() == 'T'; }));
   gate.open();
-  pass(2000ms);
+  sleep_for(2000ms);
   d.program->signal(SIGCONT);
   EXPECT_EQ(status_of(client.read_message()), 200);
   ASSERT_TRUE(eventually([&] {
@@ -50,8 +52,9 @@
 // written. The window is 1.5 s; the connection for the retry is established later.
 TEST(DedupWindow, IsOverForAConnectThatCompletesLater) {
   Gate gate;
-  FakeServer first(
-      [&](Wire& wire, const std::string&) { return gate.wait() && wire.write(http_answer(500, "")); });
+  FakeServer first([&](RawConnection& connection, const std::string&) {
+    return gate.wait() && connection.write(http_response(500, ""));
+  });
   FakeServer other(replies(200, "ok"));
   FullListener full;
   full.fill();
@@ -62,10 +65,12 @@
       R"({"name":"mark","aim":5.0,"giveUp":15.0,"effect":"keyed","group":"all","dedupWindow":1.5,"lateWorth":0.5})";
   Deployment d({&first, &other}, text);
   // Until one request is pending at the first server, and the other server has had one too.
-  Wire client;
+  RawConnection client;
   for (int i = 0; first.requests().empty() || other.requests().empty(); ++i) {
-    Wire next = d.client();
-    next.write(Ask{.kind = "mark", .id = "again" + std::to_string(i), .key = "k" + std::to_string(i)}.text());
+    RawConnection next = d.client();
+    next.write(ClientRequest{
+        .request_class = "mark", .id = "again" + std::to_string(i), .key = "k" + std::to_string(i)}
+                   .text());
     const std::size_t before = other.requests().size();
     ASSERT_TRUE(eventually([&] { return !first.requests().empty() || other.requests().size() > before; }));
     if (!client.is_open() && !first.requests().empty()) {
@@ -76,13 +81,13 @@
   }
   ASSERT_EQ(first.requests().size(), 1U);
   // The node has read the list once it has closed its connections to the removed server.
-  d.discovery.say(
-      list(8, false, member("s2", full.address()) + "," + member("s1", other.address(), "removed")));
+  d.discovery.push(endpoint_list_json(
+      8, false, endpoint_json("s2", full.address()) + "," + endpoint_json("s1", other.address(), "removed")));
   ASSERT_TRUE(eventually([&] { return other.listener().open() == 0; }));
   gate.open();
   ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }))
       << "within the window it may be retried";
-  pass(1600ms);
+  sleep_for(1600ms);
   Fd connected = full.accept();
   ASSERT_GE(connected.get(), 0);
   char byte = 0;
@@ -102,15 +107,15 @@
   ConfigText text;
   text.bounds = R"("cancel":true,"maxAttempts":1,"maxRetryAfter":2.0,"retryAfter":true,)"
                 R"("secondCopies":true,"dialTimeout":12.0,"idleClose":60.0)";
-  text.known = list(7, true, member("s0", full.address()));
+  text.known = endpoint_list_json(7, true, endpoint_json("s0", full.address()));
   text.discovery = discovery.address();
   Program program(text.text());
-  Wire client = Wire::to(program.port());
+  RawConnection client = RawConnection::connect_to(program.port());
   const auto start = std::chrono::steady_clock::now();
-  client.write(Ask{.id = "late", .timeout = "9000"}.text());
+  client.write(ClientRequest{.id = "late", .timeout = "9000"}.text());
   ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }));
-  pass(1000ms);
-  Wire server(full.accept());
+  sleep_for(1000ms);
+  RawConnection server(full.accept());
   const std::string request = server.read_message();
   const double elapsed = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
   ASSERT_FALSE(request.empty());
@@ -121,18 +126,18 @@
 TEST(ForwardedTimeout, IsWhatIsLeftForARetry) {
   std::mutex mutex;
   std::vector<int> timeouts_ms;
-  const FakeServer::Reply reject = [&](Wire& wire, const std::string& request) {
+  const FakeServer::Reply reject = [&](RawConnection& connection, const std::string& request) {
     {
       const std::lock_guard lock(mutex);
       timeouts_ms.push_back(std::stoi(field_of(request, "X-Timeout-Ms")));
     }
-    pass(1000ms);
-    return wire.write(http_answer(503, "", "X-Not-Processed: 1\r\n"));
+    sleep_for(1000ms);
+    return connection.write(http_response(503, "", "X-Not-Processed: 1\r\n"));
   };
   FakeServer one(reject), two(reject);
   Deployment d({&one, &two});
-  Wire client = d.client();
-  client.write(Ask{.id = "again", .timeout = "9000"}.text());
+  RawConnection client = d.client();
+  client.write(ClientRequest{.id = "again", .timeout = "9000"}.text());
   EXPECT_EQ(status_of(client.read_message()), 503);
   const std::lock_guard lock(mutex);
   ASSERT_EQ(timeouts_ms.size(), 2U);
@@ -150,22 +155,23 @@
   FakeServer other(replies(200, "other"));
   FakeDiscovery discovery;
   ConfigText text;
-  text.known = list(7, true, member("s0", tight.address()));
+  text.known = endpoint_list_json(7, true, endpoint_json("s0", tight.address()));
   text.discovery = discovery.address();
   Program program(text.text());
-  Wire client = Wire::to(program.port());
+  RawConnection client = RawConnection::connect_to(program.port());
   const std::string body(64 * 1024, 'b');
-  client.write(Ask{.id = "half", .body = body}.text());
-  Wire server(tight.accept());
+  client.write(ClientRequest{.id = "half", .body = body}.text());
+  RawConnection server(tight.accept());
   ASSERT_TRUE(server.is_open());
   // Nothing is read here: a read would let the sender's buffer grow beyond the request.
-  ASSERT_TRUE(server.has_come());
-  discovery.say(
-      list(8, false, member("s0", tight.address(), GetParam()) + "," + member("s1", other.address())));
+  ASSERT_TRUE(server.wait_readable());
+  discovery.push(endpoint_list_json(
+      8, false,
+      endpoint_json("s0", tight.address(), GetParam()) + "," + endpoint_json("s1", other.address())));
   const std::string answer = client.read_message();
   EXPECT_EQ(status_of(answer), 200);
   EXPECT_EQ(body_of(answer), "other");
-  const std::string all = server.read_rest();
+  const std::string all = server.read_until_close();
   EXPECT_EQ(field_of(all, "X-Request-ID"), "half") << all.substr(0, 200);
   EXPECT_LT(body_of(all).size(), body.size())
       << "its last byte was sent to a server that accepts no requests";
--- a/tests/node/idle_lifetime_test.cpp
+++ b/tests/node/idle_lifetime_test.cpp
@@ -38,25 +38,25 @@
 // A server that resets each connection at its second request, as one does behind a middlebox that drops the
 // state of idle connections.
 FakeServer::Reply resets_second_requests() {
-  return [requests = std::make_shared<std::map<int, int>>()](Wire& wire, const std::string&) {
+  return [requests = std::make_shared<std::map<int, int>>()](RawConnection& connection, const std::string&) {
     static std::mutex guard;
     const std::lock_guard lock(guard);
-    if ((*requests)[wire.fd()]++ % 2 == 1) {
+    if ((*requests)[connection.fd()]++ % 2 == 1) {
       const linger hard{1, 0};
-      ::setsockopt(wire.fd(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+      ::setsockopt(connection.fd(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
       return false;
     }
-    return wire.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+    return connection.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
   };
 }
 
 TEST(IdleLifetime, NonIdempotentRequestsAvoidConnectionsThatAreDroppedWhileIdle) {
   FakeServer server(resets_second_requests());
   Deployment d({&server});
-  Wire client = d.client();
+  RawConnection client = d.client();
   int failed = 0;
   for (int i = 0; i < 40; ++i) {
-    client.write(Ask{.id = "r" + std::to_string(i)}.text());
+    client.write(ClientRequest{.id = "r" + std::to_string(i)}.text());
     failed += status_of(client.read_message()) != 200;
     std::this_thread::sleep_for(10ms);  // the idle time under test
   }
@@ -67,9 +67,9 @@
 TEST(IdleLifetime, NewConnectionIsUsedHoweverShortTheEstimateIs) {
   FakeServer server(resets_second_requests());
   Deployment d({&server});
-  Wire client = d.client();
+  RawConnection client = d.client();
   for (int i = 0; i < 200; ++i) {
-    client.write(Ask{.id = "r" + std::to_string(i), .timeout = "3000"}.text());
+    client.write(ClientRequest{.id = "r" + std::to_string(i), .timeout = "3000"}.text());
     const int status = status_of(client.read_message());
     ASSERT_TRUE(status == 200 || status == 502) << status << " to request " << i;
   }
--- a/tests/node/invalid_request_test.cpp
+++ b/tests/node/invalid_request_test.cpp
@@ -7,7 +7,7 @@
 void expect_rejected(const std::string& request, int status) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  Wire client = d.client();
+  RawConnection client = d.client();
   client.write(request);
   const std::string answer = client.read_message();
   EXPECT_EQ(status_of(answer), status) << answer;
@@ -16,28 +16,30 @@
 }
 
 TEST(InvalidRequest, Malformed) { expect_rejected("\x01\x02 what?\r\n\r\n", 400); }
-TEST(InvalidRequest, MissingId) { expect_rejected(Ask{.id = ""}.text(), 400); }
-TEST(InvalidRequest, TwoIds) { expect_rejected(Ask{.fields = "X-Request-ID: r2\r\n"}.text(), 400); }
-TEST(InvalidRequest, UnknownClass) { expect_rejected(Ask{.kind = "dance"}.text(), 400); }
-TEST(InvalidRequest, ClassNotOfThePath) { expect_rejected(Ask{.path = "/mark/k1"}.text(), 400); }
+TEST(InvalidRequest, MissingId) { expect_rejected(ClientRequest{.id = ""}.text(), 400); }
+TEST(InvalidRequest, TwoIds) { expect_rejected(ClientRequest{.fields = "X-Request-ID: r2\r\n"}.text(), 400); }
+TEST(InvalidRequest, UnknownClass) { expect_rejected(ClientRequest{.request_class = "dance"}.text(), 400); }
+TEST(InvalidRequest, ClassNotOfThePath) { expect_rejected(ClientRequest{.path = "/mark/k1"}.text(), 400); }
 TEST(InvalidRequest, UnknownPath) { expect_rejected("GET /ping HTTP/1.1\r\nHost: a\r\n\r\n", 404); }
-TEST(InvalidRequest, TimeoutNotANumber) { expect_rejected(Ask{.timeout = "soon"}.text(), 400); }
-TEST(InvalidRequest, NegativeTimeout) { expect_rejected(Ask{.timeout = "-5"}.text(), 400); }
-TEST(InvalidRequest, TimeoutWithSuffix) { expect_rejected(Ask{.timeout = "50ms"}.text(), 400); }
+TEST(InvalidRequest, TimeoutNotANumber) { expect_rejected(ClientRequest{.timeout = "soon"}.text(), 400); }
+TEST(InvalidRequest, NegativeTimeout) { expect_rejected(ClientRequest{.timeout = "-5"}.text(), 400); }
+TEST(InvalidRequest, TimeoutWithSuffix) { expect_rejected(ClientRequest{.timeout = "50ms"}.text(), 400); }
 TEST(InvalidRequest, TimeoutOutOfRange) {
-  expect_rejected(Ask{.timeout = "99999999999999999999"}.text(), 400);
+  expect_rejected(ClientRequest{.timeout = "99999999999999999999"}.text(), 400);
 }
-TEST(InvalidRequest, KeyOnNonIdempotentClass) { expect_rejected(Ask{.key = "k"}.text(), 400); }
-TEST(InvalidRequest, MissingKey) { expect_rejected(Ask{.kind = "mark"}.text(), 400); }
+TEST(InvalidRequest, KeyOnNonIdempotentClass) { expect_rejected(ClientRequest{.key = "k"}.text(), 400); }
+TEST(InvalidRequest, MissingKey) { expect_rejected(ClientRequest{.request_class = "mark"}.text(), 400); }
 TEST(InvalidRequest, GetOnNonIdempotentClass) {
-  expect_rejected(Ask{.method = "GET", .body = ""}.text(), 400);
+  expect_rejected(ClientRequest{.method = "GET", .body = ""}.text(), 400);
+}
+TEST(InvalidRequest, PostOnIdempotentClass) {
+  expect_rejected(ClientRequest{.request_class = "look"}.text(), 400);
 }
-TEST(InvalidRequest, PostOnIdempotentClass) { expect_rejected(Ask{.kind = "look"}.text(), 400); }
 TEST(InvalidRequest, BodyTooLarge) {
-  expect_rejected(Ask{.body = std::string(256 * 1024 + 1, 'x')}.text(), 413);
+  expect_rejected(ClientRequest{.body = std::string(256 * 1024 + 1, 'x')}.text(), 413);
 }
 TEST(InvalidRequest, ChunkedBodyTooLarge) {
-  expect_rejected(Ask{.body = "", .fields = "Transfer-Encoding: chunked\r\n"}.text() + "40001\r\n" +
+  expect_rejected(ClientRequest{.body = "", .fields = "Transfer-Encoding: chunked\r\n"}.text() + "40001\r\n" +
                       std::string(256 * 1024 + 1, 'x') + "\r\n0\r\n\r\n",
                   413);
 }
@@ -54,15 +56,15 @@
 
 TEST(InvalidRequest, IdOfAnOpenRequest) {
   Gate gate;
-  FakeServer server([&](Wire& wire, const std::string&) {
+  FakeServer server([&](RawConnection& connection, const std::string&) {
     gate.wait();
-    return wire.write(http_answer(200, "ok"));
+    return connection.write(http_response(200, "ok"));
   });
   Deployment d({&server});
-  Wire first = d.client(), second = d.client();
-  first.write(Ask{}.text());
+  RawConnection first = d.client(), second = d.client();
+  first.write(ClientRequest{}.text());
   ASSERT_TRUE(eventually([&] { return server.requests().size() == 1; }));
-  second.write(Ask{}.text());
+  second.write(ClientRequest{}.text());
   EXPECT_EQ(status_of(second.read_message()), 400);
   gate.open();
   EXPECT_EQ(status_of(first.read_message()), 200);
--- a/tests/node/node_harness.h
+++ b/tests/node/node_harness.h
@@ -45,5 +45,5 @@
 #include "fake_server.h"
 #include "full_listener.h"
 #include "node_program.h"
+#include "raw_connection.h"
 #include "test_socket.h"
-#include "wire.h"
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -7,8 +7,9 @@
 TEST(Node, ForwardsARequestUnchanged) {
   FakeServer server(replies(200, "the answer", "Content-Type: text/x-mark\r\n"));
   Deployment d({&server});
-  Wire client = d.client();
-  client.write(Ask{.kind = "mark", .body = "payload", .timeout = "9000", .key = "k-77"}.text());
+  RawConnection client = d.client();
+  client.write(
+      ClientRequest{.request_class = "mark", .body = "payload", .timeout = "9000", .key = "k-77"}.text());
   const std::string answer = client.read_message();
   EXPECT_EQ(status_of(answer), 200) << answer;
   EXPECT_EQ(body_of(answer), "the answer");
@@ -28,9 +29,9 @@
 TEST(Node, ReusesConnectionsOnBothSides) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  Wire client = d.client();
+  RawConnection client = d.client();
   for (int i = 0; i < 5; ++i) {
-    client.write(Ask{.id = "r" + std::to_string(i)}.text());
+    client.write(ClientRequest{.id = "r" + std::to_string(i)}.text());
     EXPECT_EQ(status_of(client.read_message()), 200);
   }
   EXPECT_EQ(server.listener().accepted(), 1);
@@ -41,28 +42,28 @@
 TEST(Clients, SplitRequestIsReassembled) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  Wire client = d.client();
-  for (const char c : Ask{}.text()) client.write(std::string(1, c));
+  RawConnection client = d.client();
+  for (const char c : ClientRequest{}.text()) client.write(std::string(1, c));
   EXPECT_EQ(status_of(client.read_message()), 200);
 }
 
 TEST(Clients, PipelinedRequestsAreAnsweredInOrder) {
-  FakeServer server([](Wire& wire, const std::string& request) {
-    return wire.write(http_answer(200, field_of(request, "X-Request-ID")));
+  FakeServer server([](RawConnection& connection, const std::string& request) {
+    return connection.write(http_response(200, field_of(request, "X-Request-ID")));
   });
   Deployment d({&server});
-  Wire client = d.client();
+  RawConnection client = d.client();
   std::string all;
-  for (int i = 0; i < 20; ++i) all += Ask{.id = "r" + std::to_string(i)}.text();
+  for (int i = 0; i < 20; ++i) all += ClientRequest{.id = "r" + std::to_string(i)}.text();
   client.write(all);
   for (int i = 0; i < 20; ++i) EXPECT_EQ(body_of(client.read_message()), "r" + std::to_string(i));
 }
 
 TEST(Clients, DisconnectIsNoticedAndItsAttemptClosed) {
-  FakeServer server([](Wire&, const std::string&) { return true; });
+  FakeServer server([](RawConnection&, const std::string&) { return true; });
   Deployment d({&server});
-  Wire client = d.client();
-  client.write(Ask{}.text());
+  RawConnection client = d.client();
+  client.write(ClientRequest{}.text());
   ASSERT_TRUE(eventually([&] { return server.requests().size() == 1; }));
   client.close();
   EXPECT_TRUE(eventually([&] { return server.ended() == 1; }));
@@ -75,18 +76,19 @@
   Deployment d({&old_server});
   ASSERT_TRUE(eventually([&] { return !d.discovery.calls().empty(); }));
   EXPECT_NE(d.discovery.calls()[0].find("watch=1&after=7 "), std::string::npos);
-  const std::string lines = list(8, false, member("s0", old_server.address(), "draining")) + "\n\n" +
-                            list(9, false, member("s1", new_server.address())) + "\n";
+  const std::string lines =
+      endpoint_list_json(8, false, endpoint_json("s0", old_server.address(), "draining")) + "\n\n" +
+      endpoint_list_json(9, false, endpoint_json("s1", new_server.address())) + "\n";
   const std::size_t cut = lines.size() / 3;
-  d.discovery.say_raw(chunk(lines.substr(0, cut)));
-  d.discovery.say_raw(chunk(lines.substr(cut)));
+  d.discovery.push_bytes(chunk(lines.substr(0, cut)));
+  d.discovery.push_bytes(chunk(lines.substr(cut)));
   int n = 0;
   EXPECT_TRUE(eventually([&] {
-    Wire client = d.client();
-    client.write(Ask{.id = "w" + std::to_string(++n)}.text());
+    RawConnection client = d.client();
+    client.write(ClientRequest{.id = "w" + std::to_string(++n)}.text());
     return body_of(client.read_message()) == "new";
   }));
-  d.discovery.hang_up();
+  d.discovery.close_watch();
   ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() >= 2; }));
   EXPECT_NE(d.discovery.calls()[1].find("watch=1&after=9 "), std::string::npos);
 }
@@ -99,15 +101,15 @@
   config.mode = "automatic";
   Program program(config.text());
   ASSERT_TRUE(eventually([&] { return discovery.calls().size() == 1; }));
-  discovery.answer_with("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-                        chunk(list(3, true, member("s0", server.address())) + "\n"));
+  discovery.set_response("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+                         chunk(endpoint_list_json(3, true, endpoint_json("s0", server.address())) + "\n"));
   // The call may not be registered as the current one yet.
   EXPECT_TRUE(eventually([&] {
-    discovery.hang_up();
+    discovery.close_watch();
     return discovery.calls().size() >= 2;
   }));
   EXPECT_TRUE(eventually([&] {
-    Wire client = Wire::to(program.port());
+    RawConnection client = RawConnection::connect_to(program.port());
     client.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
     return status_of(client.read_message()) == 200;
   }));
@@ -119,17 +121,17 @@
   Deployment d({&server});
   int n = 0;
   const auto status = [&] {
-    Wire client = d.client();
-    client.write(Ask{.id = "b" + std::to_string(++n)}.text());
+    RawConnection client = d.client();
+    client.write(ClientRequest{.id = "b" + std::to_string(++n)}.text());
     return status_of(client.read_message());
   };
   EXPECT_EQ(status(), 200);
   int index = 7;
   for (const char* state : {"removed", "draining"}) {
-    d.discovery.say(list(++index, false, member("s0", server.address(), state)));
+    d.discovery.push(endpoint_list_json(++index, false, endpoint_json("s0", server.address(), state)));
     EXPECT_TRUE(eventually([&] { return status() == 503; }));
     EXPECT_TRUE(eventually([&] { return server.listener().open() == 0; })) << "idle connections are closed";
-    d.discovery.say(list(++index, false, member("s0", server.address())));
+    d.discovery.push(endpoint_list_json(++index, false, endpoint_json("s0", server.address())));
     EXPECT_TRUE(eventually([&] { return status() == 200; }));
   }
 }
@@ -143,31 +145,31 @@
 TEST(Watch, InvalidListsAreLoggedOnceAndTheLastOneIsRetained) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  d.discovery.answer_with("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("{\"index\":\n"));
-  d.discovery.hang_up();
+  d.discovery.set_response("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("{\"index\":\n"));
+  d.discovery.close_watch();
   ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() >= 3; }));
   const std::string log = d.program->log();
   const std::size_t first = log.find("discovery: ");
   EXPECT_NE(first, std::string::npos);
   EXPECT_EQ(log.find("discovery: ", first + 1), std::string::npos) << log;
-  Wire client = d.client();
-  client.write(Ask{}.text());
+  RawConnection client = d.client();
+  client.write(ClientRequest{}.text());
   EXPECT_EQ(status_of(client.read_message()), 200);
 }
 
 TEST(Watch, UnavailableDiscoveryIsPolledAgain) {
   FakeServer server(replies(200, "ok"));
   FakeDiscovery discovery;
-  discovery.answer_with(http_answer(503, ""));
+  discovery.set_response(http_response(503, ""));
   ConfigText config;
   config.discovery = discovery.address();
   Program program(config.text());
   ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= 2; }));
-  Wire early = Wire::to(program.port());
+  RawConnection early = RawConnection::connect_to(program.port());
   early.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
   EXPECT_EQ(status_of(early.read_message()), 503) << "there is no server yet";
-  discovery.answer_with("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-                        chunk(list(3, true, member("s0", server.address())) + "\n"));
+  discovery.set_response("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+                         chunk(endpoint_list_json(3, true, endpoint_json("s0", server.address())) + "\n"));
   EXPECT_TRUE(eventually([&] {
     early.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
     return status_of(early.read_message()) == 200;
@@ -178,22 +180,22 @@
 
 TEST(Lifecycle, SigtermCompletesAcceptedRequests) {
   Gate gate;
-  FakeServer server([&](Wire& wire, const std::string&) {
+  FakeServer server([&](RawConnection& connection, const std::string&) {
     gate.wait();
-    return wire.write(http_answer(200, "ok"));
+    return connection.write(http_response(200, "ok"));
   });
   Deployment d({&server});
-  Wire accepted = d.client();
-  accepted.write(Ask{}.text());
+  RawConnection accepted = d.client();
+  accepted.write(ClientRequest{}.text());
   ASSERT_TRUE(eventually([&] { return server.requests().size() == 1; }));
   d.program->signal(SIGTERM);
-  Wire late = d.client();  // accepted during the accept period
-  late.write(Ask{.id = "late"}.text());
+  RawConnection late = d.client();  // accepted during the accept period
+  late.write(ClientRequest{.id = "late"}.text());
   ASSERT_TRUE(eventually([&] { return server.requests().size() == 2; }));
   ASSERT_TRUE(eventually([&] { return !d.client().is_open(); }));
   EXPECT_TRUE(d.program->running()) << "two responses are due";
   gate.open();
-  for (Wire* client : {&accepted, &late}) {
+  for (RawConnection* client : {&accepted, &late}) {
     const std::string answer = client->read_message();
     EXPECT_EQ(status_of(answer), 200);
   }
@@ -203,21 +205,22 @@
 // Clients go on using their connections until the last request that can be answered in time.
 TEST(Lifecycle, DrainingNodeServesOpenConnections) {
   std::atomic<bool> silent = false;
-  FakeServer server(
-      [&](Wire& wire, const std::string&) { return silent || wire.write(http_answer(200, "ok")); });
+  FakeServer server([&](RawConnection& connection, const std::string&) {
+    return silent || connection.write(http_response(200, "ok"));
+  });
   Deployment d({&server});
-  Wire client = d.client(), other = d.client();
-  client.write(Ask{.id = "before"}.text());
+  RawConnection client = d.client(), other = d.client();
+  client.write(ClientRequest{.id = "before"}.text());
   ASSERT_EQ(status_of(client.read_message()), 200);
   const auto start = std::chrono::steady_clock::now();
   d.program->signal(SIGTERM);
   ASSERT_TRUE(eventually([&] { return !d.client().is_open(); }));
   for (int i = 0; i < 3; ++i) {
-    client.write(Ask{.id = "during" + std::to_string(i)}.text());
+    client.write(ClientRequest{.id = "during" + std::to_string(i)}.text());
     EXPECT_EQ(status_of(client.read_message()), 200);
   }
   silent = true;
-  other.write(Ask{.id = "unanswered", .timeout = "15000"}.text());
+  other.write(ClientRequest{.id = "unanswered", .timeout = "15000"}.text());
   const std::string answer = other.read_message();
   EXPECT_EQ(status_of(answer), 502) << answer;
   EXPECT_EQ(d.program->exit_status(), 0);
@@ -227,10 +230,10 @@
 TEST(Lifecycle, FirstRequestDuringTheDrainIsServed) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  Wire fresh = d.client();
+  RawConnection fresh = d.client();
   d.program->signal(SIGTERM);
   ASSERT_TRUE(eventually([&] { return !d.client().is_open(); }));
-  fresh.write(Ask{}.text());
+  fresh.write(ClientRequest{}.text());
   EXPECT_EQ(status_of(fresh.read_message()), 200);
   EXPECT_EQ(d.program->exit_status(), 0);
 }
@@ -249,7 +252,7 @@
   fails(ConfigText{.discovery = "1.2.3.4:999999"}.text(), "discovery");
   fails(ConfigText{.known = "{\"index\":1}"}.text(), "endpoints");
   fails(ConfigText{.bounds = R"("maxAttempts":0)"}.text(), "max_attempts");
-  Listener in_use([](Wire&) {});
+  Listener in_use([](RawConnection&) {});
   fails(ConfigText{.listen = in_use.address()}.text(), "listen");
 }
 
@@ -259,37 +262,38 @@
   config.sockets = 1024;
   Deployment d({&server}, config, 64);
   {
-    std::vector<Wire> clients;
+    std::vector<RawConnection> clients;
     for (int i = 0; i < 200; ++i) clients.push_back(d.client());
     ASSERT_TRUE(d.program->running());
   }
   int n = 0;
   EXPECT_TRUE(eventually([&] {
-    Wire client = d.client();
-    client.write(Ask{.id = "after" + std::to_string(++n)}.text());
+    RawConnection client = d.client();
+    client.write(ClientRequest{.id = "after" + std::to_string(++n)}.text());
     return status_of(client.read_message()) == 200;
   }));
 }
 
 // The attempt's timeout and its response coincide.
 TEST(Races, ExactlyOneResponse) {
-  FakeServer server([](Wire& wire, const std::string& request) {
+  FakeServer server([](RawConnection& connection, const std::string& request) {
     std::this_thread::sleep_for(std::chrono::milliseconds(std::stoi(field_of(request, "X-Timeout-Ms")) - 1));
-    return wire.write(http_answer(200, "ok"));
+    return connection.write(http_response(200, "ok"));
   });
   Deployment d({&server});
-  std::vector<Wire> clients;
+  std::vector<RawConnection> clients;
   for (int i = 0; i < 40; ++i) {
     clients.push_back(d.client());
-    clients.back().write(Ask{.id = "r" + std::to_string(i), .timeout = std::to_string(200 + i)}.text());
+    clients.back().write(
+        ClientRequest{.id = "r" + std::to_string(i), .timeout = std::to_string(200 + i)}.text());
   }
   for (int i = 0; i < 40; ++i) {
-    Wire& client = clients[static_cast<std::size_t>(i)];
+    RawConnection& client = clients[static_cast<std::size_t>(i)];
     const int first = status_of(client.read_message());
     EXPECT_TRUE(first == 200 || first == 502 || first == 503) << first;
     client.write("GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-    const std::string rest = client.read_rest();
-    EXPECT_EQ(body_of(rest), "ok\n") << "only the next response follows";
+    const std::string remaining = client.read_until_close();
+    EXPECT_EQ(body_of(remaining), "ok\n") << "only the next response follows";
   }
 }
 
--- a/tests/node/outcomes_test.cpp
+++ b/tests/node/outcomes_test.cpp
@@ -9,8 +9,8 @@
   FakeServer full(replies(503, "", "X-Not-Processed: 1\r\n")),
       busy(replies(503, "", "X-Not-Processed: 1\r\n"));
   Deployment d({&full, &busy});
-  Wire client = d.client();
-  client.write(Ask{}.text());
+  RawConnection client = d.client();
+  client.write(ClientRequest{}.text());
   const std::string answer = client.read_message();
   EXPECT_EQ(status_of(answer), 503);
   EXPECT_FALSE(field_of(answer, "Retry-After").empty());
@@ -20,9 +20,9 @@
 TEST(Outcomes, RejectedByOneServerIsServedByAnother) {
   FakeServer full(replies(503, "", "X-Not-Processed: 1\r\n")), idle(replies(200, "ok"));
   Deployment d({&full, &idle});
-  Wire client = d.client();
+  RawConnection client = d.client();
   for (int i = 0; i < 10; ++i) {
-    client.write(Ask{.id = "r" + std::to_string(i)}.text());
+    client.write(ClientRequest{.id = "r" + std::to_string(i)}.text());
     EXPECT_EQ(status_of(client.read_message()), 200);
   }
   EXPECT_EQ(idle.requests().size(), 10U);
@@ -31,8 +31,8 @@
 void expect_failed_once(const FakeServer::Reply& reply) {
   FakeServer server(reply);
   Deployment d({&server});
-  Wire client = d.client();
-  client.write(Ask{}.text());
+  RawConnection client = d.client();
+  client.write(ClientRequest{}.text());
   const std::string answer = client.read_message();
   EXPECT_EQ(status_of(answer), 502) << answer;
   EXPECT_EQ(server.requests().size(), 1U)
@@ -49,39 +49,40 @@
   expect_failed_once(replies(404, "no", "X-Not-Processed: 1\r\n"));
 }
 TEST(Outcomes, CloseWithoutResponseMayHaveBeenProcessed) {
-  expect_failed_once([](Wire&, const std::string&) { return false; });
+  expect_failed_once([](RawConnection&, const std::string&) { return false; });
 }
 TEST(Outcomes, ResetMayHaveBeenProcessed) {
-  expect_failed_once([](Wire& wire, const std::string&) {
+  expect_failed_once([](RawConnection& connection, const std::string&) {
     const linger hard{1, 0};
-    ::setsockopt(wire.fd(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+    ::setsockopt(connection.fd(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
     return false;
   });
 }
 TEST(Outcomes, TruncatedResponseMayHaveBeenProcessed) {
-  expect_failed_once([](Wire& wire, const std::string&) {
-    wire.write("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf");
+  expect_failed_once([](RawConnection& connection, const std::string&) {
+    connection.write("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf");
     return false;
   });
 }
 TEST(Outcomes, ResponseWithoutLengthOrConnectionCloseIsTruncated) {
-  expect_failed_once([](Wire& wire, const std::string&) {
-    wire.write("HTTP/1.1 200 OK\r\n\r\nperhaps half");
+  expect_failed_once([](RawConnection& connection, const std::string&) {
+    connection.write("HTTP/1.1 200 OK\r\n\r\nperhaps half");
     return false;
   });
 }
 TEST(Outcomes, MalformedResponseMayHaveBeenProcessed) {
-  expect_failed_once(
-      [](Wire& wire, const std::string&) { return wire.write(std::string("\0\x7f~?\r\n\r\n", 8)); });
+  expect_failed_once([](RawConnection& connection, const std::string&) {
+    return connection.write(std::string("\0\x7f~?\r\n\r\n", 8));
+  });
 }
 TEST(Outcomes, EndlessHeadMayHaveBeenProcessed) {
-  expect_failed_once([](Wire& wire, const std::string&) {
-    return wire.write("HTTP/1.1 200 OK\r\nX-Long: " + std::string(64 * 1024, 'x'));
+  expect_failed_once([](RawConnection& connection, const std::string&) {
+    return connection.write("HTTP/1.1 200 OK\r\nX-Long: " + std::string(64 * 1024, 'x'));
   });
 }
 TEST(Outcomes, BodyBeyondTheLimitMayHaveBeenProcessed) {
-  expect_failed_once([](Wire& wire, const std::string&) {
-    return wire.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx");
+  expect_failed_once([](RawConnection& connection, const std::string&) {
+    return connection.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx");
   });
 }
 
@@ -98,9 +99,9 @@
   const std::string body = large_body(370'000);
   FakeServer server(replies(200, body));
   Deployment d({&server});
-  Wire client = d.client();
+  RawConnection client = d.client();
   for (int i = 0; i < 3; ++i) {
-    client.write(Ask{.id = "r" + std::to_string(i)}.text());
+    client.write(ClientRequest{.id = "r" + std::to_string(i)}.text());
     const std::string answer = client.read_message();
     EXPECT_EQ(status_of(answer), 200);
     EXPECT_TRUE(body_of(answer) == body) << "unchanged, " << body_of(answer).size() << " bytes";
@@ -109,16 +110,16 @@
 TEST(Outcomes, LargestResponseIsOneMebibyte) {
   FakeServer server(replies(200, large_body(1024 * 1024)));
   Deployment d({&server});
-  Wire client = d.client();
-  client.write(Ask{}.text());
+  RawConnection client = d.client();
+  client.write(ClientRequest{}.text());
   EXPECT_EQ(body_of(client.read_message()).size(), 1024U * 1024U);
   expect_failed_once(replies(200, large_body(1024 * 1024 + 1)));
 }
 TEST(Outcomes, ChunkedBodyBeyondTheLimitMayHaveBeenProcessed) {
-  expect_failed_once([](Wire& wire, const std::string&) {
-    wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+  expect_failed_once([](RawConnection& connection, const std::string&) {
+    connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     const std::string chunk = "10000\r\n" + std::string(0x10000, 'x') + "\r\n";
-    for (int i = 0; i < 40 && wire.write(chunk); ++i) {
+    for (int i = 0; i < 40 && connection.write(chunk); ++i) {
     }
     return false;
   });
@@ -127,59 +128,59 @@
 // The attempt ends when the head has arrived, not with the client's timeout.
 TEST(Outcomes, BodyBeyondTheLimitIsAbandonedAtItsHead) {
   std::atomic<bool> is_open = true;
-  FakeServer server([&](Wire& wire, const std::string&) {
-    wire.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx");
-    wire.more();  // returns at the node's close
+  FakeServer server([&](RawConnection& connection, const std::string&) {
+    connection.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx");
+    connection.receive_more();  // returns at the node's close
     is_open = false;
     return false;
   });
   Deployment d({&server});
-  Wire client = d.client();
+  RawConnection client = d.client();
   const auto start = std::chrono::steady_clock::now();
-  client.write(Ask{}.text());
+  client.write(ClientRequest{}.text());
   EXPECT_EQ(status_of(client.read_message()), 502);
   EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client waits 15 s";
   EXPECT_TRUE(eventually([&] { return !is_open; }));
 }
 
 TEST(Outcomes, InterimResponsesAreSkipped) {
-  FakeServer server([](Wire& wire, const std::string&) {
-    return wire.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" +
-                      http_answer(200, "ok"));
+  FakeServer server([](RawConnection& connection, const std::string&) {
+    return connection.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" +
+                            http_response(200, "ok"));
   });
   Deployment d({&server});
-  Wire client = d.client();
+  RawConnection client = d.client();
   for (int i = 0; i < 2; ++i) {
-    client.write(Ask{.id = "r" + std::to_string(i)}.text());
+    client.write(ClientRequest{.id = "r" + std::to_string(i)}.text());
     EXPECT_EQ(body_of(client.read_message()), "ok");
   }
   EXPECT_EQ(server.listener().accepted(), 1);
 }
 
 TEST(Outcomes, SplitChunkedResponseIsReassembled) {
-  FakeServer server([](Wire& wire, const std::string&) {
+  FakeServer server([](RawConnection& connection, const std::string&) {
     for (const char c : std::string(
              "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")) {
-      if (!wire.write(std::string(1, c))) return false;
+      if (!connection.write(std::string(1, c))) return false;
     }
     return true;
   });
   Deployment d({&server});
-  Wire client = d.client();
+  RawConnection client = d.client();
   for (int i = 0; i < 2; ++i) {
-    client.write(Ask{.id = "r" + std::to_string(i)}.text());
+    client.write(ClientRequest{.id = "r" + std::to_string(i)}.text());
     EXPECT_EQ(body_of(client.read_message()), "abcde");
   }
 }
 
 TEST(Outcomes, SurplusBytesAreNotTheNextResponse) {
-  FakeServer server([](Wire& wire, const std::string&) {
-    return wire.write(http_answer(200, "right") + http_answer(200, "wrong"));
+  FakeServer server([](RawConnection& connection, const std::string&) {
+    return connection.write(http_response(200, "right") + http_response(200, "wrong"));
   });
   Deployment d({&server});
-  Wire client = d.client();
+  RawConnection client = d.client();
   for (int i = 0; i < 3; ++i) {
-    client.write(Ask{.id = "r" + std::to_string(i)}.text());
+    client.write(ClientRequest{.id = "r" + std::to_string(i)}.text());
     EXPECT_EQ(body_of(client.read_message()), "right");
   }
 }
@@ -193,18 +194,18 @@
   FakeDiscovery discovery;
   ConfigText config;
   config.discovery = discovery.address();
-  config.known = list(7, true, member("s0", "127.0.0.1:" + std::to_string(port)));
+  config.known = endpoint_list_json(7, true, endpoint_json("s0", "127.0.0.1:" + std::to_string(port)));
   Program program(config.text());
-  Wire client = Wire::to(program.port());
-  client.write(Ask{}.text());
+  RawConnection client = RawConnection::connect_to(program.port());
+  client.write(ClientRequest{}.text());
   EXPECT_EQ(status_of(client.read_message()), 503) << "shed, not failed: the request was not processed";
 }
 
 TEST(Outcomes, TimeoutMayHaveBeenProcessedAndClosesTheConnection) {
-  FakeServer server([](Wire&, const std::string&) { return true; });
+  FakeServer server([](RawConnection&, const std::string&) { return true; });
   Deployment d({&server});
-  Wire client = d.client();
-  client.write(Ask{.timeout = "300"}.text());
+  RawConnection client = d.client();
+  client.write(ClientRequest{.timeout = "300"}.text());
   EXPECT_EQ(status_of(client.read_message()), 502);
   EXPECT_EQ(server.requests().size(), 1U);
   EXPECT_TRUE(eventually([&] { return server.ended() == 1; }));
--- a/tests/node/pause_test.cpp
+++ b/tests/node/pause_test.cpp
@@ -15,7 +15,9 @@
   ASSERT_TRUE(eventually([&] { return program.state() == 'T'; }));
 }
 
-void pass(std::chrono::milliseconds span) { std::this_thread::sleep_for(span); }  // the time under test
+void sleep_for(std::chrono::milliseconds duration) {
+  std::this_thread::sleep_for(duration);
+}  // the time under test
 
 int requests_named(FakeServer& server, const std::string& prefix) {
   int out = 0;
@@ -26,8 +28,8 @@
 
 // Once this request is answered, the node has processed all that was in its sockets before.
 void request_and_wait(Deployment& d, const std::string& id) {
-  Wire client = d.client();
-  client.write(Ask{.id = id}.text());
+  RawConnection client = d.client();
+  client.write(ClientRequest{.id = id}.text());
   ASSERT_EQ(status_of(client.read_message()), 200);
 }
 
@@ -36,35 +38,35 @@
   Deployment d({&server});
   request_and_wait(d, "before");
   stop(*d.program);
-  std::vector<Wire> clients;
+  std::vector<RawConnection> clients;
   for (int i = 0; i < 20; ++i) {
     clients.push_back(d.client());
-    clients.back().write(Ask{.id = "late" + std::to_string(i), .timeout = "500"}.text());
+    clients.back().write(ClientRequest{.id = "late" + std::to_string(i), .timeout = "500"}.text());
   }
-  pass(600ms);
-  for (Wire& client : clients) client.close();
-  pass(900ms);
+  sleep_for(600ms);
+  for (RawConnection& client : clients) client.close();
+  sleep_for(900ms);
   d.program->signal(SIGCONT);
   request_and_wait(d, "after");
   EXPECT_EQ(requests_named(server, "late"), 0);
 }
 
-// On open connections and within the timeout, only the close tells.
+// On open connections and within the timeout, only the close shows that they have disconnected.
 TEST(PausedNode, ForwardsNothingForClientsThatClosedBeforeTheirTimeout) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  std::vector<Wire> clients;
+  std::vector<RawConnection> clients;
   for (int i = 0; i < 20; ++i) {
     clients.push_back(d.client());
-    clients.back().write(Ask{.id = "early" + std::to_string(i)}.text());
+    clients.back().write(ClientRequest{.id = "early" + std::to_string(i)}.text());
     ASSERT_EQ(status_of(clients.back().read_message()), 200);
   }
   stop(*d.program);
   for (int i = 0; i < 20; ++i) {
-    clients[static_cast<std::size_t>(i)].write(Ask{.id = "late" + std::to_string(i)}.text());
+    clients[static_cast<std::size_t>(i)].write(ClientRequest{.id = "late" + std::to_string(i)}.text());
   }
-  pass(200ms);
-  for (Wire& client : clients) client.close();
+  sleep_for(200ms);
+  for (RawConnection& client : clients) client.close();
   d.program->signal(SIGCONT);
   request_and_wait(d, "after");
   EXPECT_EQ(requests_named(server, "late"), 0);
@@ -77,14 +79,14 @@
   Deployment d({&server});
   request_and_wait(d, "before");
   stop(*d.program);
-  Wire over = d.client(), patient = d.client();
-  over.write(Ask{.id = "over", .timeout = "500"}.text());
-  patient.write(Ask{.id = "patient", .timeout = "9000"}.text());
-  pass(1500ms);
+  RawConnection expired = d.client(), unexpired = d.client();
+  expired.write(ClientRequest{.id = "expired", .timeout = "500"}.text());
+  unexpired.write(ClientRequest{.id = "unexpired", .timeout = "9000"}.text());
+  sleep_for(1500ms);
   d.program->signal(SIGCONT);
-  EXPECT_EQ(status_of(over.read_message()), 503) << "not forwarded, so that it may be retried";
-  EXPECT_EQ(status_of(patient.read_message()), 200);
-  EXPECT_EQ(requests_named(server, "over"), 0);
+  EXPECT_EQ(status_of(expired.read_message()), 503) << "not forwarded, so that it may be retried";
+  EXPECT_EQ(status_of(unexpired.read_message()), 200);
+  EXPECT_EQ(requests_named(server, "expired"), 0);
   const std::vector<std::string> requests = server.requests();
   const int left = std::stoi(field_of(requests.back(), "X-Timeout-Ms"));
   EXPECT_LE(left, 7500) << "1.5 s of its 9 s have passed";
@@ -95,11 +97,11 @@
 TEST(PausedNode, ServesAFirstRequestThatArrivedInTimeButWasReadLate) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  Wire client = d.client();
+  RawConnection client = d.client();
   request_and_wait(d, "before");  // by then the connection above has been accepted too
   stop(*d.program);
-  client.write(Ask{.id = "first"}.text());
-  pass(2800ms);  // more than the 2.5 s that a first request may take
+  client.write(ClientRequest{.id = "first"}.text());
+  sleep_for(2800ms);  // more than the 2.5 s that a first request may take
   d.program->signal(SIGCONT);
   EXPECT_EQ(status_of(client.read_message()), 200);
 }
@@ -109,23 +111,23 @@
   FakeServer drained(replies(200, "drained")), other(replies(200, "other"));
   Deployment d({&drained, &other});
   ASSERT_TRUE(eventually([&] { return !d.discovery.calls().empty(); }));
-  std::vector<Wire> clients;
+  std::vector<RawConnection> clients;
   for (int i = 0; i < 40; ++i) {
     clients.push_back(d.client());
-    clients.back().write(Ask{.id = "early" + std::to_string(i)}.text());
+    clients.back().write(ClientRequest{.id = "early" + std::to_string(i)}.text());
     ASSERT_EQ(status_of(clients.back().read_message()), 200);
   }
   ASSERT_GT(requests_named(drained, "early"), 0);
   stop(*d.program);
   for (int i = 0; i < 40; ++i) {
-    clients[static_cast<std::size_t>(i)].write(Ask{.id = "late" + std::to_string(i)}.text());
+    clients[static_cast<std::size_t>(i)].write(ClientRequest{.id = "late" + std::to_string(i)}.text());
   }
-  d.discovery.say(list(8, false, member("s0", drained.address(), "draining")));
-  pass(1200ms);
+  d.discovery.push(endpoint_list_json(8, false, endpoint_json("s0", drained.address(), "draining")));
+  sleep_for(1200ms);
   d.program->signal(SIGCONT);
   // Together they may exceed the server's concurrency limit.
   int served = 0;
-  for (Wire& client : clients) served += status_of(client.read_message()) == 200 ? 1 : 0;
+  for (RawConnection& client : clients) served += status_of(client.read_message()) == 200 ? 1 : 0;
   EXPECT_EQ(requests_named(drained, "late"), 0);
   EXPECT_EQ(requests_named(other, "late"), served);
   EXPECT_GT(served, 0);
@@ -138,20 +140,20 @@
   ConfigText config;
   config.bounds = R"("cancel":true,"maxAttempts":1,"maxRetryAfter":2.0,"retryAfter":true,)"
                   R"("secondCopies":true,"dialTimeout":12.0,"idleClose":60.0)";
-  config.known = list(7, true, member("s0", full.address()));
+  config.known = endpoint_list_json(7, true, endpoint_json("s0", full.address()));
   config.discovery = discovery.address();
   Program program(config.text());
-  Wire client = Wire::to(program.port());
-  client.write(Ask{.id = "late"}.text());
+  RawConnection client = RawConnection::connect_to(program.port());
+  client.write(ClientRequest{.id = "late"}.text());
   ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }));
   stop(program);
   Fd connected = full.accept();
   ASSERT_GE(connected.get(), 0);
   client.close();
-  pass(100ms);
+  sleep_for(100ms);
   program.signal(SIGCONT);
-  Wire server(std::move(connected));
-  EXPECT_EQ(server.read_rest(), "") << "its client has disconnected";
+  RawConnection server(std::move(connected));
+  EXPECT_EQ(server.read_until_close(), "") << "its client has disconnected";
 }
 
 // The time in which a response was unread is not the server's.
@@ -175,7 +177,7 @@
   // Until the request is sent; then the loop is not run.
   while (server.requests().empty()) io.run_one_for(2ms);
   EXPECT_FALSE(end);
-  pass(400ms);
+  sleep_for(400ms);
   ASSERT_TRUE(eventually([&] {
     io.poll();
     return end.has_value();
@@ -202,7 +204,7 @@
     const Upstream::Handle attempt =
         upstream.start("s0", request, {timeout}, true,
                        {std::move(may), [&](Upstream::End&& e) { ends.push_back(e.outcome); }});
-    pass(30ms);
+    sleep_for(30ms);
     io.restart();
     ASSERT_TRUE(eventually([&] {
       io.poll();
@@ -234,16 +236,17 @@
   request_and_wait(d, "before");
   for (int round = 0; round < 8; ++round) {
     stop(*d.program);
-    std::vector<Wire> clients;
+    std::vector<RawConnection> clients;
     for (int i = 0; i < 4; ++i) {
       clients.push_back(d.client());
       clients.back().write(
-          Ask{.id = "late" + std::to_string(round) + "_" + std::to_string(i), .timeout = "100"}.text());
+          ClientRequest{.id = "late" + std::to_string(round) + "_" + std::to_string(i), .timeout = "100"}
+              .text());
     }
-    pass(150ms);
-    for (Wire& client : clients) client.close();
+    sleep_for(150ms);
+    for (RawConnection& client : clients) client.close();
     d.program->signal(SIGCONT);
-    pass(2ms);
+    sleep_for(2ms);
   }
   request_and_wait(d, "after");
   EXPECT_EQ(requests_named(server, "late"), 0);
--- a/tests/node/peers_test.cpp
+++ b/tests/node/peers_test.cpp
@@ -115,23 +115,23 @@
 
 TEST(Peers, WhenDisabledRequestsToServersAreUnchanged) {
   const ReplicaSet replica_set(2);
-  std::vector<std::string> asked;
+  std::vector<std::string> forwarded;
   for (const std::string& operators : {std::string(), std::string("[fleet]\nenabled = false\n")}) {
     FakeServer server(replies(200, "ok"));
     ConfigText config = replica_set.config(0);
-    config.known = list(7, true, member("s0", server.address()));
+    config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
     Program program(config.text(), 0, true, operators);
-    Wire caller = Wire::to(program.port());
-    caller.write(Ask{.id = "r1"}.text());
-    ASSERT_EQ(status_of(caller.read_message()), 200);
+    RawConnection client = RawConnection::connect_to(program.port());
+    client.write(ClientRequest{.id = "r1"}.text());
+    ASSERT_EQ(status_of(client.read_message()), 200);
     std::string request = server.requests().front();
     request.erase(request.find("Host: "),
                   request.find("\r\n", request.find("Host: ")) - request.find("Host: "));
     const std::size_t timeout = request.find("X-Timeout-Ms: ");
     if (timeout != std::string::npos) request.erase(timeout, request.find("\r\n", timeout) - timeout);
-    asked.push_back(request);
+    forwarded.push_back(request);
   }
-  EXPECT_EQ(asked[0], asked[1]);
+  EXPECT_EQ(forwarded[0], forwarded[1]);
 }
 
 TEST(Peers, DiscoverEachOtherAndDetectAFailureAndARestart) {
@@ -148,7 +148,8 @@
     })) << newest_view(node);
     EXPECT_GE(node.logged("event=node_failed node=1 previous=suspect "), 1);
   }
-  EXPECT_TRUE(eventually([&] { return view_has(*nodes[2], "rank=1 live_count=2 "); })) << "it has moved up";
+  EXPECT_TRUE(eventually([&] { return view_has(*nodes[2], "rank=1 live_count=2 "); }))
+      << "its rank has moved up";
   nodes[1] = replica_set.start(1);
   for (const auto& node : nodes)
     EXPECT_TRUE(eventually([&] {
@@ -230,19 +231,19 @@
     const std::string address = server->address();
     const int port = std::stoi(address.substr(address.find(':') + 1));
     ConfigText config = replica_set.config(0);
-    config.known = list(7, true, member("s0", address));
+    config.known = endpoint_list_json(7, true, endpoint_json("s0", address));
     const std::string operators = std::string(kOn) + (is_enabled ? "refuse_when_cut_off = true\n" : "");
     Program node(config.text(), 0, true, operators);
     const auto health = [&node] {
-      Wire wire = Wire::to(node.port());
-      wire.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
-      return status_of(wire.read_message());
+      RawConnection connection = RawConnection::connect_to(node.port());
+      connection.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
+      return status_of(connection.read_message());
     };
     const auto send_request = [&node] {
-      static int asked = 0;
-      Wire wire = Wire::to(node.port());
-      wire.write(Ask{.id = "c" + std::to_string(++asked), .timeout = "2000"}.text());
-      return wire.read_message();
+      static int requests = 0;
+      RawConnection connection = RawConnection::connect_to(node.port());
+      connection.write(ClientRequest{.id = "c" + std::to_string(++requests), .timeout = "2000"}.text());
+      return connection.read_message();
     };
     EXPECT_EQ(status_of(send_request()), 200) << "no peer is reachable, and it serves";
     EXPECT_EQ(health(), 200);
@@ -283,7 +284,7 @@
   const ReplicaSet replica_set(2);
   FakeServer server(replies(200, "ok"));
   ConfigText config = replica_set.config(0);
-  config.known = list(7, true, member("s0", server.address()));
+  config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   Program node(config.text(), 0, true, kOn);
   const auto other = replica_set.start(1);
   EXPECT_TRUE(eventually([&] { return view_has(node, "connectivity=complete "); }));
@@ -304,10 +305,10 @@
       socket.send_to(asio::buffer(noise.data(), i % 300), replica_set.peer(0), 0, ignored);
     }
   });
-  Wire caller = Wire::to(node.port());
+  RawConnection client = RawConnection::connect_to(node.port());
   for (int i = 0; i < 200; ++i) {
-    caller.write(Ask{.id = "r" + std::to_string(i)}.text());
-    ASSERT_EQ(status_of(caller.read_message()), 200);
+    client.write(ClientRequest{.id = "r" + std::to_string(i)}.text());
+    ASSERT_EQ(status_of(client.read_message()), 200);
   }
   over = true;
   flood.join();
--- a/tests/node/preconnect_test.cpp
+++ b/tests/node/preconnect_test.cpp
@@ -8,7 +8,7 @@
 namespace thymewood::node {
 namespace {
 
-TEST(Preconnect, SixteenRequestsEarnOneConnect) {
+TEST(Preconnect, AllowsOneConnectPerSixteenRequests) {
   PreconnectPolicy policy;
   int connects = 0;
   for (int i = 0; i < 1600; ++i) {
@@ -27,7 +27,7 @@
   EXPECT_FALSE(policy.try_preconnect());
 }
 
-TEST(Preconnect, AFailedConnectCostsEight) {
+TEST(Preconnect, AFailedConnectSuspendsPreconnecting) {
   PreconnectPolicy policy;
   for (int i = 0; i < 1000; ++i) policy.on_request();
   policy.on_connect_failed();
@@ -44,11 +44,11 @@
 TEST(Preconnect, ClientThatSendsItsNextRequestAtOnceGetsMoreConnections) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  Wire client = d.client();
+  RawConnection client = d.client();
   int requests = 0;
   // A slow machine sends the next one at once only now and then.
   while (requests < 5000 && server.listener().accepted() < 3) {
-    client.write(Ask{.id = "r" + std::to_string(++requests)}.text());
+    client.write(ClientRequest{.id = "r" + std::to_string(++requests)}.text());
     ASSERT_EQ(status_of(client.read_message()), 200);
   }
   EXPECT_GE(server.listener().accepted(), 3);
--- a/tests/node/wire.h
+++ b/tests/node/raw_connection.h
@@ -16,17 +16,17 @@
 namespace thymewood::node {
 
 // A connection on which HTTP messages are written and read as text.
-class Wire {
+class RawConnection {
  public:
-  Wire() = default;
-  explicit Wire(Fd fd) : fd_(std::move(fd)) {}
+  RawConnection() = default;
+  explicit RawConnection(Fd fd) : fd_(std::move(fd)) {}
   // `small_buffers`: it buffers little before it is read from.
-  static Wire to(int port, bool small_buffers = false) {
+  static RawConnection connect_to(int port, bool small_buffers = false) {
     Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     if (small_buffers) shrink_buffers(fd.get());
     const sockaddr_in where = loopback(port);
     if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&where), sizeof where) != 0) fd.reset();
-    return Wire(std::move(fd));
+    return RawConnection(std::move(fd));
   }
   bool is_open() const { return fd_.get() >= 0; }
   void close() { fd_.reset(); }
@@ -38,12 +38,12 @@
   }
   int fd() const { return fd_.get(); }
   // Waits until something has arrived, and leaves it unread.
-  bool has_come() const {
+  bool wait_readable() const {
     pollfd wait{fd_.get(), POLLIN, 0};
-    return ::poll(&wait, 1, static_cast<int>(std::chrono::milliseconds(kPatience).count())) > 0;
+    return ::poll(&wait, 1, static_cast<int>(std::chrono::milliseconds(kMaxWait).count())) > 0;
   }
   // Half-closes the connection.
-  void end_sending() const { ::shutdown(fd_.get(), SHUT_WR); }
+  void half_close() const { ::shutdown(fd_.get(), SHUT_WR); }
   // Sends until the peer reads no more, or `most` bytes are sent; returns how many.
   std::size_t flood(const std::string& text, std::size_t most) const {
     std::size_t sent = 0;
@@ -81,19 +81,19 @@
           return out;
         }
       }
-      if (!more()) return {};
+      if (!receive_more()) return {};
     }
   }
   // Everything up to the end of the connection.
-  std::string read_rest() {
-    while (more()) {
+  std::string read_until_close() {
+    while (receive_more()) {
     }
     return std::exchange(received_, {});
   }
   // Waits for more to arrive; false at the end of the connection.
-  bool more() {
+  bool receive_more() {
     pollfd wait{fd_.get(), POLLIN, 0};
-    if (::poll(&wait, 1, static_cast<int>(std::chrono::milliseconds(kPatience).count())) <= 0) return false;
+    if (::poll(&wait, 1, static_cast<int>(std::chrono::milliseconds(kMaxWait).count())) <= 0) return false;
     char piece[4096];
     const ssize_t n = ::recv(fd_.get(), piece, sizeof piece, 0);
     if (n <= 0) return false;
--- a/tests/node/reload_test.cpp
+++ b/tests/node/reload_test.cpp
@@ -4,12 +4,12 @@
 namespace thymewood::node {
 namespace {
 
-// Whether the node comes to respond with this body.
+// Whether the node eventually responds with this body.
 bool serves(const Deployment& d, const std::string& body) {
   static std::atomic<int> requests = 0;
   return eventually([&] {
-    Wire client = d.client();
-    client.write(Ask{.id = "reload" + std::to_string(++requests)}.text());
+    RawConnection client = d.client();
+    client.write(ClientRequest{.id = "reload" + std::to_string(++requests)}.text());
     return body_of(client.read_message()) == body;
   });
 }
@@ -20,8 +20,9 @@
   Deployment d({&old_server});
   ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() == 1; }));
   FakeDiscovery moved;
-  moved.answer_with(kWatchResponseHead + chunk(list(3, true, member("n0", new_server.address())) + "\n"));
-  ConfigText config = d.told;
+  moved.set_response(kWatchResponseHead +
+                     chunk(endpoint_list_json(3, true, endpoint_json("n0", new_server.address())) + "\n"));
+  ConfigText config = d.config;
   config.discovery = moved.address();
   d.program->reload(config.text());
   ASSERT_TRUE(serves(d, "new"));
@@ -35,19 +36,20 @@
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() == 1; }));
-  const std::vector<std::string> bad = {"{\"name\":", "", "{}", ConfigText{.discovery = "nowhere"}.text()};
-  for (std::size_t i = 0; i < bad.size(); ++i) {
-    d.program->reload(bad[i]);
+  const std::vector<std::string> invalid = {"{\"name\":", "", "{}",
+                                            ConfigText{.discovery = "nowhere"}.text()};
+  for (std::size_t i = 0; i < invalid.size(); ++i) {
+    d.program->reload(invalid[i]);
     ASSERT_TRUE(eventually([&] {
       return d.program->logged("event=reload_failed") == static_cast<int>(i + 1);
     })) << d.program->log();
   }
   EXPECT_TRUE(serves(d, "ok"));
   // The watch is still open.
-  d.discovery.say(list(8, false, member("s0", server.address(), "draining")));
+  d.discovery.push(endpoint_list_json(8, false, endpoint_json("s0", server.address(), "draining")));
   EXPECT_TRUE(eventually([&] {
-    Wire client = d.client();
-    client.write(Ask{.id = "drained"}.text());
+    RawConnection client = d.client();
+    client.write(ClientRequest{.id = "drained"}.text());
     return status_of(client.read_message()) == 503;
   }));
 }
@@ -58,7 +60,7 @@
   Deployment d({&server});
   ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() == 1; }));
   FakeDiscovery moved;
-  ConfigText config = d.told;
+  ConfigText config = d.config;
   config.discovery = moved.address();
   d.program->remove_config();
   d.program->signal(SIGHUP);
@@ -79,7 +81,7 @@
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   FakeDiscovery moved;
-  ConfigText config = d.told;
+  ConfigText config = d.config;
   config.discovery = moved.address();
   d.program->fill_log();
   d.program->reload("{");
@@ -94,7 +96,7 @@
   Deployment d({&server});
   FakeDiscovery one, two;
   for (int i = 0; i < 20; ++i) {
-    ConfigText config = d.told;
+    ConfigText config = d.config;
     config.discovery = (i % 2 == 0 ? one : two).address();
     d.program->reload(config.text());
     ASSERT_TRUE(d.program->running());
@@ -111,31 +113,32 @@
   Deployment d({&old_server});
   int port = 0;
   {
-    FakeDiscovery gone;
-    port = gone.listener().port();
+    FakeDiscovery stopped;
+    port = stopped.listener().port();
   }
-  ConfigText config = d.told;
+  ConfigText config = d.config;
   config.discovery = "127.0.0.1:" + std::to_string(port);
   d.program->reload(config.text());
   ASSERT_TRUE(eventually([&] { return d.program->logged("event=reload ") == 1; }));
   FakeDiscovery moved(port);
-  moved.answer_with(kWatchResponseHead + chunk(list(3, true, member("n0", new_server.address())) + "\n"));
+  moved.set_response(kWatchResponseHead +
+                     chunk(endpoint_list_json(3, true, endpoint_json("n0", new_server.address())) + "\n"));
   EXPECT_TRUE(serves(d, "new"));
 }
 
 TEST(Reload, DoesNotInterruptGracefulShutdown) {
   Gate gate;
-  FakeServer server([&](Wire& wire, const std::string&) {
+  FakeServer server([&](RawConnection& connection, const std::string&) {
     gate.wait();
-    return wire.write(http_answer(200, "ok"));
+    return connection.write(http_response(200, "ok"));
   });
   Deployment d({&server});
-  Wire client = d.client();
-  client.write(Ask{}.text());
+  RawConnection client = d.client();
+  client.write(ClientRequest{}.text());
   ASSERT_TRUE(eventually([&] { return server.requests().size() == 1; }));
   d.program->signal(SIGTERM);
   FakeDiscovery moved;
-  ConfigText config = d.told;
+  ConfigText config = d.config;
   config.discovery = moved.address();
   d.program->reload(config.text());
   EXPECT_TRUE(eventually([&] { return moved.calls().size() == 1; }));
--- a/tests/node/scripted_discovery.h
+++ b/tests/node/scripted_discovery.h
@@ -23,8 +23,8 @@
   explicit RequestSender(Program& program) : program_(program) {}
   // The response to the next request.
   std::string response() {
-    Wire client = Wire::to(program_.port());
-    client.write(Ask{.id = "w" + std::to_string(++requests_)}.text());
+    RawConnection client = RawConnection::connect_to(program_.port());
+    client.write(ClientRequest{.id = "w" + std::to_string(++requests_)}.text());
     return client.read_message();
   }
   int status() { return status_of(response()); }
@@ -40,11 +40,11 @@
 class ScriptedDiscovery {
  public:
   // `call` is counted from 0; the connection is closed when the handler returns.
-  using Handler = std::function<void(Wire&, int call)>;
+  using Handler = std::function<void(RawConnection&, int call)>;
   explicit ScriptedDiscovery(Handler handler, int port = 0)
       : listener_(
-            [this, handler = std::move(handler)](Wire& wire) {
-              const std::string call = wire.read_message();
+            [this, handler = std::move(handler)](RawConnection& connection) {
+              const std::string call = connection.read_message();
               if (call.empty()) return;
               int number = 0;
               {
@@ -52,7 +52,7 @@
                 number = static_cast<int>(calls_.size());
                 calls_.push_back({call, Steady::now()});
               }
-              handler(wire, number);
+              handler(connection, number);
             },
             port) {}
   struct Call {
@@ -95,7 +95,9 @@
 class QueueingDiscovery {
  public:
   QueueingDiscovery(std::chrono::milliseconds cost, std::chrono::milliseconds longest_wait)
-      : cost_(cost), longest_wait_(longest_wait), listener_([this](Wire& wire) { serve(wire); }) {}
+      : cost_(cost),
+        longest_wait_(longest_wait),
+        listener_([this](RawConnection& connection) { serve(connection); }) {}
   ~QueueingDiscovery() {
     over_ = true;
     listener_.stop();
@@ -117,8 +119,8 @@
   int rejected_calls() const { return rejected_calls_; }
 
  private:
-  void serve(Wire& wire) {
-    if (wire.read_message().empty()) return;
+  void serve(RawConnection& connection) {
+    if (connection.read_message().empty()) return;
     const auto now = Steady::now();
     const int generation = generation_;
     Steady::time_point done = now;
@@ -133,13 +135,14 @@
     }
     if (is_rejected) {
       if (generation > 0 && !down_) ++rejected_calls_;
-      if (sleep_until(now + longest_wait_)) wire.write(http_answer(503, ""));
+      if (sleep_until(now + longest_wait_)) connection.write(http_response(503, ""));
       return;
     }
-    if (!sleep_until(done) || !wire.write(kWatchResponseHead + chunk(list.empty() ? "\n" : list + "\n")))
+    if (!sleep_until(done) ||
+        !connection.write(kWatchResponseHead + chunk(list.empty() ? "\n" : list + "\n")))
       return;
     ++watches_;
-    while (!over_ && !down_ && wire.write(chunk("\n"))) {
+    while (!over_ && !down_ && connection.write(chunk("\n"))) {
       for (int i = 0; i < 50 && !over_ && !down_; ++i) std::this_thread::sleep_for(20ms);
     }
     --watches_;
--- a/tests/node/service_test.cpp
+++ b/tests/node/service_test.cpp
@@ -17,8 +17,8 @@
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   const auto start = std::chrono::steady_clock::now();
-  Wire client = d.client();
-  EXPECT_EQ(client.read_rest(), "");
+  RawConnection client = d.client();
+  EXPECT_EQ(client.read_until_close(), "");
   EXPECT_LT(seconds_since(start), 10) << "the protocol allows 3 s";
 }
 
@@ -27,7 +27,7 @@
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   const auto start = std::chrono::steady_clock::now();
-  Wire client = d.client();
+  RawConnection client = d.client();
   std::this_thread::sleep_for(1500ms);
   client.write("POST /close/k HTTP/1.1\r\n");
   EXPECT_EQ(status_of(client.read_message()), 408);
@@ -39,19 +39,19 @@
   ConfigText config;
   config.sockets = 64;  // 20 client connections
   Deployment d({&server}, config);
-  Wire served = d.client();
-  served.write(Ask{.id = "first"}.text());
+  RawConnection served = d.client();
+  served.write(ClientRequest{.id = "first"}.text());
   ASSERT_EQ(status_of(served.read_message()), 200);
-  std::vector<Wire> silent;
+  std::vector<RawConnection> silent;
   for (int i = 0; i < 60; ++i) silent.push_back(d.client());
   // All of them have been accepted once a later one is served.
   int n = 0;
   ASSERT_TRUE(eventually([&] {
-    Wire late = d.client();
-    late.write(Ask{.id = "late" + std::to_string(++n)}.text());
+    RawConnection late = d.client();
+    late.write(ClientRequest{.id = "late" + std::to_string(++n)}.text());
     return status_of(late.read_message()) == 200;
   }));
-  served.write(Ask{.id = "second"}.text());
+  served.write(ClientRequest{.id = "second"}.text());
   EXPECT_EQ(status_of(served.read_message()), 200) << "its connection is still open";
 }
 
@@ -63,17 +63,17 @@
          "that can't be had for memory that can't";
 #endif
   Gate gate;
-  const FakeServer::Reply reply_when_open = [&](Wire& wire, const std::string&) {
-    return gate.wait() && wire.write(http_answer(200, "ok"));
+  const FakeServer::Reply reply_when_open = [&](RawConnection& connection, const std::string&) {
+    return gate.wait() && connection.write(http_response(200, "ok"));
   };
   FakeServer one(reply_when_open), two(reply_when_open), three(reply_when_open), four(reply_when_open),
       five(reply_when_open), six(reply_when_open);
   std::vector<FakeServer*> servers{&one, &two, &three, &four, &five, &six};
   Deployment d(servers);
-  std::vector<Wire> in_flight;
+  std::vector<RawConnection> in_flight;
   for (int i = 0; i < 6; ++i) {
     in_flight.push_back(d.client());
-    in_flight.back().write(Ask{.id = "in_flight" + std::to_string(i)}.text());
+    in_flight.back().write(ClientRequest{.id = "in_flight" + std::to_string(i)}.text());
   }
   ASSERT_TRUE(eventually([&] {
     std::size_t received = 0;
@@ -82,29 +82,30 @@
   }));
   // No descriptor is free, and none of these connections is idle.
   d.program->limit_descriptors(d.program->next_descriptor());
-  std::vector<Wire> late;
+  std::vector<RawConnection> late;
   for (int i = 0; i < 3; ++i) {
     late.push_back(d.client());
-    late.back().write(Ask{.id = "late" + std::to_string(i)}.text());
+    late.back().write(ClientRequest{.id = "late" + std::to_string(i)}.text());
   }
-  for (Wire& client : late) {
+  for (RawConnection& client : late) {
     const std::string answer = client.read_message();
     EXPECT_EQ(status_of(answer), 503);
     EXPECT_NE(field_of(answer, "Retry-After"), "");
   }
   gate.open();
-  for (Wire& client : in_flight) EXPECT_EQ(status_of(client.read_message()), 200);
+  for (RawConnection& client : in_flight) EXPECT_EQ(status_of(client.read_message()), 200);
   d.program->limit_descriptors(256);
-  Wire again = d.client();
-  again.write(Ask{.id = "again"}.text());
+  RawConnection again = d.client();
+  again.write(ClientRequest{.id = "again"}.text());
   EXPECT_EQ(status_of(again.read_message()), 200);
 }
 
 TEST(MisbehavingClients, InvalidRequestsAreAnsweredAndTheConnectionStaysOpen) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  Wire client = d.client();
-  client.write(Ask{.id = "", .body = ""}.text() + Ask{.kind = "dance", .body = ""}.text() + Ask{}.text());
+  RawConnection client = d.client();
+  client.write(ClientRequest{.id = "", .body = ""}.text() +
+               ClientRequest{.request_class = "dance", .body = ""}.text() + ClientRequest{}.text());
   EXPECT_EQ(status_of(client.read_message()), 400);
   EXPECT_EQ(status_of(client.read_message()), 400);
   EXPECT_EQ(status_of(client.read_message()), 200);
@@ -113,8 +114,8 @@
 TEST(MisbehavingClients, LongTimeoutIsLimitedToThatOfTheClass) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  Wire client = d.client();
-  client.write(Ask{.timeout = "900000000"}.text());
+  RawConnection client = d.client();
+  client.write(ClientRequest{.timeout = "900000000"}.text());
   ASSERT_EQ(status_of(client.read_message()), 200);
   EXPECT_LE(std::stoi(field_of(server.requests()[0], "X-Timeout-Ms")), 15000);
 }
@@ -122,8 +123,8 @@
 TEST(MisbehavingClients, ExpectContinueIsAnswered) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  Wire client = d.client();
-  const std::string all = Ask{.fields = "Expect: 100-continue\r\n"}.text();
+  RawConnection client = d.client();
+  const std::string all = ClientRequest{.fields = "Expect: 100-continue\r\n"}.text();
   client.write(all.substr(0, all.size() - 2));
   EXPECT_EQ(status_of(client.read_message()), 100);
   client.write("{}");
@@ -134,7 +135,7 @@
 TEST(MisbehavingClients, AmbiguousLengthsAreNeverForwarded) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  const std::string hidden = Ask{.id = "hidden"}.text();
+  const std::string hidden = ClientRequest{.id = "hidden"}.text();
   for (const std::string fields :
        {"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
         "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n", "Content-Length: 5\r\nContent-Length: 6\r\n",
@@ -142,11 +143,11 @@
         "Transfer-Encoding: identity, chunked\r\n",
         "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n", "Transfer-Encoding: xchunked\r\n",
         "Content-Length : 5\r\n"}) {
-    Wire client = d.client();
-    client.write(Ask{.body = "", .fields = fields}.text() + "0\r\n\r\n" + hidden);
+    RawConnection client = d.client();
+    client.write(ClientRequest{.body = "", .fields = fields}.text() + "0\r\n\r\n" + hidden);
     const std::string answer = client.read_message();
     EXPECT_TRUE(answer.empty() || status_of(answer) >= 400) << fields << answer;
-    EXPECT_EQ(client.read_rest().find("200 OK"), std::string::npos) << fields;
+    EXPECT_EQ(client.read_until_close().find("200 OK"), std::string::npos) << fields;
   }
   EXPECT_TRUE(server.requests().empty());
 }
@@ -161,14 +162,14 @@
   Deployment d({&server}, config);
   constexpr int kClients = 80;
   {
-    std::vector<Wire> clients;
+    std::vector<RawConnection> clients;
     for (int i = 0; i < kClients; ++i) {
       clients.push_back(d.client());
       clients.back().write("POST /close/k HTTP/1.1\r\nHost: a\r\nContent-Length: 65000\r\n\r\n" +
                            std::string(60000, 'x'));
     }
     int rejected = 0, slow = 0;
-    for (Wire& client : clients) {
+    for (RawConnection& client : clients) {
       const std::string answer = client.read_message();
       if (!answer.empty() && status_of(answer) == 503 && !field_of(answer, "Retry-After").empty()) ++rejected;
       if (!answer.empty() && status_of(answer) == 408) ++slow;
@@ -176,8 +177,8 @@
     EXPECT_GE(rejected, kClients / 4);
     EXPECT_GT(slow, 0) << "what fits into the budget was read";
   }
-  Wire after = d.client();
-  after.write(Ask{.body = std::string(60000, 'x')}.text());
+  RawConnection after = d.client();
+  after.write(ClientRequest{.body = std::string(60000, 'x')}.text());
   EXPECT_EQ(status_of(after.read_message()), 200) << "the budget is free again";
 }
 
@@ -186,40 +187,40 @@
 TEST(MisbehavingServers, InvalidLengthsAreNoResponse) {
   std::mutex mutex;
   std::string next;
-  FakeServer server([&](Wire& wire, const std::string&) {
+  FakeServer server([&](RawConnection& connection, const std::string&) {
     const std::lock_guard lock(mutex);
-    return wire.write("HTTP/1.1 200 OK\r\n" + next);
+    return connection.write("HTTP/1.1 200 OK\r\n" + next);
   });
   Deployment d({&server});
   int n = 0;
-  for (const std::string rest :
+  for (const std::string response :
        {"Content-Length: 2\r\nContent-Length: 3\r\n\r\nabc", "Content-Length: -2\r\n\r\nab",
         "Content-Length: two\r\n\r\nab",
         "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
         "Transfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n0\r\n\r\n", "Content-Length: 3000000000\r\n\r\nab"}) {
     {
       const std::lock_guard lock(mutex);
-      next = rest;
+      next = response;
     }
-    Wire client = d.client();
-    client.write(Ask{.id = "l" + std::to_string(++n)}.text());
+    RawConnection client = d.client();
+    client.write(ClientRequest{.id = "l" + std::to_string(++n)}.text());
     const int status = status_of(client.read_message());
-    EXPECT_TRUE(status == 502 || status == 503) << rest << status;
+    EXPECT_TRUE(status == 502 || status == 503) << response << status;
   }
 }
 
 // A line that does not end is not buffered without bound.
 TEST(MisbehavingServers, EndlessChunkExtensionIsAbandoned) {
-  FakeServer server([](Wire& wire, const std::string&) {
-    wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;");
-    while (wire.write(std::string(64 * 1024, 'x'))) {
+  FakeServer server([](RawConnection& connection, const std::string&) {
+    connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;");
+    while (connection.write(std::string(64 * 1024, 'x'))) {
     }
     return false;
   });
   Deployment d({&server});
   const auto start = std::chrono::steady_clock::now();
-  Wire client = d.client();
-  client.write(Ask{}.text());
+  RawConnection client = d.client();
+  client.write(ClientRequest{}.text());
   EXPECT_EQ(status_of(client.read_message()), 502);
   EXPECT_LT(seconds_since(start), 10) << "the client's timeout is 15 s";
 }
@@ -231,41 +232,42 @@
   FakeDiscovery discovery;
   ConfigText config;
   config.discovery = discovery.address();
-  config.known = list(7, true, member("s0", server.address()));
+  config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   config.bounds = R"("cancel":true,"maxAttempts":3,"dialTimeout":14.0,"idleClose":60.0)";
   Program program(config.text());
-  Wire one = Wire::to(program.port()), two = Wire::to(program.port());
-  one.write(Ask{.id = "one"}.text());
-  Wire first(server.accept());
+  RawConnection one = RawConnection::connect_to(program.port()),
+                two = RawConnection::connect_to(program.port());
+  one.write(ClientRequest{.id = "one"}.text());
+  RawConnection first(server.accept());
   ASSERT_EQ(field_of(first.read_message(), "X-Request-ID"), "one");
   server.fill();
-  two.write(Ask{.id = "two"}.text());
+  two.write(ClientRequest{.id = "two"}.text());
   ASSERT_TRUE(eventually([&] { return server.pending_connects() == 1; }));
-  std::string answer = http_answer(200, "one", "X-Fill: \r\n");
+  std::string answer = http_response(200, "one", "X-Fill: \r\n");
   answer.insert(answer.find("\r\n\r\n"), std::string(512 - answer.size(), 'x'));
   first.write(answer + answer);
   EXPECT_EQ(body_of(one.read_message()), "one");
-  Wire second(server.accept());
+  RawConnection second(server.accept());
   EXPECT_EQ(field_of(second.read_message(), "X-Request-ID"), "two");
-  second.write(http_answer(200, "two"));
+  second.write(http_response(200, "two"));
   EXPECT_EQ(body_of(two.read_message()), "two");
 }
 
 TEST(MisbehavingServers, UnsolicitedResponsesAreSurvived) {
   std::atomic<int> requests = 0;
-  Listener server([&](Wire& wire) {
-    wire.write(http_answer(200, "unsolicited"));
-    if (!wire.read_message().empty()) ++requests;
+  Listener server([&](RawConnection& connection) {
+    connection.write(http_response(200, "unsolicited"));
+    if (!connection.read_message().empty()) ++requests;
   });
   FakeDiscovery discovery;
   ConfigText config;
   config.discovery = discovery.address();
-  config.known = list(7, true, member("s0", server.address()));
+  config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   Program program(config.text());
   for (int i = 0; i < 5; ++i) {
-    Wire client = Wire::to(program.port());
-    client.write(Ask{.id = "u" + std::to_string(i)}.text());
-    // Where it arrives just after the request, nothing tells it from a response.
+    RawConnection client = RawConnection::connect_to(program.port());
+    client.write(ClientRequest{.id = "u" + std::to_string(i)}.text());
+    // Where it arrives just after the request, nothing distinguishes it from a response.
     const std::string answer = client.read_message();
     EXPECT_FALSE(answer.empty());
   }
@@ -280,24 +282,25 @@
   FakeDiscovery discovery;
   ConfigText config;
   config.discovery = discovery.address();
-  config.known = list(7, true, member("s0", server.address()));
+  config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   config.bounds = R"("cancel":true,"maxAttempts":3,"dialTimeout":14.0,"idleClose":60.0)";
   Program program(config.text());
   server.fill();
-  Wire client = Wire::to(program.port());
-  client.write(Ask{}.text());
+  RawConnection client = RawConnection::connect_to(program.port());
+  client.write(ClientRequest{}.text());
   ASSERT_TRUE(eventually([&] { return server.pending_connects() == 1; }));
-  discovery.say(
-      list(8, false, member("s0", server.address(), "removed") + "," + member("s1", server.address())));
+  discovery.push(endpoint_list_json(
+      8, false,
+      endpoint_json("s0", server.address(), "removed") + "," + endpoint_json("s1", server.address())));
   // The waiting attempt ends as not processed; its retry goes to the new server by a connect of its own.
   ASSERT_TRUE(eventually([&] { return server.pending_connects() == 2; }));
-  std::vector<Wire> wires;
-  for (int i = 0; i < 2; ++i) wires.emplace_back(server.accept());
+  std::vector<RawConnection> connections;
+  for (int i = 0; i < 2; ++i) connections.emplace_back(server.accept());
   int requests = 0;
-  for (Wire& wire : wires) {
-    if (wire.read_message().empty()) continue;  // closed unused
+  for (RawConnection& connection : connections) {
+    if (connection.read_message().empty()) continue;  // closed unused
     ++requests;
-    wire.write(http_answer(200, "new"));
+    connection.write(http_response(200, "new"));
   }
   EXPECT_EQ(requests, 1);
   EXPECT_EQ(body_of(client.read_message()), "new");
@@ -308,11 +311,11 @@
 TEST(Clients, MaySendLongRequests) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  Wire client = d.client();
+  RawConnection client = d.client();
   const std::string body(90 * 1024, 'b');
-  client.write(Ask{.id = "length", .body = body}.text());
+  client.write(ClientRequest{.id = "length", .body = body}.text());
   EXPECT_EQ(status_of(client.read_message()), 200);
-  client.write(Ask{.id = "chunks", .body = "", .fields = "Transfer-Encoding: chunked\r\n"}.text());
+  client.write(ClientRequest{.id = "chunks", .body = "", .fields = "Transfer-Encoding: chunked\r\n"}.text());
   for (std::size_t at = 0; at < body.size(); at += 9 * 1024) {
     ASSERT_TRUE(client.write("2400\r\n" + body.substr(at, 9 * 1024) + "\r\n"));
     int unread = 1;
@@ -324,19 +327,19 @@
   for (const std::string& request : server.requests()) EXPECT_EQ(body_of(request), body);
 }
 
-// Shed, since nothing was processed, and without the pause that follows an invalid request.
+// Shed, since nothing was processed, and without the delay that follows an invalid request.
 TEST(Clients, RequestsWithNoTimeLeftAreShedAtOnce) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  Wire client = d.client();
+  RawConnection client = d.client();
   for (int i = 0; i < 3; ++i) {
-    client.write(Ask{.id = "none" + std::to_string(i), .timeout = "0"}.text());
+    client.write(ClientRequest{.id = "none" + std::to_string(i), .timeout = "0"}.text());
     const std::string answer = client.read_message();
     EXPECT_EQ(status_of(answer), 503) << answer;
     EXPECT_FALSE(field_of(answer, "Retry-After").empty());
   }
   EXPECT_TRUE(server.requests().empty());
-  client.write(Ask{.id = "some"}.text());
+  client.write(ClientRequest{.id = "some"}.text());
   EXPECT_EQ(status_of(client.read_message()), 200);
 }
 
--- a/tests/node/stale_endpoints_test.cpp
+++ b/tests/node/stale_endpoints_test.cpp
@@ -10,8 +10,8 @@
 
 // Sends one request and returns its status.
 int status_of_request(int port, const std::string& id) {
-  Wire client = Wire::to(port);
-  client.write(Ask{.kind = "look", .id = id, .method = "GET", .body = ""}.text());
+  RawConnection client = RawConnection::connect_to(port);
+  client.write(ClientRequest{.request_class = "look", .id = id, .method = "GET", .body = ""}.text());
   return status_of(client.read_message());
 }
 
@@ -20,16 +20,16 @@
 class OverloadedDiscovery {
  public:
   explicit OverloadedDiscovery(std::chrono::milliseconds response_delay)
-      : script_([this, response_delay](Wire& wire, int call) {
+      : script_([this, response_delay](RawConnection& connection, int call) {
           if (call == 0) {
-            wire.write(kWatchResponseHead + chunk("\n"));
-            while (!is_overloaded_ && !is_over_ && wire.write(chunk("\n")))
+            connection.write(kWatchResponseHead + chunk("\n"));
+            while (!is_overloaded_ && !is_over_ && connection.write(chunk("\n")))
               std::this_thread::sleep_for(100ms);
             return;
           }
           for (const auto until = Steady::now() + response_delay; !is_over_ && Steady::now() < until;)
             std::this_thread::sleep_for(10ms);
-          wire.write(http_answer(503, ""));
+          connection.write(http_response(503, ""));
         }) {}
   ~OverloadedDiscovery() { is_over_ = true; }
   void become_overloaded() { is_overloaded_ = true; }
@@ -44,19 +44,20 @@
   std::atomic<bool> is_draining = false;
   std::mutex mutex;
   std::vector<Steady::time_point> rejected;  // by the draining server
-  FakeServer draining_server([&](Wire& wire, const std::string&) {
-    if (!is_draining) return wire.write(http_answer(200, "ok"));
+  FakeServer draining_server([&](RawConnection& connection, const std::string&) {
+    if (!is_draining) return connection.write(http_response(200, "ok"));
     {
       const std::lock_guard lock(mutex);
       rejected.push_back(Steady::now());
     }
-    return wire.write(http_answer(503, "", "X-Not-Processed: 1\r\n"));
+    return connection.write(http_response(503, "", "X-Not-Processed: 1\r\n"));
   });
   FakeServer ready_server(replies(200, "ok"));
   OverloadedDiscovery discovery(2s);
-  WatchingNode node(
-      discovery.script(),
-      list(7, true, member("s0", draining_server.address()) + "," + member("s1", ready_server.address())));
+  WatchingNode node(discovery.script(),
+                    endpoint_list_json(7, true,
+                                       endpoint_json("s0", draining_server.address()) + "," +
+                                           endpoint_json("s1", ready_server.address())));
   int requests = 0, served = 0;
   const auto send_until = [&](Steady::time_point until) {
     while (Steady::now() < until) {
@@ -83,7 +84,7 @@
   constexpr int kNodes = 20, kRestarted = 7;
   FakeServer server(replies(200, "ok"));
   QueueingDiscovery discovery(300ms, 2000ms);
-  const std::string known = list(7, true, member("s0", server.address()));
+  const std::string known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   const auto start_node = [&](int number) {
     ConfigText text;
     text.known = known;
@@ -98,7 +99,7 @@
   ASSERT_TRUE(eventually([&] { return discovery.watches() == kNodes; }));
   discovery.go_down();
   std::this_thread::sleep_for(5s);
-  discovery.come_up(list(8, true, member("s0", server.address())));
+  discovery.come_up(endpoint_list_json(8, true, endpoint_json("s0", server.address())));
   const auto back = Steady::now();
   std::this_thread::sleep_for(2500ms);
   for (int i = 0; i < kRestarted; ++i) nodes[static_cast<std::size_t>(i)]->kill();
@@ -115,15 +116,15 @@
   FakeServer server(replies(200, "ok"));
   std::atomic<bool> down = true;
   std::atomic<int> since_up = 0;
-  ScriptedDiscovery discovery([&](Wire& wire, int) {
+  ScriptedDiscovery discovery([&](RawConnection& connection, int) {
     if (down || ++since_up <= 2) {
-      wire.write(http_answer(503, ""));
+      connection.write(http_response(503, ""));
       return;
     }
-    wire.write(kWatchResponseHead + chunk("\n"));
-    wire.read_rest();
+    connection.write(kWatchResponseHead + chunk("\n"));
+    connection.read_until_close();
   });
-  WatchingNode node(discovery, list(7, true, member("s0", server.address())));
+  WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
   std::this_thread::sleep_for(8s);
   down = false;
   const auto back = Steady::now();
@@ -135,8 +136,9 @@
 TEST(StaleEndpointList, RespondingServersStayInUseThroughALongOutage) {
   FakeServer one(replies(200, "ok")), two(replies(200, "ok"));
   OverloadedDiscovery discovery(1s);
-  WatchingNode node(discovery.script(),
-                    list(7, true, member("s0", one.address()) + "," + member("s1", two.address())));
+  WatchingNode node(discovery.script(), endpoint_list_json(7, true,
+                                                           endpoint_json("s0", one.address()) + "," +
+                                                               endpoint_json("s1", two.address())));
   ASSERT_EQ(node.status(), 200);
   discovery.become_overloaded();
   int requests = 0, served = 0;
@@ -149,7 +151,7 @@
 TEST(StaleEndpointList, NodeServesAfterAnIdleTimeInALongOutage) {
   FakeServer server(replies(200, "ok"));
   OverloadedDiscovery discovery(1s);
-  WatchingNode node(discovery.script(), list(7, true, member("s0", server.address())));
+  WatchingNode node(discovery.script(), endpoint_list_json(7, true, endpoint_json("s0", server.address())));
   ASSERT_EQ(node.status(), 200);
   discovery.become_overloaded();
   std::this_thread::sleep_for(9s);
--- a/tests/node/system_calls_test.cpp
+++ b/tests/node/system_calls_test.cpp
@@ -82,7 +82,7 @@
 
 class SystemCallFailures : public testing::TestWithParam<std::size_t> {};
 
-TEST_P(SystemCallFailures, CostNoResponseAndRepeatNoRequest) {
+TEST_P(SystemCallFailures, LoseNoResponseAndDuplicateNoRequest) {
   const Fault& fault = all_faults()[GetParam()];
   FakeServer one(replies(200, "ok")), two(replies(200, "ok"));
   const PlanFile plan;
@@ -99,8 +99,8 @@
       const std::string what =
           std::string(fault.name) + " " + std::to_string(nth) + " fails with " + std::to_string(error);
       plan.set(fault.call, error, nth);
-      Wire client = d.client();
-      client.write(Ask{.id = id, .body = body, .timeout = "4000"}.text());
+      RawConnection client = d.client();
+      client.write(ClientRequest{.id = id, .body = body, .timeout = "4000"}.text());
       const std::string answer = client.read_message();
       plan.clear();
       fired += plan.fired() ? 1 : 0;
@@ -119,8 +119,8 @@
         EXPECT_EQ(executions, 0) << what << ": rejected, but it was executed";
       }
       // The next request is served, on a connection of its own.
-      Wire next = d.client();
-      next.write(Ask{.id = "n" + std::to_string(requests), .body = body}.text());
+      RawConnection next = d.client();
+      next.write(ClientRequest{.id = "n" + std::to_string(requests), .body = body}.text());
       EXPECT_EQ(status_of(next.read_message()), 200) << "after " << what << '\n' << d.program->log();
       if (!plan.fired()) break;  // a request makes no more of these calls
     }
--- a/tests/node/test_socket.h
+++ b/tests/node/test_socket.h
@@ -15,12 +15,12 @@
 namespace thymewood::node {
 
 using namespace std::chrono_literals;
-constexpr auto kPatience = 20s;  // for slow machines; only a failing test takes that long
+constexpr auto kMaxWait = 20s;  // for slow machines; only a failing test takes that long
 
-// Waits until the condition holds; false after kPatience.
+// Waits until the condition holds; false after kMaxWait.
 template <typename Condition>
 [[nodiscard]] bool eventually(Condition condition) {
-  const auto until = std::chrono::steady_clock::now() + kPatience;
+  const auto until = std::chrono::steady_clock::now() + kMaxWait;
   while (!condition()) {
     if (std::chrono::steady_clock::now() > until) return false;
     std::this_thread::sleep_for(2ms);
--- a/tests/node/wall_clock_test.cpp
+++ b/tests/node/wall_clock_test.cpp
@@ -23,7 +23,7 @@
   EXPECT_DOUBLE_EQ(start_times.started_at("a", kNow + kHour, {10, kNow}), 10);
 }
 
-// A wall clock that is an hour ahead must not make a server that has just started count as warm.
+// A wall clock that is an hour ahead must not make a server that has just started count as warmed up.
 TEST(StartTimes, StartMissingFromACurrentListIsRecent) {
   StartTimes start_times;
   start_times.set_list_current_until(99);
@@ -87,40 +87,41 @@
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
                        std::chrono::system_clock::now().time_since_epoch())
                        .count();
-  std::string out = member(name, address);
+  std::string out = endpoint_json(name, address);
   return out.replace(out.find("\"since_ms\":0"), 12, "\"since_ms\":" + std::to_string(now));
 }
 
-// A server that has just started gets few requests at first, whatever the node's wall clock says.
+// A server that has just started gets few requests at first, whatever the node's wall clock reads.
 TEST_P(WrongWallClock, LeavesANewServerWarmingUp) {
-  FakeServer warm(replies(200, "ok")), warming_up(replies(200, "ok"));
+  FakeServer warmed_up(replies(200, "ok")), warming_up(replies(200, "ok"));
   ConfigText text;
   text.rules = R"("askWithin":10.0,"startCapacity":0.1,"rampTime":60.0)";
-  Deployment d({&warm}, text, 0, in_child);
+  Deployment d({&warmed_up}, text, 0, in_child);
   int requests = 0;
   const auto status = [&] {
-    Wire client = d.client();
-    client.write(
-        Ask{.kind = "look", .id = "c" + std::to_string(++requests), .method = "GET", .body = ""}.text());
+    RawConnection client = d.client();
+    client.write(ClientRequest{
+        .request_class = "look", .id = "c" + std::to_string(++requests), .method = "GET", .body = ""}
+                     .text());
     return status_of(client.read_message());
   };
   for (int i = 0; i < 50; ++i) ASSERT_EQ(status(), 200);
-  d.discovery.say(list(8, false, endpoint_started_now("s1", warming_up.address())));
+  d.discovery.push(endpoint_list_json(8, false, endpoint_started_now("s1", warming_up.address())));
   ASSERT_TRUE(eventually([&] { return status() == 200 && d.program->logged("list_received") > 0; }));
-  const std::size_t before = warm.requests().size();
+  const std::size_t before = warmed_up.requests().size();
   for (int i = 0; i < 200; ++i) EXPECT_EQ(status(), 200);
-  const std::size_t to_warm = warm.requests().size() - before;
-  EXPECT_EQ(warming_up.requests().size() + to_warm, 200U);
+  const std::size_t to_warmed_up = warmed_up.requests().size() - before;
+  EXPECT_EQ(warming_up.requests().size() + to_warmed_up, 200U);
   EXPECT_LE(warming_up.requests().size(), 10U) << "it is warming up";
 }
 
 // Deadlines and the graceful shutdown, over a step of the wall clock.
 TEST_P(WrongWallClock, DoesNotAffectDurations) {
   step(0);
-  FakeServer hangs([](Wire&, const std::string&) { return true; });
+  FakeServer hangs([](RawConnection&, const std::string&) { return true; });
   Deployment d({&hangs}, {}, 0, in_child);
-  Wire client = d.client();
-  client.write(Ask{.id = "waits", .timeout = "1500"}.text());
+  RawConnection client = d.client();
+  client.write(ClientRequest{.id = "waits", .timeout = "1500"}.text());
   ASSERT_TRUE(eventually([&] { return hangs.requests().size() == 1; }));
   const auto start = Steady::now();
   step(GetParam());
--- a/tests/node/watch_test.cpp
+++ b/tests/node/watch_test.cpp
@@ -23,17 +23,18 @@
 // Objects may be indented, with blank lines before, between and behind them.
 TEST(EndpointLists, AcceptIndentedObjectsSplitOverChunks) {
   FakeServer server(replies(200, "ok"));
-  Deployment d({}, ConfigText{.known = list(1, true, "")});
+  Deployment d({}, ConfigText{.known = endpoint_list_json(1, true, "")});
   const std::string odd =
       R"({"name":"a}\"{[\\","address":"127.0.0.1:9","status":"draining","note":{"x":[1,{}]}})";
-  const std::string all = "\n\n" + indented(list(8, true, odd + "," + member("s0", server.address()))) +
-                          "\n\n" + indented(list(9, false, member("s1", server.address(), "draining")));
+  const std::string all =
+      "\n\n" + indented(endpoint_list_json(8, true, odd + "," + endpoint_json("s0", server.address()))) +
+      "\n\n" + indented(endpoint_list_json(9, false, endpoint_json("s1", server.address(), "draining")));
   for (std::size_t at = 0; at < all.size(); at += 7)
-    ASSERT_TRUE(d.discovery.say_raw(chunk(all.substr(at, 7))));
+    ASSERT_TRUE(d.discovery.push_bytes(chunk(all.substr(at, 7))));
   RequestSender requests(*d.program);
   EXPECT_TRUE(eventually([&] { return requests.status() == 200; }));
-  ASSERT_TRUE(d.discovery.say_raw(
-      chunk("\n" + indented(list(10, false, member("s0", server.address(), "draining"))))));
+  ASSERT_TRUE(d.discovery.push_bytes(chunk(
+      "\n" + indented(endpoint_list_json(10, false, endpoint_json("s0", server.address(), "draining"))))));
   EXPECT_TRUE(eventually([&] { return requests.status() == 503; }))
       << "an object is complete at its last brace, whether or not a line ends there";
   EXPECT_EQ(d.discovery.calls().size(), 1U) << d.program->log();
@@ -44,14 +45,15 @@
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   RequestSender requests(*d.program);
-  const std::string up = member("s0", server.address()), drain = member("s0", server.address(), "draining");
-  d.discovery.say(list(8, true, up + "," + drain));
+  const std::string up = endpoint_json("s0", server.address()),
+                    drain = endpoint_json("s0", server.address(), "draining");
+  d.discovery.push(endpoint_list_json(8, true, up + "," + drain));
   EXPECT_TRUE(eventually([&] { return requests.status() == 503; }));
-  d.discovery.say(list(9, true, drain + "," + up));
+  d.discovery.push(endpoint_list_json(9, true, drain + "," + up));
   EXPECT_TRUE(eventually([&] { return requests.status() == 200; }));
-  d.discovery.say(list(10, false, up) + list(11, false, drain));
+  d.discovery.push(endpoint_list_json(10, false, up) + endpoint_list_json(11, false, drain));
   EXPECT_TRUE(eventually([&] { return requests.status() == 503; }));
-  d.discovery.say(list(12, true, ""));
+  d.discovery.push(endpoint_list_json(12, true, ""));
   EXPECT_TRUE(eventually([&] { return server.listener().open() == 0; }));
   EXPECT_EQ(requests.status(), 503);
   EXPECT_EQ(d.discovery.calls().size(), 1U);
@@ -68,12 +70,12 @@
     FakeServer odd(replies(200, "odd")), other(replies(200, "other"));
     Deployment d({&odd, &other});
     RequestSender requests(*d.program);
-    const std::string nobody = R"({"status":"up"},7,{"name":"","address":"127.0.0.1:9","status":"up"})";
-    d.discovery.say(
-        list(8, false, unread + ("," + nobody) + "," + member("s1", other.address(), "draining")));
+    const std::string unnamed = R"({"status":"up"},7,{"name":"","address":"127.0.0.1:9","status":"up"})";
+    d.discovery.push(endpoint_list_json(
+        8, false, unread + ("," + unnamed) + "," + endpoint_json("s1", other.address(), "draining")));
     EXPECT_TRUE(eventually([&] { return requests.status() == 503; })) << unread;
     EXPECT_GE(d.program->logged("endpoints[0]: field '"), 1) << d.program->log();
-    d.discovery.say(list(9, false, member("s0", odd.address())));
+    d.discovery.push(endpoint_list_json(9, false, endpoint_json("s0", odd.address())));
     EXPECT_TRUE(eventually([&] { return body_of(requests.response()) == "odd"; })) << unread;
     EXPECT_EQ(d.discovery.calls().size(), 1U) << "the list need not be requested again";
   }
@@ -83,10 +85,10 @@
 TEST(EndpointLists, OlderChangeIsIgnored) {
   FakeServer drained(replies(200, "drained")), marker(replies(200, "marker"));
   Deployment d({&drained, &marker});
-  d.discovery.say(list(20, false, member("s0", drained.address(), "draining")));
+  d.discovery.push(endpoint_list_json(20, false, endpoint_json("s0", drained.address(), "draining")));
   ASSERT_TRUE(eventually([&] { return drained.listener().open() == 0; }));
-  d.discovery.say(list(19, false, member("s0", drained.address())));
-  d.discovery.say(list(21, false, member("s1", marker.address(), "draining")));
+  d.discovery.push(endpoint_list_json(19, false, endpoint_json("s0", drained.address())));
+  d.discovery.push(endpoint_list_json(21, false, endpoint_json("s1", marker.address(), "draining")));
   // Once the last of these has been read, no server is ready.
   RequestSender requests(*d.program);
   EXPECT_TRUE(eventually([&] { return requests.status() == 503; }));
@@ -98,16 +100,17 @@
 // A watch that breaks within an object: the object is ignored and requested again.
 TEST(EndpointLists, TruncatedObjectIsRequestedAgain) {
   FakeServer server(replies(200, "ok"));
-  const std::string change = list(8, false, member("s0", server.address(), "draining")) + "\n";
-  ScriptedDiscovery discovery([&](Wire& wire, int call) {
+  const std::string change =
+      endpoint_list_json(8, false, endpoint_json("s0", server.address(), "draining")) + "\n";
+  ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
     if (call == 0) {
-      wire.write(kWatchResponseHead + chunk(change.substr(0, change.size() / 2)));
+      connection.write(kWatchResponseHead + chunk(change.substr(0, change.size() / 2)));
       return;
     }
-    wire.write(kWatchResponseHead + chunk(change));
-    wire.read_rest();
+    connection.write(kWatchResponseHead + chunk(change));
+    connection.read_until_close();
   });
-  WatchingNode node(discovery, list(7, true, member("s0", server.address())));
+  WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
   EXPECT_TRUE(eventually([&] { return node.status() == 503; }));
   ASSERT_GE(discovery.calls().size(), 2U);
   EXPECT_NE(discovery.calls()[1].text.find("after=7 "), std::string::npos) << discovery.calls()[1].text;
@@ -118,17 +121,18 @@
   FakeServer server(replies(200, "ok"));
   for (const bool more : {true, false}) {
     std::atomic<bool> over = false;
-    const std::string drain = list(8, false, member("s0", server.address(), "draining")) + "\n";
-    ScriptedDiscovery discovery([&](Wire& wire, int call) {
-      wire.write(kWatchResponseHead + chunk(call == 0 ? drain.substr(0, 40) + "\n" : drain));
-      if (call == 0 && more) wire.write(chunk(drain + drain));
-      for (int i = 0; i < 200 && !over && wire.is_open(); ++i) {
-        if (!wire.write(chunk("\n"))) return;
+    const std::string drain =
+        endpoint_list_json(8, false, endpoint_json("s0", server.address(), "draining")) + "\n";
+    ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
+      connection.write(kWatchResponseHead + chunk(call == 0 ? drain.substr(0, 40) + "\n" : drain));
+      if (call == 0 && more) connection.write(chunk(drain + drain));
+      for (int i = 0; i < 200 && !over && connection.is_open(); ++i) {
+        if (!connection.write(chunk("\n"))) return;
         std::this_thread::sleep_for(100ms);
       }
     });
     {
-      WatchingNode node(discovery, list(7, true, member("s0", server.address())));
+      WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
       EXPECT_TRUE(eventually([&] { return node.status() == 503; })) << more;
       EXPECT_EQ(discovery.calls().size(), 2U);
       EXPECT_NE(discovery.calls()[1].text.find("after=7 "), std::string::npos);
@@ -143,15 +147,16 @@
 TEST(SilentWatch, SecondSilentConnectionIsReplacedInTime) {
   FakeServer server(replies(200, "ok"));
   std::atomic<bool> over = false;
-  ScriptedDiscovery discovery([&](Wire& wire, int call) {
-    if (call == 0) wire.write(kWatchResponseHead + chunk("\n"));
+  ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
+    if (call == 0) connection.write(kWatchResponseHead + chunk("\n"));
     if (call == 2)
-      wire.write(kWatchResponseHead +
-                 chunk(list(8, false, member("s0", server.address(), "draining")) + "\n"));
-    while (!over && wire.more()) {
+      connection.write(
+          kWatchResponseHead +
+          chunk(endpoint_list_json(8, false, endpoint_json("s0", server.address(), "draining")) + "\n"));
+    while (!over && connection.receive_more()) {
     }
   });
-  WatchingNode node(discovery, list(7, true, member("s0", server.address())));
+  WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
   ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= 3; }));
   const auto calls = discovery.calls();
   EXPECT_LT(seconds_between(calls[0].at, calls[2].at), 6.2);
@@ -165,38 +170,38 @@
   FakeServer server(replies(200, "ok"));
   constexpr int kDown = 4;
   std::mutex mutex;
-  Steady::time_point spoke;
-  ScriptedDiscovery discovery([&](Wire& wire, int call) {
+  Steady::time_point first_data;
+  ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
     if (call < kDown) {
-      wire.write(http_answer(503, ""));
+      connection.write(http_response(503, ""));
       return;
     }
     if (call == kDown) {
       const std::lock_guard lock(mutex);
-      spoke = Steady::now();
+      first_data = Steady::now();
     }
-    wire.write(kWatchResponseHead + chunk("\n"));
-    wire.read_rest();
+    connection.write(kWatchResponseHead + chunk("\n"));
+    connection.read_until_close();
   });
-  WatchingNode node(discovery, list(7, true, member("s0", server.address())));
+  WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
   ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= kDown + 2; }));
   const std::lock_guard lock(mutex);
-  EXPECT_LT(seconds_between(spoke, discovery.calls()[kDown + 1].at), 4);
+  EXPECT_LT(seconds_between(first_data, discovery.calls()[kDown + 1].at), 4);
 }
 
 // A watch falls silent, and an overloaded discovery rejects the next calls.
 TEST(SilentWatch, IsRetriedSeveralTimesBeforeChangesCountAsNotified) {
   FakeServer server(replies(200, "ok"));
   constexpr int kDown = 4;  // these fail first, so that the backoff has grown
-  ScriptedDiscovery discovery([&](Wire& wire, int call) {
+  ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
     if (call != kDown && call < kDown + 3) {
-      wire.write(http_answer(503, ""));
+      connection.write(http_response(503, ""));
       return;
     }
-    wire.write(kWatchResponseHead + chunk("\n"));
-    wire.read_rest();
+    connection.write(kWatchResponseHead + chunk("\n"));
+    connection.read_until_close();
   });
-  WatchingNode node(discovery, list(7, true, member("s0", server.address())));
+  WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
   ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= kDown + 4; }));
   const auto calls = discovery.calls();
   EXPECT_LT(seconds_between(calls[kDown].at, calls[kDown + 3].at), 6);
@@ -206,13 +211,15 @@
 // calls there fail and the backoff at the old address had grown.
 TEST(MovedWatch, IsRetriedSeveralTimesWithinFourSeconds) {
   FakeServer server(replies(200, "ok"));
-  ScriptedDiscovery old([](Wire& wire, int) { wire.write(http_answer(503, "")); });
-  WatchingNode node(old, list(7, true, member("s0", server.address())));
+  ScriptedDiscovery old([](RawConnection& connection, int) { connection.write(http_response(503, "")); });
+  WatchingNode node(old, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
   ASSERT_TRUE(eventually([&] { return old.calls().size() >= 4; }));
-  ScriptedDiscovery moved([&](Wire& wire, int call) {
+  ScriptedDiscovery moved([&](RawConnection& connection, int call) {
     if (call < 5) return;  // closed without a response
-    wire.write(kWatchResponseHead + chunk(list(3, true, member("s0", server.address(), "draining")) + "\n"));
-    wire.read_rest();
+    connection.write(
+        kWatchResponseHead +
+        chunk(endpoint_list_json(3, true, endpoint_json("s0", server.address(), "draining")) + "\n"));
+    connection.read_until_close();
   });
   ConfigText text = node.text;
   text.discovery = moved.address();
@@ -229,13 +236,13 @@
   FakeServer server(replies(200, "ok"));
   std::mutex mutex;
   std::vector<Steady::time_point> ended;
-  ScriptedDiscovery agent([&](Wire& wire, int call) {
-    wire.write(kWatchResponseHead + chunk("\n"));
-    if (call >= 5) wire.read_rest();
+  ScriptedDiscovery agent([&](RawConnection& connection, int call) {
+    connection.write(kWatchResponseHead + chunk("\n"));
+    if (call >= 5) connection.read_until_close();
     const std::lock_guard lock(mutex);
     ended.push_back(Steady::now());
   });
-  WatchingNode node(agent, list(7, true, member("s0", server.address())), "automatic");
+  WatchingNode node(agent, endpoint_list_json(7, true, endpoint_json("s0", server.address())), "automatic");
   ASSERT_TRUE(eventually([&] { return agent.calls().size() >= 6; }));
   const auto calls = agent.calls();
   EXPECT_LT(seconds_between(calls[0].at, calls[5].at), 1.5) << "five backoffs";
@@ -252,14 +259,15 @@
   bool in_time = false;
   for (int i = 0; i < kAttempts && !in_time; ++i) {
     Gate gate;
-    ScriptedDiscovery agent([&](Wire& wire, int) {
+    ScriptedDiscovery agent([&](RawConnection& connection, int) {
       if (!gate.wait()) return;
-      wire.write(kWatchResponseHead +
-                 chunk(list(8, true, member("s0", server.address(), "draining")) + "\n"));
-      wire.read_rest();
+      connection.write(
+          kWatchResponseHead +
+          chunk(endpoint_list_json(8, true, endpoint_json("s0", server.address(), "draining")) + "\n"));
+      connection.read_until_close();
     });
     ConfigText config;
-    config.known = list(7, true, member("s0", server.address()));
+    config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
     config.mode = "automatic";
     config.discovery = agent.address();
     Program program(config.text(), 0, false);
@@ -271,8 +279,8 @@
       start = looked;
       return false;
     }));
-    Wire client = Wire::to(program.port());
-    client.write(Ask{}.text());
+    RawConnection client = RawConnection::connect_to(program.port());
+    client.write(ClientRequest{}.text());
     // Long enough for the response to a request that is not deferred.
     pollfd response{client.fd(), POLLIN, 0};
     const bool is_early = ::poll(&response, 1, 50) > 0;
@@ -289,8 +297,8 @@
 // The agent is silent while discovery is down.
 TEST(PushedLists, NewProcessServesFromTheKnownListWhenTheAgentIsSilent) {
   FakeServer server(replies(200, "ok"));
-  ScriptedDiscovery agent([](Wire& wire, int) { wire.read_rest(); });
-  WatchingNode node(agent, list(7, true, member("s0", server.address())), "automatic");
+  ScriptedDiscovery agent([](RawConnection& connection, int) { connection.read_until_close(); });
+  WatchingNode node(agent, endpoint_list_json(7, true, endpoint_json("s0", server.address())), "automatic");
   const auto start = Steady::now();
   EXPECT_EQ(node.status(), 200);
   EXPECT_LT(seconds_since(start), 10) << "ready in time";
@@ -298,15 +306,15 @@
 
 TEST(PushedLists, RequestIsRejectedBeforeItsTimeoutWhenTheAgentIsSilent) {
   FakeServer server(replies(200, "ok"));
-  ScriptedDiscovery agent([](Wire& wire, int) { wire.read_rest(); });
+  ScriptedDiscovery agent([](RawConnection& connection, int) { connection.read_until_close(); });
   ConfigText config;
-  config.known = list(7, true, member("s0", server.address()));
+  config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   config.mode = "automatic";
   config.discovery = agent.address();
   Program program(config.text());
-  Wire client = Wire::to(program.port());
+  RawConnection client = RawConnection::connect_to(program.port());
   const auto start = Steady::now();
-  client.write(Ask{.id = "hasty", .timeout = "400"}.text());
+  client.write(ClientRequest{.id = "short_timeout", .timeout = "400"}.text());
   EXPECT_EQ(status_of(client.read_message()), 503) << "nothing was sent: the client may retry";
   EXPECT_LT(seconds_since(start), 0.45);
   EXPECT_EQ(server.requests().size(), 0U);
