--- a/tests/node/client_disconnect_test.cpp
+++ b/tests/node/client_disconnect_test.cpp
@@ -6,10 +6,6 @@
 namespace {
 
 constexpr auto kDisconnectGrace = 110ms;  // more than the 0.1 s
-void sleep_for(std::chrono::milliseconds duration) {
-  std::this_thread::sleep_for(duration);
-}  // the time under test
-
 enum class Disconnect { kCloses, kResets, kSendsMuchAhead };
 enum class TcpInfo { kAvailable, kUnavailable };
 
--- a/tests/node/handover_test.cpp
+++ b/tests/node/handover_test.cpp
@@ -5,10 +5,6 @@
 namespace thymewood::node {
 namespace {
 
-void sleep_for(std::chrono::milliseconds duration) {
-  std::this_thread::sleep_for(duration);
-}  // the time under test
-
 // The server's idle timeout begins with its response, not with the node's read of it, which is late in a node
 // that was suspended.
 TEST(IdleConnections, IdleTimeCountsFromTheArrivalOfTheResponse) {
--- a/tests/node/pause_test.cpp
+++ b/tests/node/pause_test.cpp
@@ -15,10 +15,6 @@
   ASSERT_TRUE(eventually([&] { return program.state() == 'T'; }));
 }
 
-void sleep_for(std::chrono::milliseconds duration) {
-  std::this_thread::sleep_for(duration);
-}  // the time under test
-
 int requests_named(FakeServer& server, const std::string& prefix) {
   int out = 0;
   for (const std::string& request : server.requests())
--- a/tests/node/test_socket.h
+++ b/tests/node/test_socket.h
@@ -28,6 +28,9 @@
   return true;
 }
 
+// Lets the time under test elapse.
+inline void sleep_for(std::chrono::milliseconds duration) { std::this_thread::sleep_for(duration); }
+
 // Owns a descriptor.
 class Fd {
  public:
