--- a/bench/model/actors.h
+++ b/bench/model/actors.h
@@ -1,5 +1,6 @@
 // Who takes part in a fleet's run, and how a scenario file names them: 'node:3', 'node:0-6', 'server:*',
-// 'node:70%' (so many, drawn by the run's seed), 'zone:1' (nodes and servers of it), 'discovery', 'callers'.
+// 'node:70%' (so many, drawn by the run's seed), 'zone:1' (nodes and servers of it), 'discovery',
+// "callers" (the clients).
 #pragma once
 
 #include <compare>
@@ -32,7 +33,7 @@
   int zone_of(const Actor& actor) const;  // -1: clients and discovery stand in none
 };
 
-// A few of the cast. Empty text stands for nobody.
+// Selects some of the actors. Empty text stands for none.
 struct Selector {
   enum class Kind { kNobody, kOne, kRange, kAll, kPart, kZone };
   Kind kind = Kind::kNobody;
@@ -42,7 +43,7 @@
 
   // Nothing, with `why` set, where the text is not one.
   static std::optional<Selector> parse(const std::string& text, std::string& why);
-  // Why it can't be met by this cast; empty where it can.
+  // Why no actor of this topology matches; empty where one does.
   std::string misfit(const Topology& topology) const;
   // In the order of their numbers. Takes of `random` with kPart alone.
   std::vector<Actor> pick(const Topology& topology, Random& random) const;
--- a/fleet_rig/plan/planner.cpp
+++ b/fleet_rig/plan/planner.cpp
@@ -79,7 +79,7 @@
   return out;
 }
 
-// What is over in the moment in which it begins: connections are reset once, a process is told to end once.
+// What is over in the moment in which it begins: connections are reset once, a process gets SIGTERM once.
 bool is_once(Fault::What what) {
   return what == Fault::What::kReset || what == Fault::What::kRestart || what == Fault::What::kHangup;
 }
@@ -89,10 +89,10 @@
 std::vector<Way> links_of(const Topology& topology) {
   std::vector<Way> out;
   const auto number = [](std::size_t i) { return static_cast<int>(i); };
-  const Actor callers{ActorKind::kClients, 0}, discovery{ActorKind::kDiscovery, 0};
+  const Actor clients{ActorKind::kClients, 0}, discovery{ActorKind::kDiscovery, 0};
   for (std::size_t n = 0; n < topology.node_zones.size(); ++n) {
     const Actor node{ActorKind::kNode, number(n)};
-    out.push_back({callers, node});
+    out.push_back({clients, node});
     out.push_back({node, discovery});
     for (std::size_t s = 0; s < topology.server_zones.size(); ++s)
       out.push_back({node, {ActorKind::kServer, number(s)}});
--- a/fleet_rig/run/main.cpp
+++ b/fleet_rig/run/main.cpp
@@ -191,10 +191,10 @@
   common(tables);
   tables->add_option("--against", choice.against, "the other program")->required()->check(CLI::ExistingFile);
   std::string history, scenario;
-  CLI::App* const judges = app.add_subcommand("judge", "judge a history again");
-  judges->add_option("history", history)->required()->check(CLI::ExistingFile);
-  judges->add_option("scenario", scenario)->required()->check(CLI::ExistingFile);
-  judges->add_option("--slack", choice.slack, "s by which a time limit may be missed");
+  CLI::App* const check_command = app.add_subcommand("judge", "judge a history again");
+  check_command->add_option("history", history)->required()->check(CLI::ExistingFile);
+  check_command->add_option("scenario", scenario)->required()->check(CLI::ExistingFile);
+  check_command->add_option("--slack", choice.slack, "s by which a time limit may be missed");
   std::size_t connections = 9900;  // each takes two descriptors of the relay's
   CLI::App* const cost = app.add_subcommand("relay-cost", "what a relay adds to a round trip");
   cost->add_option("--connections", connections, "held open meanwhile");
@@ -210,7 +210,7 @@
   if (soaks->parsed()) return soak(choice, first, last);
   if (runs->parsed()) return run(choice);
   if (tables->parsed()) return table(choice);
-  if (judges->parsed()) return check_file(history, scenario, choice.slack);
+  if (check_command->parsed()) return check_file(history, scenario, choice.slack);
   return print_relay_cost(connections);
 }
 
--- a/policy/balancer.cpp
+++ b/policy/balancer.cpp
@@ -187,8 +187,8 @@
 
   // ---- steps
 
-  // Whether the client gives up sooner than requests of its class are answered. Sent, such a request would be
-  // work for nothing and fail for good where it must not run twice; rejected, it may come back. Past the
+  // Whether the client times out sooner than requests of its class are answered. Sent, such a request would
+  // be work for nothing and fail for good where it must not run twice; rejected, it may come back. Past the
   // first tier the work of the tiers above is spent already.
   bool has_too_little_time(std::size_t request_class, double time_left) {
     return settings_.tier == 0 && latency_.is_too_short(request_class, time_left) &&
--- a/policy/concurrency_limit.cpp
+++ b/policy/concurrency_limit.cpp
@@ -40,8 +40,8 @@
 constexpr double kMaxReplicasForProof = 2;
 constexpr double kBusyFactor = 1.3;  // x the requests processed at once; below it servers are not crowded
 
-// s; by when an answer is worth its wait. Where late answers have value, a part of the time between objective
-// and timeout counts too; all of it would allow queues in which servers become slow.
+// s; by when an answer still justifies its wait. Where late answers have value, a part of the time between
+// objective and timeout counts too; all of it would allow queues in which servers become slow.
 double useful_latency(const RequestClass& c) {
   if (!(c.late_value > 0 && std::isfinite(c.client_timeout))) return c.latency_objective;
   return c.latency_objective +
--- a/policy/concurrency_probe.h
+++ b/policy/concurrency_probe.h
@@ -75,7 +75,7 @@
   static constexpr double kHalf = 0.5;           // x the requests in flight; the first limit that is probed
   static constexpr double kMinFactor = 0.1;      // x the requests in flight; the lowest one
   static constexpr double kUpFactor = 1.5;       // x the requests in flight; a higher one
-  static constexpr double kMinGain = 1.25;       // x the work of the baseline; worth a lower limit
+  static constexpr double kMinGain = 1.25;       // x the work of the baseline; enough to keep a lower limit
   static constexpr double kMaxLoss = 0.95;       // x the work of the baseline; a higher limit does no harm
   static constexpr double kCrowdMargin = 0.75;   // x the requests found to crowd; how near a limit may come
   static constexpr double kCrowdRetention = 60;  // s; for how long
--- a/tests/fleet_rig/model_test.cpp
+++ b/tests/fleet_rig/model_test.cpp
@@ -189,7 +189,7 @@
 }
 
 TEST(Planner, CutIsBidirectionalAndCutToIsOneWay) {
-  const Actor node{ActorKind::kNode, 0}, server{ActorKind::kServer, 3}, callers{ActorKind::kClients, 0};
+  const Actor node{ActorKind::kNode, 0}, server{ActorKind::kServer, 3}, clients{ActorKind::kClients, 0};
   const auto ways = [](const std::string& what, const std::string& to) {
     return plan(scenario_of("[[fault]]\nat = 1\nwhat = \"" + what + "\"\nwho = \"node:0\"\nto = \"" + to +
                             "\"\n"),
@@ -209,7 +209,7 @@
           .front()
           .ways;
   EXPECT_EQ(back, (std::vector<Way>{{server, node}})) << "the other way than it is dialled";
-  EXPECT_TRUE(has(ways("cut", ""), callers, node)) << "from everyone else";
+  EXPECT_TRUE(has(ways("cut", ""), clients, node)) << "from everyone else";
 }
 
 TEST(Planner, ZonePartitionLeavesLinksWithinTheZone) {
--- a/tests/fleet_rig/shim_test.cpp
+++ b/tests/fleet_rig/shim_test.cpp
@@ -52,9 +52,9 @@
   std::string ask(const std::string& word) {
     const std::string line = word + "\n";
     EXPECT_EQ(::write(to_, line.data(), line.size()), static_cast<ssize_t>(line.size()));
-    char room[256] = "";
-    EXPECT_NE(std::fgets(room, sizeof room, from_), nullptr);
-    std::string out = room;
+    char buffer[256] = "";
+    EXPECT_NE(std::fgets(buffer, sizeof buffer, from_), nullptr);
+    std::string out = buffer;
     return out.substr(0, out.find('\n'));
   }
   std::string failed(const std::string& word, int problem) { return word + " -1 " + std::to_string(problem); }
