--- a/bench/rig/load_generator.cpp
+++ b/bench/rig/load_generator.cpp
@@ -94,6 +94,7 @@
 
 // Uses an idle connection, or a new one. Where the node has closed an idle connection meanwhile, the request
 // has not been read, and goes on another.
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity)
 asio::awaitable<LoadGenerator::Ended> LoadGenerator::send(int replica, double due) {
   ++under_way_;
   Ended out;
--- a/bench/virtual/main.cpp
+++ b/bench/virtual/main.cpp
@@ -42,6 +42,7 @@
   }
 }
 
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity)
 int run(int argc, char** argv) {
   CLI::App app{"Plays scenarios in virtual time: the decision module against modelled servers."};
   PlayOptions options;
--- a/fleet_rig/actors/client_pool.cpp
+++ b/fleet_rig/actors/client_pool.cpp
@@ -136,6 +136,7 @@
 }
 
 // One thing that is wanted, with all its attempts.
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity)
 asio::awaitable<int> ClientPool::want(const bench::Flood* flood) {
   ++under_way_;
   const std::string first = "w" + std::to_string(++wants_);
--- a/fleet_rig/actors/http_client.cpp
+++ b/fleet_rig/actors/http_client.cpp
@@ -68,6 +68,7 @@
 
 }  // namespace
 
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity)
 asio::awaitable<ClientResponse> HttpClient::ask(ClientRequest call) {
   ClientResponse reply;
   const std::string text = text_of(call);
--- a/fleet_rig/history/figures.cpp
+++ b/fleet_rig/history/figures.cpp
@@ -57,6 +57,7 @@
 
 }  // namespace
 
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity)
 Figures figures_of(const History& history, const bench::Scenario& scenario) {
   Figures out;
   out.seconds.resize(static_cast<std::size_t>(std::ceil(scenario.seconds)));
--- a/fleet_rig/plan/planner.cpp
+++ b/fleet_rig/plan/planner.cpp
@@ -10,7 +10,6 @@
 using bench::ActorKind;
 using bench::Random;
 using bench::Scenario;
-using bench::Selector;
 using bench::Topology;
 
 bool is_of_links(Fault::What what) {
@@ -121,6 +120,7 @@
   return out;
 }
 
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity)
 std::vector<Step> plan(const Scenario& scenario, std::uint64_t seed) {
   const Topology topology = scenario.topology();
   std::vector<Step> out;
--- a/fleet_rig/run/node_config.cpp
+++ b/fleet_rig/run/node_config.cpp
@@ -38,6 +38,7 @@
   return c.dedup_scope == DedupScope::kAll ? "all" : c.dedup_scope == DedupScope::kZone ? "zone" : "cell";
 }
 
+// NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity)
 void settings(Writer& out, const bench::Scenario& s, const NodeParameters& node) {
   out.Key("settings");
   out.StartObject();
--- a/node/frontend.h
+++ b/node/frontend.h
@@ -20,7 +20,7 @@
 namespace thymewood::node {
 
 // Owns the listener and the sessions.
-class Frontend : private ConnectionAdmission, private SessionOwner {
+class Frontend final : private ConnectionAdmission, private SessionOwner {
  public:
   struct Limits {
     std::size_t max_connections = 0;  // beyond it, idle ones are closed, and new ones are rejected
--- a/node/upstream.h
+++ b/node/upstream.h
@@ -19,7 +19,7 @@
 class ConnectionPool;
 
 // Owns one connection pool for each endpoint.
-class Upstream : private ConnectionEvictor {
+class Upstream final : private ConnectionEvictor {
  public:
   using Limits = UpstreamLimits;
   using End = AttemptEnd;
