--- a/fleet_rig/mutations.py
+++ b/fleet_rig/mutations.py
@@ -55,6 +55,14 @@
         scenario='rolling',
         expected='one-final-answer',
     ),
+    NodeMutation(
+        name='exit_at_sigterm',
+        file='node/load_balancer_node.cpp',
+        original='frontend_.drain([this] {',
+        replacement='io_.stop();\n  static_cast<void>([this] {',
+        scenario='rolling',
+        expected='one-final-answer',
+    ),
     NodeMutation(
         name='draining_ignored',
         file='node/endpoint_list.cpp',
@@ -122,6 +130,14 @@
         scenario='paused',
         expected='abandoned',
     ),
+    NodeMutation(
+        name='disconnect_before_read_ignored',
+        file='node/client_session.cpp',
+        original='const SocketArrival arrival = read_socket_arrival(socket_.native_handle());',
+        replacement='const SocketArrival arrival{0, false, true};',
+        scenario='paused',
+        expected='abandoned',
+    ),
     NodeMutation(
         name='closed_without_response',
         file='node/client_listener.cpp',
