--- a/node/upstream_attempt.h
+++ b/node/upstream_attempt.h
@@ -21,6 +21,7 @@
 struct UpstreamConnection;
 
 // How an attempt ended.
+// NOLINTNEXTLINE(bugprone-exception-escape): Beast 1.74 has no noexcept move assignment.
 struct AttemptEnd {
   Outcome outcome = Outcome::kUnknown;
   HttpResponse response;  // only with kSuccess
