--- a/bench/model/scenario_fleet_tables.cpp
+++ b/bench/model/scenario_fleet_tables.cpp
@@ -7,7 +7,7 @@
 namespace thymewood::bench {
 namespace {
 
-const std::initializer_list<std::pair<const char*, Fault::What>> fault_words = {
+const std::initializer_list<std::pair<const char*, Fault::What>> kFaultWords = {
     {"kill", Fault::What::kKill},
     {"restart", Fault::What::kRestart},
     {"pause", Fault::What::kPause},
@@ -56,7 +56,7 @@
   Fault f;
   f.at = t.number("at", 0);
   f.lasts = t.number("lasts", f.lasts, 0, std::numeric_limits<double>::infinity());
-  f.what = t.one_of<Fault::What>("what", "kill", fault_words);
+  f.what = t.one_of<Fault::What>("what", "kill", kFaultWords);
   f.who = t.selector("who", is_of_discovery(f.what) ? "discovery" : "");
   f.to = t.selector("to", "");
   if (f.who.kind == Selector::Kind::kNobody) t.fail("'who' says whom it meets, such as 'node:3'");
--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -46,10 +46,10 @@
     # clang 14 can read coroutines of GCC 12's library, but has to be told that it can.
     export coroutines="--extra-arg=-D__cpp_impl_coroutine=201902L --extra-arg=-DBOOST_ASIO_HAS_CO_AWAIT=1
       --extra-arg=-DBOOST_ASIO_HAS_STD_COROUTINE=1"
-    # Side by side, for each file reads much of Boost. The path analyzer, which takes minutes on that, sees the packages without Boost;
-    # over the others the sanitizers stand in.
+    # Three side by side: as many as the sanitizers' check leaves idle. The path analyzer, which takes minutes on Boost, sees the packages
+    # without it; over the others the sanitizers stand in.
     sources | grep '\.cpp$' | grep -v '^tests/consumer/' |
-      xargs -P "$(nproc)" -I{} sh -c 'case {} in
+      xargs -P 3 -I{} sh -c 'case {} in
           bench/rig/*|fleet_rig/*|tests/bench/*|tests/fleet_rig/*) extra="--checks=-clang-analyzer-* $coroutines" ;;
           node/*|tests/*) extra=--checks=-clang-analyzer-* ;;
           *) extra= ;;
