--- a/policy/capacity.cpp
+++ b/policy/capacity.cpp
@@ -5,7 +5,7 @@
 namespace thymewood {
 namespace {
 
-constexpr double kWithinQuotaFactor = 1.3;  // x the limit, for requests within their tenant's quota
+constexpr double kWithinQuotaFactor = 1.3;  // multiple of the limit, for requests within their tenant's quota
 
 double limit_factor(const PendingRequest& request) { return request.within_quota ? kWithinQuotaFactor : 1; }
 
@@ -20,7 +20,7 @@
 
 bool Capacity::tier_has_capacity(double now, const PendingRequest& request, Random& random) const {
   if (!is_first_tier_) return true;
-  // The random fraction makes a fractional limit hold on average.
+  // Adding a random fraction enforces a fractional limit on average.
   return servers_.in_flight() + random.unit() < tier_limit(now) * limit_factor(request);
 }
 
--- a/policy/capacity.h
+++ b/policy/capacity.h
@@ -1,4 +1,4 @@
-// Whether a server, or the tier as one, can take one more request by the learned concurrency limit.
+// Checks requests against the concurrency limit of a server and of the whole tier.
 #pragma once
 
 #include "concurrency_limit.h"
@@ -12,20 +12,20 @@
 
 class Capacity {
  public:
-  // All must outlive it.
+  // All references must outlive this object.
   Capacity(const Settings& settings, const ConcurrencyLimit& limit, const ServerTable& servers,
            const Subset& subset)
       : is_first_tier_(settings.tier == 0), limit_(limit), servers_(servers), subset_(subset) {}
 
-  // Whether one more request would be answered well before its objective. A server without requests in flight
-  // has capacity for one, since each of many replicas sees but a part of its limit; one that has just
-  // rejected a request has none.
+  // Whether one more request would complete well within its latency objective. A server without requests in
+  // flight always has capacity for one, since with many replicas each replica's share of the limit may be
+  // below one request. A server that has just rejected a request has no capacity.
   bool server_has_capacity(double now, const PendingRequest& request, const Server& server) const;
-  // The same over all servers, which is measured more steadily. Past the first tier it is always true: a
+  // The same over all servers, where measurements are less noisy. Always true behind the first tier, since a
   // rejection there wastes the work of the tiers above.
   bool tier_has_capacity(double now, const PendingRequest& request, Random& random) const;
 
-  // Requests in flight over all servers beyond which requests are rejected.
+  // Number of requests in flight over all servers above which requests are rejected.
   double tier_limit(double now) const;
 
  private:
--- a/policy/concurrency_limit.h
+++ b/policy/concurrency_limit.h
@@ -1,9 +1,10 @@
-// How many requests may be in flight, learned from responses alone since no server announces it.
+// Adaptive concurrency limit: the number of requests that may be in flight. Servers do not announce their
+// capacity, so the limit is estimated from responses alone, by Little's law:
 //
-// limit = initial + (idle latency + allowed queueing time) x responses per second + variation
-//                                                    (Little's law; docs/design/learned-room.md)
+// limit = initial limit + (idle latency + allowed queueing time) x responses per second + headroom
 //
-// Nothing is rejected here. Times are seconds on the host's clock, durations seconds, limits are requests.
+// See docs/design/learned-room.md. This class only computes the limit; the caller rejects requests. Times are
+// seconds on the host's clock, durations are in seconds, limits are numbers of requests.
 #pragma once
 
 #include <vector>
@@ -19,34 +20,35 @@
 
 class ConcurrencyLimit {
  public:
-  // Goes by the classes' latency objectives, each bounded to 1 ms to 60 s.
+  // Uses the latency objective of each class, clamped to the range from 1 ms to 60 s.
   explicit ConcurrencyLimit(const std::vector<RequestClass>& classes);
 
-  // A request of a class was answered, with `in_flight` others still out. `server`: of that server alone.
+  // Records a response. `in_flight`: the other requests in flight. `server`: the throughput of the server
+  // that responded, which is updated too.
   void record_success(double now, std::size_t request_class, double elapsed, double in_flight,
                       double mean_latency, Throughput& server);
-  // A request was answered or has timed out.
+  // Records the latency of a request that completed or timed out.
   void record_latency(double now, std::size_t request_class, double elapsed);
-  // A request was rejected for lack of capacity. `may_probe`: lower limits may be probed now and then.
-  // `replicas`: that use the same server.
+  // Records that a request was rejected for lack of capacity. `may_probe`: whether lower limits may be
+  // probed. `replicas`: the number of replicas that use the same server.
   void record_rejection(double now, double in_flight, bool may_probe, double replicas);
-  // Other servers stand behind the limit from now on.
+  // Discards probe results; called when the set of servers has changed.
   void reset_probe() { probe_.reset(); }
 
-  // For one server, and for `servers` of them together, each used by `replicas` replicas and known for as
-  // long as `since`.
-  double server_limit(double now, const Throughput& server, double since, double replicas) const;
-  double tier_limit(double now, double servers, double since, double replicas) const;
-  // The bound that probing has put on the limit; infinite where none.
+  // The limit for one server, and for `servers` of them together. Each server is used by `replicas` replicas
+  // and has been known since `known_since`.
+  double server_limit(double now, const Throughput& server, double known_since, double replicas) const;
+  double tier_limit(double now, double servers, double known_since, double replicas) const;
+  // The upper bound on the limit found by probing; infinite if there is none.
   double probed_bound(double now) const { return probe_.bound(now); }
 
-  // 1 where responses are as quick as on an idle tier, 0 where they must have met a queue.
+  // 1 if responses are as fast as on an idle tier, 0 if they must have queued, and in between in proportion.
   double unqueued() const;
-  // s; of the present mix of requests on an idle tier.
+  // Latency of the current mix of request classes on an idle tier, in seconds.
   double idle_latency() const { return idle_latency_; }
-  // s; how long a request may queue.
+  // How long a request may queue, in seconds.
   double allowed_queueing() const { return allowed_queueing_; }
-  // Responses per second.
+  // Responses per second over the tier.
   double response_rate(double now) const { return tier_.steady_rate(now, response_time()); }
 
  private:
@@ -57,21 +59,22 @@
     double idle_latency() const { return idle.ratio() * latency_objective; }
   };
   double response_time() const { return idle_latency_ + allowed_queueing_; }
-  void update_mix(double now);
-  double by_responses(const Throughput& throughput, double now) const;
+  void update_class_mix(double now);
+  double limit_from_throughput(const Throughput& throughput, double now) const;
 
   std::vector<ClassState> classes_;
   Throughput tier_;
   ConcurrencyProbe probe_;
   double idle_latency_ = 0;
   double allowed_queueing_ = 0;
-  double next_update_at_ = 0;
-  bool reliable_ = false;           // whether idle_latency_ goes by responses without queues
-  bool probe_proves_idle_ = false;  // whether this replica's probes change the queues at its servers
+  double next_mix_update_at_ = 0;
+  bool idle_latency_is_reliable_ = false;  // whether idle_latency_ is based on responses without queueing
+  // Whether this replica's probes noticeably change the queues at its servers.
+  bool probe_affects_queue_ = false;
   double rejected_at_ = -ConcurrencyProbe::kNoBound;
-  Estimate objective_ratio_;  // latency now, over the latency objective
-  Estimate stretch_;          // latency now, over the idle latency
-  double latency_at_ = 0;     // when these two were updated
+  Estimate objective_ratio_;       // smoothed ratio of latency to latency objective
+  Estimate slowdown_;              // smoothed ratio of latency to idle latency
+  double latency_updated_at_ = 0;  // when objective_ratio_ and slowdown_ were last updated
 };
 
 }  // namespace thymewood
--- a/policy/concurrency_probe.h
+++ b/policy/concurrency_probe.h
@@ -1,12 +1,12 @@
-// Probes for a lower concurrency limit: while requests are rejected, would fewer in flight get more work
-// done?
+// Probes whether a lower concurrency limit would increase throughput while requests are being rejected.
 //
-// Servers that slow down when crowded announce it to nobody; behind a long queue they look like any busy
-// server. For a moment fewer requests are admitted, and the work done is compared with that of the moment
-// before. A curve of work over requests in flight would not do: it is observed while load, mix or a shared
-// dependency change, and attributes their effect to the crowd. In a probe only the requests in flight change.
+// Servers that slow down at high concurrency do not announce it, and behind a long queue they look like any
+// other busy server. A probe admits fewer requests for a short time and compares the work done with that of a
+// baseline measured just before. Fitting throughput to the number of requests in flight would not work: the
+// samples are taken while load, request mix or a shared dependency change, and their effect would be
+// attributed to concurrency. During a probe only the number of requests in flight changes.
 //
-// Nothing is rejected here. Times are seconds on the host's clock.
+// This class only computes the bound; the caller rejects requests. Times are seconds on the host's clock.
 #pragma once
 
 #include <algorithm>
@@ -20,146 +20,165 @@
  public:
   static constexpr double kNoBound = std::numeric_limits<double>::infinity();
 
-  // Requests in flight that are admitted at most. Without rejections the bound is lifted step by step.
+  // The maximum number of requests in flight. It grows exponentially while no request is rejected.
   double bound(double now) const {
     if (phase_ == Phase::kSettling || phase_ == Phase::kProbing) return probed_limit_;
-    return bound_ * std::exp(std::max(0.0, now - rejected_at_ - kRejectionPeriod) / kLiftTimeConstant);
+    return bound_ * std::exp(std::max(0.0, now - rejected_at_ - kRejectionPeriod) / kBoundGrowthTimeConstant);
   }
 
-  // A request was answered after `elapsed` s. `work`: s, what such requests need on an idle tier.
+  // Records a response that took `elapsed` s. `work`: latency of such requests on an idle tier, in seconds.
   void record_response(double now, double work, double in_flight, double mean_latency, double elapsed) {
-    work_ += work;
-    elapsed_ += elapsed;
-    responses_ += 1;
+    total_work_ += work;
+    total_elapsed_ += elapsed;
+    response_count_ += 1;
     if (phase_ == Phase::kIdle) return;
     if (now > rejected_at_ + kRejectionPeriod)
-      return pause(now, kMinPause);  // nothing is to be gained any more
-    // Where responses are few, a probe would hold requests back for minutes to learn nothing.
-    if (now > phase_started_at_ + kMaxPhase) return pause(now, next_pause());
+      return back_off(now, kMinBackoff);  // there is spare capacity, so a lower limit gains nothing
+    // With few responses a probe would limit requests for minutes without a usable result.
+    if (now > phase_started_at_ + kMaxPhase) return back_off(now, next_backoff());
     if (phase_ == Phase::kSettling) return settle(now, in_flight, mean_latency);
-    if (responses_ < kMinResponses || now - phase_started_at_ < kMinPhase) return;
-    const double rate = work_ / (now - phase_started_at_);
-    if (phase_ == Phase::kProbing) return conclude(now, rate);
-    baseline_rate_ = rate;
-    baseline_stretch_ = elapsed_ / work_;
+    if (response_count_ < kMinResponses || now - phase_started_at_ < kMinPhase) return;
+    const double work_rate = total_work_ / (now - phase_started_at_);
+    if (phase_ == Phase::kProbing) return conclude(now, work_rate);
+    baseline_work_rate_ = work_rate;
+    baseline_slowdown_ = total_elapsed_ / total_work_;
     settled_at_ = kNoBound;
-    enter(now, Phase::kSettling);
+    enter_phase(now, Phase::kSettling);
   }
 
-  // A request was rejected for lack of capacity. Limits below `min_limit` are not probed.
+  // Records that a request was rejected for lack of capacity. Limits below `min_limit` are not probed.
   void record_rejection(double now, double in_flight, double min_limit) {
     if (now > rejected_at_ + kRejectionPeriod) {
       bound_ = bound(now);
-      if (phase_ == Phase::kIdle) next_probe_at_ = std::max(next_probe_at_, now + kMinPause);
+      if (phase_ == Phase::kIdle) next_probe_at_ = std::max(next_probe_at_, now + kMinBackoff);
     }
     rejected_at_ = now;
     if (phase_ == Phase::kIdle && now >= next_probe_at_) start(now, in_flight, min_limit);
   }
 
-  // Whether a probe has just ended in which requests took as long with fewer in flight, so that they met no
-  // queue: by Little's law a queue would have become shorter by what was taken away.
-  bool take_unqueued_proof() { return std::exchange(proved_unqueued_, false); }
+  // Returns, once per probe, whether the last probe found that requests did not queue: latency stayed the
+  // same with fewer requests in flight, while by Little's law a queue would have become shorter by that
+  // number.
+  bool take_unqueued_result() { return std::exchange(unqueued_result_, false); }
 
-  // Other servers stand behind the limit from now on.
+  // Discards all results; called when the set of servers has changed.
   void reset() { *this = {}; }
 
  private:
   enum class Phase { kIdle, kBaseline, kSettling, kProbing };
-  static constexpr double kRejectionPeriod = 1;   // s without a rejection, after which there is capacity
-  static constexpr double kLiftTimeConstant = 5;  // s; how fast the bound rises then
-  static constexpr double kMinResponses = 400;    // in a measurement; its error is within a twentieth
-  static constexpr double kMaxPhase = 20;         // s; a phase that lasts longer is aborted
-  static constexpr double kMinPhase = 0.1;        // s
-  static constexpr double kMaxSettling = 3;  // x the mean latency; wait for the requests in flight to change
-  static constexpr double kNearTarget = 0.95;    // x the probed limit; near enough
-  static constexpr double kHalf = 0.5;           // x the requests in flight; the first limit that is probed
-  static constexpr double kMinFactor = 0.1;      // x the requests in flight; the lowest one
-  static constexpr double kUpFactor = 1.5;       // x the requests in flight; a higher one
-  static constexpr double kMinGain = 1.25;       // x the work of the baseline; enough to keep a lower limit
-  static constexpr double kMaxLoss = 0.95;       // x the work of the baseline; a higher limit does no harm
-  static constexpr double kCrowdMargin = 0.75;   // x the requests found to crowd; how near a limit may come
-  static constexpr double kCrowdRetention = 60;  // s; for how long
-  static constexpr double kSameStretch = 0.9;    // x the stretch of the baseline; no queue became shorter
-  static constexpr double kMinPause = 1;         // s between two probes, doubled while they fail
-  static constexpr double kMaxPause = 60;        // s
-
-  double next_pause() const { return std::min(kMaxPause, 2 * pause_); }
-
-  void enter(double now, Phase phase) {
+  // Seconds; after this long without a rejection there is spare capacity.
+  static constexpr double kRejectionPeriod = 1;
+  static constexpr double kBoundGrowthTimeConstant = 5;  // s; exponential growth of the bound from then on
+  static constexpr double kMinResponses = 400;  // in a measurement; keeps its error within a twentieth
+  static constexpr double kMaxPhase = 20;       // s; a phase that lasts longer is aborted
+  static constexpr double kMinPhase = 0.1;      // s
+  // Multiple of the mean latency; longest wait for in-flight requests to reach the target.
+  static constexpr double kMaxSettlingFactor = 3;
+  // Multiple of the probed limit; an upward probe counts as having reached it.
+  static constexpr double kTargetReachedFactor = 0.95;
+  // Multiple of the requests in flight; the first lower limit.
+  static constexpr double kInitialDownFactor = 0.5;
+  static constexpr double kMinDownFactor = 0.1;  // multiple of the requests in flight; the lowest limit
+  static constexpr double kUpFactor = 1.5;       // multiple of the requests in flight; the higher limit
+  // Multiple of the baseline work rate; required to keep a lower limit.
+  static constexpr double kMinThroughputGain = 1.25;
+  // Multiple of the baseline work rate; required to keep a higher limit.
+  static constexpr double kMinThroughputRetained = 0.95;
+  // Multiple of the requests in flight that caused overload; bounds upward probes.
+  static constexpr double kOverloadMargin = 0.75;
+  static constexpr double kOverloadRetention = 60;  // s; how long that bound applies
+  // Multiple of the baseline slowdown; above it no queue became shorter.
+  static constexpr double kUnchangedSlowdownFactor = 0.9;
+  static constexpr double kMinBackoff = 1;   // s between two probes, doubled after each unsuccessful probe
+  static constexpr double kMaxBackoff = 60;  // s
+
+  double next_backoff() const { return std::min(kMaxBackoff, 2 * backoff_); }
+
+  void enter_phase(double now, Phase phase) {
     phase_ = phase;
     phase_started_at_ = now;
-    work_ = responses_ = elapsed_ = 0;
+    total_work_ = response_count_ = total_elapsed_ = 0;
   }
 
-  void pause(double now, double duration) {
-    enter(now, Phase::kIdle);
-    pause_ = duration;
+  void back_off(double now, double duration) {
+    enter_phase(now, Phase::kIdle);
+    backoff_ = duration;
     next_probe_at_ = now + duration;
   }
 
   void start(double now, double in_flight, double min_limit) {
-    const bool up = bound_ < kNoBound && !next_is_down_;
-    next_is_down_ = up;
-    factor_ = up ? kUpFactor : factor_ / 2 < kMinFactor ? kHalf : factor_ / 2;
-    if (!up && factor_ * in_flight < min_limit) factor_ = kHalf;
-    probed_limit_ = factor_ * in_flight;
-    // A step up into a crowd costs more than it can gain, and servers may take long to recover.
-    if (up && now < crowded_until_)
-      probed_limit_ = std::min(probed_limit_, kCrowdMargin * crowded_in_flight_);
+    const bool is_upward = bound_ < kNoBound && !next_probe_is_down_;
+    next_probe_is_down_ = is_upward;
+    limit_factor_ = is_upward                            ? kUpFactor
+                    : limit_factor_ / 2 < kMinDownFactor ? kInitialDownFactor
+                                                         : limit_factor_ / 2;
+    if (!is_upward && limit_factor_ * in_flight < min_limit) limit_factor_ = kInitialDownFactor;
+    probed_limit_ = limit_factor_ * in_flight;
+    // Raising the limit into overload costs more than it can gain, and servers may take long to recover.
+    if (is_upward && now < overload_known_until_)
+      probed_limit_ = std::min(probed_limit_, kOverloadMargin * overloaded_in_flight_);
     initial_in_flight_ = in_flight;
-    if (probed_limit_ < min_limit || (up && probed_limit_ <= bound_)) {  // postponed, which is no failure
-      next_probe_at_ = now + kMinPause;
+    if (probed_limit_ < min_limit || (is_upward && probed_limit_ <= bound_)) {
+      // Not a failed probe: postponed without increasing the backoff.
+      next_probe_at_ = now + kMinBackoff;
       return;
     }
-    enter(now, Phase::kBaseline);
+    enter_phase(now, Phase::kBaseline);
   }
 
-  // Requests that met another number in flight are out for one latency after the last of them was admitted.
+  // Requests admitted at the previous concurrency complete about one mean latency after the last of them was
+  // admitted, so the measurement starts only then.
   void settle(double now, double in_flight, double mean_latency) {
-    const bool is_near = factor_ < 1 ? in_flight <= probed_limit_ : in_flight >= kNearTarget * probed_limit_;
-    if (settled_at_ == kNoBound && (is_near || now > phase_started_at_ + kMaxSettling * mean_latency))
+    const bool reached_target =
+        limit_factor_ < 1 ? in_flight <= probed_limit_ : in_flight >= kTargetReachedFactor * probed_limit_;
+    if (settled_at_ == kNoBound &&
+        (reached_target || now > phase_started_at_ + kMaxSettlingFactor * mean_latency))
       settled_at_ = now;
-    if (now >= settled_at_ + mean_latency) enter(now, Phase::kProbing);
+    if (now >= settled_at_ + mean_latency) enter_phase(now, Phase::kProbing);
   }
 
-  void conclude(double now, double rate) {
-    proved_unqueued_ = factor_ < 1 && elapsed_ / work_ > kSameStretch * baseline_stretch_;
-    const bool accepted = rate > (factor_ > 1 ? kMaxLoss : kMinGain) * baseline_rate_;
-    if (accepted) bound_ = probed_limit_;
-    if (accepted && factor_ < 1) {
-      crowded_in_flight_ =
-          now < crowded_until_ ? std::min(crowded_in_flight_, initial_in_flight_) : initial_in_flight_;
-      crowded_until_ = now + kCrowdRetention;
+  void conclude(double now, double work_rate) {
+    unqueued_result_ =
+        limit_factor_ < 1 && total_elapsed_ / total_work_ > kUnchangedSlowdownFactor * baseline_slowdown_;
+    const bool keep_limit =
+        work_rate > (limit_factor_ > 1 ? kMinThroughputRetained : kMinThroughputGain) * baseline_work_rate_;
+    if (keep_limit) bound_ = probed_limit_;
+    if (keep_limit && limit_factor_ < 1) {
+      overloaded_in_flight_ = now < overload_known_until_
+                                  ? std::min(overloaded_in_flight_, initial_in_flight_)
+                                  : initial_in_flight_;
+      overload_known_until_ = now + kOverloadRetention;
     }
-    // What has helped may help again; and a higher limit that did no harm at once may do so later.
-    next_is_down_ = accepted || factor_ > 1;
-    pause(now, accepted ? kMinPause : next_pause());
+    // After a lower limit has helped, an even lower one may help too. After an upward probe the next one goes
+    // down again, since a higher limit that is harmless at first may do harm later.
+    next_probe_is_down_ = keep_limit || limit_factor_ > 1;
+    back_off(now, keep_limit ? kMinBackoff : next_backoff());
   }
 
   Phase phase_ = Phase::kIdle;
   double phase_started_at_ = 0;
   double next_probe_at_ = 0;
-  double pause_ = kMinPause;
+  double backoff_ = kMinBackoff;
   double rejected_at_ = -kNoBound;
-  double settled_at_ = kNoBound;  // when the requests in flight had come to the probed limit
+  double settled_at_ = kNoBound;  // when the requests in flight reached the probed limit
 
-  // Sums of the present phase.
-  double work_ = 0;
-  double responses_ = 0;
-  double elapsed_ = 0;
+  // Sums over the current phase.
+  double total_work_ = 0;
+  double response_count_ = 0;
+  double total_elapsed_ = 0;
 
-  // Results of the baseline: work per second, latency over work.
-  double baseline_rate_ = 0;
-  double baseline_stretch_ = 0;
+  // Baseline measurements: work per second, latency over work.
+  double baseline_work_rate_ = 0;
+  double baseline_slowdown_ = 0;
 
-  double initial_in_flight_ = 0;  // as the probe began
-  double crowded_in_flight_ = 0;  // found to crowd the servers
-  double crowded_until_ = -kNoBound;
-  double factor_ = 1;  // the probed limit over the requests in flight as the probe began
+  double initial_in_flight_ = 0;             // at the start of the probe
+  double overloaded_in_flight_ = 0;          // fewest found to cause overload
+  double overload_known_until_ = -kNoBound;  // when overloaded_in_flight_ expires
+  double limit_factor_ = 1;  // ratio of the probed limit to the requests in flight at the start of the probe
   double probed_limit_ = kNoBound;
   double bound_ = kNoBound;
-  bool next_is_down_ = false;
-  bool proved_unqueued_ = false;
+  bool next_probe_is_down_ = false;
+  bool unqueued_result_ = false;
 };
 
 }  // namespace thymewood
--- a/policy/decaying_rate.h
+++ b/policy/decaying_rate.h
@@ -1,11 +1,11 @@
-// A rate of events whose past decays exponentially.
+// An event rate with exponential decay.
 #pragma once
 
 #include <cmath>
 
 namespace thymewood {
 
-// Events per second. The time constant may be given with each call, where it follows what is measured.
+// Events per second. The time constant can be passed with each call if it depends on measurements.
 class DecayingRate {
  public:
   explicit DecayingRate(double time_constant_s) : time_constant_s_(time_constant_s) {}
--- a/policy/estimate.h
+++ b/policy/estimate.h
@@ -1,4 +1,4 @@
-// An exponentially weighted mean with its mean deviation.
+// Exponentially weighted moving average and mean absolute deviation.
 #pragma once
 
 #include <algorithm>
@@ -6,13 +6,13 @@
 
 namespace thymewood {
 
-// The first samples have a larger weight, so that the initial guess is soon replaced.
+// The first samples have a larger weight, so that the initial value is replaced quickly.
 struct Estimate {
   double mean = 0;
   double deviation = 0;
   double samples = 0;
 
-  // `min_gain`: the weight of one sample once there are many.
+  // `min_gain`: the weight of one sample after many samples.
   void add(double value, double min_gain) {
     samples += 1;
     const double gain = std::max(min_gain, 1 / (samples + 1));
--- a/policy/idle_latency.cpp
+++ b/policy/idle_latency.cpp
@@ -5,33 +5,35 @@
 namespace thymewood {
 namespace {
 
-constexpr double kMaxUnconfirmed =
-    0.3;                             // of the objective; a start under load does not take its queue for idle
-constexpr double kMinSamples = 20;   // responses before the ratio counts as learned
-constexpr double kSettlingTime = 3;  // s; before it only the quickest requests have been answered
-constexpr double kGain = 0.02;       // weight of one response
-constexpr double kFallTime = 5;      // s; in which the ratio follows a quicker tier
-constexpr double kRiseTime = 60;     // s; the same for a slower one
-constexpr double kUnreliableRiseTime = 15;  // s; the same while no response without a queue was seen
+// Ratio of the objective; keeps queueing during a start under load out of the idle latency.
+constexpr double kMaxUnconfirmedRatio = 0.3;
+constexpr double kMinSamples = 20;          // responses before the first estimate
+constexpr double kInitialDelay = 3;         // s; until then only the fastest requests have completed
+constexpr double kGain = 0.02;              // weight of one response
+constexpr double kFallTime = 5;             // s; time constant when the tier gets faster
+constexpr double kRiseTime = 60;            // s; time constant when it gets slower
+constexpr double kUnreliableRiseTime = 15;  // s; the same until a response without queueing is seen
 
 }  // namespace
 
 void IdleLatency::add(double now, double ratio, bool queued) {
-  if (recent_.samples == 0) updated_at_ = now + kSettlingTime;
-  recent_.add(ratio, kGain);
-  if (now < updated_at_ || recent_.samples < kMinSamples) return;
+  if (average_ratio_.samples == 0) updated_at_ = now + kInitialDelay;
+  average_ratio_.add(ratio, kGain);
+  if (now < updated_at_ || average_ratio_.samples < kMinSamples) return;
   const double rise_time = reliable_ ? kRiseTime : kUnreliableRiseTime;
-  const double step = learned_ ? (now - updated_at_) / (recent_.mean < ratio_ ? kFallTime : rise_time) : 1;
-  const double max_ratio = std::max(confirmed_, queued && !learned_ ? kMaxUnderLoad : kMaxUnconfirmed);
-  ratio_ = std::min(ratio_ + (recent_.mean - ratio_) * std::min(1.0, step), max_ratio);
+  const double step =
+      learned_ ? (now - updated_at_) / (average_ratio_.mean < ratio_ ? kFallTime : rise_time) : 1;
+  const double max_ratio =
+      std::max(confirmed_ratio_, queued && !learned_ ? kMaxInitialUnderLoad : kMaxUnconfirmedRatio);
+  ratio_ = std::min(ratio_ + (average_ratio_.mean - ratio_) * std::min(1.0, step), max_ratio);
   reliable_ = reliable_ || !queued;
   learned_ = true;
   updated_at_ = now;
 }
 
 void IdleLatency::confirm_unqueued(double now) {
-  if (recent_.samples < kMinSamples || recent_.mean <= ratio_) return;
-  ratio_ = confirmed_ = recent_.mean;
+  if (average_ratio_.samples < kMinSamples || average_ratio_.mean <= ratio_) return;
+  ratio_ = confirmed_ratio_ = average_ratio_.mean;
   learned_ = reliable_ = true;
   updated_at_ = now;
 }
--- a/policy/throughput.h
+++ b/policy/throughput.h
@@ -1,4 +1,4 @@
-// How many responses a second come from a server or a tier, and how many requests it processes at once.
+// Response rate of a server or a tier, and the number of requests it processes concurrently.
 #pragma once
 
 #include "decaying_rate.h"
@@ -7,20 +7,21 @@
 
 class Throughput {
  public:
-  // `idle_latency`: s, without a queue; 0 where it is not known reliably. `response_time`: s, with the
-  // queueing that is allowed; the longer it is, the longer the rates are averaged.
+  // Records a response. `idle_latency`: latency without queueing, in seconds; 0 if not known reliably.
+  // `response_time`: latency including the allowed queueing time, in seconds; determines how long the rates
+  // are averaged.
   void add(double now, double idle_latency, double response_time);
 
-  // Responses per second: averaged, and following a rise within a few responses.
+  // Responses per second: a long-term average, and one that follows an increase within a few responses.
   double steady_rate(double now, double response_time) const;
   double fast_rate(double now, double response_time) const;
-  // Requests processed at once, at the most of late.
+  // Recent peak of the number of requests processed concurrently.
   double concurrency(double now) const;
 
  private:
-  static constexpr double kSteadyTimeConstant = 2;        // s, if two response times are not more
-  static constexpr double kProcessingTimeConstant = 10;   // s; of the rate that concurrency goes by
-  static constexpr double kConcurrencyTimeConstant = 60;  // s; how slowly a peak is forgotten
+  static constexpr double kSteadyTimeConstant = 2;  // s; minimum, used unless two response times are longer
+  static constexpr double kProcessingTimeConstant = 10;   // s; of the rate that concurrency is computed from
+  static constexpr double kConcurrencyTimeConstant = 60;  // s; decay of the peak
 
   DecayingRate steady_{kSteadyTimeConstant}, fast_{kSteadyTimeConstant}, slow_{kProcessingTimeConstant};
   double peak_concurrency_ = 0;
--- a/tests/policy/capacity_test.cpp
+++ b/tests/policy/capacity_test.cpp
@@ -1,4 +1,4 @@
-// How many requests may be in flight at a server and over the tier.
+// Limits on the requests in flight per server and over the whole tier.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -25,7 +25,8 @@
   EXPECT_LT(sent, 40);
 }
 
-// What each of many replicas takes for a small start is a crowd when all of them start together.
+// If each of many replicas used the whole initial limit, replicas that start together would overload the
+// servers.
 TEST(Capacity, SplitsTheInitialLimitBetweenReplicas) {
   std::map<std::string, int> in_flight;
   for (int index = 0; index < 8; ++index) {
@@ -42,29 +43,30 @@
   for (const auto& [address, requests] : in_flight) EXPECT_LE(requests, 16) << address;
 }
 
-// With many replicas a server's limit is a fraction of a request each.
+// With many replicas, the share of a server's limit at each replica is less than one request, so two requests
+// close together exceed it.
 TEST(Capacity, DoesNotRejectAFewRequestsByRandomVariation) {
   Settings s = settings_with_ample_quota();
   s.replica_count = 500;
   s.tenants = {{100000.0}};
   Replica replica(s);
   replica.at(0, endpoints(100));
-  std::map<int, std::string> open;  // by the step in which each ends
+  std::map<int, std::string> ids_by_end_step;  // keyed by the step in which the request ends
   int rejected = 0;
   for (int i = 0; i < 3000; ++i) {
     replica.now = 10 + i * 0.02;
-    if (open.count(i) != 0) replica.end(open[i], Outcome::kSuccess, 0, 0.4);
+    if (ids_by_end_step.count(i) != 0) replica.end(ids_by_end_step[i], Outcome::kSuccess, 0, 0.4);
     if (i % 25 > 1) continue;  // two requests close together, twice a second
     const std::string id = std::to_string(i);
     const auto actions = replica.request(id);
     rejected += static_cast<int>(all<Reject>(actions).size());
-    if (!all<Send>(actions).empty()) open[i + 20] = id;
+    if (!all<Send>(actions).empty()) ids_by_end_step[i + 20] = id;
   }
   EXPECT_EQ(rejected, 0);
 }
 
-// A rejection past the first tier throws away the work that was done above it.
-TEST(Capacity, RejectsNothingPastTheFirstTier) {
+// A rejection behind the first tier wastes the work that was done in the tiers above.
+TEST(Capacity, RejectsNothingBehindTheFirstTier) {
   Settings s = settings_with_ample_quota();
   s.tier = 1;
   Replica replica(s);
@@ -72,16 +74,16 @@
   for (int i = 0; i < 300; ++i) EXPECT_EQ(all<Send>(replica.request(std::to_string(i))).size(), 1U);
 }
 
-// Sends requests that no server answers until one is rejected; returns how many were sent.
-int fill(Replica& replica, const std::string& prefix) {
+// Sends requests that receive no response until one is rejected; returns the number sent.
+int send_until_rejected(Replica& replica, const std::string& prefix) {
   int sent = 0;
   while (!all<Send>(replica.request(prefix + std::to_string(sent))).empty()) ++sent;
   return sent;
 }
 
-// Past the first tier capacity is only preferred: a failing server with capacity must not come before a
-// healthy one without.
-TEST(Capacity, DoesNotPreferAFailingServerPastTheFirstTier) {
+// Behind the first tier, capacity is only preferred: a failing server with capacity must not be selected
+// before a healthy one without.
+TEST(Capacity, DoesNotPreferAFailingServerBehindTheFirstTier) {
   Settings s = settings_with_ample_quota();
   s.tier = 1;
   Replica replica(s);
@@ -91,61 +93,62 @@
     replica.now = i * 0.02;
     const std::string id = std::to_string(i);
     const auto sends = all<Send>(replica.request(id));
-    if (sends.empty() || sends[0].server != "s2") continue;  // the others do not answer
+    if (sends.empty() || sends[0].server != "s2") continue;  // the others do not respond
     to_failing += i >= 50 ? 1 : 0;
     replica.end(id, Outcome::kError);
   }
   EXPECT_LT(to_failing, 40);
 }
 
-// Summed over many replicas, what each needs for random variation is a crowd.
+// Summed over many replicas, the headroom for random variation would overload the servers.
 TEST(Capacity, AllowsForRandomVariationOnlyAtLowLatency) {
-  const auto in_flight = [](double answer) {
+  const auto in_flight = [](double latency) {
     Replica replica(settings_with_ample_quota());
     replica.at(0, endpoints(20));
     for (int i = 0; i < 200; ++i) {
       replica.now = i * 0.2;
       const std::string id = "a" + std::to_string(i);
       if (!all<Send>(replica.request(id)).empty())
-        replica.end(id, Outcome::kSuccess, 0, i < 100 ? 0.4 : answer);
+        replica.end(id, Outcome::kSuccess, 0, i < 100 ? 0.4 : latency);
     }
-    return fill(replica, "b");
+    return send_until_rejected(replica, "b");
   };
   EXPECT_GT(in_flight(0.4), in_flight(1.9));
 }
 
-// A limit rounded up to one request at each of many replicas is far above the limit over all of them.
-TEST(Capacity, LimitsACrowdToLessThanOneRequestPerReplica) {
+// If each of many replicas rounded its limit up to one request, the sum would far exceed the limit of the
+// tier.
+TEST(Capacity, LimitsToLessThanOneRequestPerReplicaUnderOverload) {
   Settings s = settings_with_ample_quota();
   s.replica_count = 500;
   s.tenants = {{1000000.0}};
   Replica replica(s);
   replica.at(0, endpoints(20));
-  const auto admitted = [&](double from, double answer) {
+  const auto count_admitted = [&](double from, double latency) {
     int sent = 0;
     for (int i = 0; i < 200; ++i) {
-      replica.now = from + i;  // one request at a time, too few to fill a rate of answers
+      replica.now = from + i;  // one request at a time, too few for a steady response rate
       const std::string id = std::to_string(replica.now);
       if (all<Send>(replica.request(id)).empty()) continue;
       ++sent;
-      replica.end(id, Outcome::kSuccess, 0, answer);
+      replica.end(id, Outcome::kSuccess, 0, latency);
     }
     return sent;
   };
-  EXPECT_EQ(admitted(0, 0.3), 200) << "at low latency random variation is allowed for";
-  const int crowded = admitted(1000, 1.9);
-  EXPECT_GT(crowded, 20) << "or the end of the crowd would not be seen";
-  EXPECT_LT(crowded, 190);
+  EXPECT_EQ(count_admitted(0, 0.3), 200) << "at low latency there is headroom for random variation";
+  const int admitted_under_overload = count_admitted(1000, 1.9);
+  EXPECT_GT(admitted_under_overload, 20) << "otherwise the end of the overload would go unnoticed";
+  EXPECT_LT(admitted_under_overload, 190);
 }
 
-// One server's fault must not be taken for a crowd at the tier.
+// A fault of one server must not be mistaken for an overload of the tier.
 TEST(Capacity, KeepsTheLimitOfOtherServersWhenOneSlowsDown) {
-  const auto limit_after = [](double slow_answer) {
+  const auto limit_after = [](double slow_latency) {
     Replica replica(settings_with_ample_quota());
     replica.at(0, endpoints(4));
     for (int i = 0; i < 800; ++i) {
       replica.now = i * 0.025;
-      const std::string id = "calm" + std::to_string(i);
+      const std::string id = "fast" + std::to_string(i);
       replica.request(id);
       replica.end(id, Outcome::kSuccess, 0, 0.2);
     }
@@ -154,14 +157,14 @@
       replica.now += 0.025;
       const std::string id = "slow" + std::to_string(i);
       const auto sends = all<Send>(replica.request(id));
-      if (!sends.empty()) replica.end(id, Outcome::kSuccess, 0, sends[0].server == "s0" ? slow_answer : 0.2);
+      if (!sends.empty()) replica.end(id, Outcome::kSuccess, 0, sends[0].server == "s0" ? slow_latency : 0.2);
     }
-    return 4 + fill(replica, "more");
+    return 4 + send_until_rejected(replica, "more");
   };
-  const int calm = limit_after(0.2);
-  const int crowded = limit_after(1.5);
-  EXPECT_GT(calm, 8);
-  EXPECT_GE(crowded, calm * 3 / 4);
+  const int limit_without_slowdown = limit_after(0.2);
+  const int limit_with_slow_server = limit_after(1.5);
+  EXPECT_GT(limit_without_slowdown, 8);
+  EXPECT_GE(limit_with_slow_server, limit_without_slowdown * 3 / 4);
 }
 
 }  // namespace
--- a/tests/policy/idle_latency_test.cpp
+++ b/tests/policy/idle_latency_test.cpp
@@ -1,4 +1,4 @@
-// The idle latency, learned from responses that may have met a queue.
+// Tests the idle latency estimated from responses to requests that may have queued.
 #include "idle_latency.h"
 
 #include <gtest/gtest.h>
@@ -6,9 +6,9 @@
 namespace thymewood {
 namespace {
 
-// Responses of one ratio of the objective, a hundred a second.
-void feed(IdleLatency& idle, double& now, double seconds, double part, bool queued) {
-  for (const double end = now + seconds; now < end; now += 0.01) idle.add(now, part, queued);
+// Adds 100 responses per second with a constant ratio of latency to objective.
+void add_responses(IdleLatency& idle, double& now, double seconds, double ratio, bool queued) {
+  for (const double end = now + seconds; now < end; now += 0.01) idle.add(now, ratio, queued);
 }
 
 TEST(IdleLatency, LearnsNothingInTheFirstSeconds) {
@@ -24,39 +24,40 @@
 TEST(IdleLatency, IsNotBoundedOnceConfirmed) {
   IdleLatency idle;
   double now = 0;
-  feed(idle, now, 5, 0.4, true);
+  add_responses(idle, now, 5, 0.4, true);
   ASSERT_LE(idle.ratio(), 0.3);
   idle.confirm_unqueued(now);
   EXPECT_TRUE(idle.is_reliable());
-  feed(idle, now, 20, 0.4, true);
-  EXPECT_NEAR(idle.ratio(), 0.4, 0.01) << "it stays";
-  feed(idle, now, 20, 0.1, true);
-  EXPECT_LT(idle.ratio(), 0.15) << "a quicker tier is followed as before";
+  add_responses(idle, now, 20, 0.4, true);
+  EXPECT_NEAR(idle.ratio(), 0.4, 0.01) << "the confirmed ratio is kept";
+  add_responses(idle, now, 20, 0.1, true);
+  EXPECT_LT(idle.ratio(), 0.15) << "the ratio still falls when the tier gets faster";
 }
 
-TEST(IdleLatency, FallsSoonAndRisesSlowly) {
+TEST(IdleLatency, FallsQuicklyAndRisesSlowly) {
   IdleLatency idle;
   double now = 0;
-  feed(idle, now, 5, 0.1, false);
+  add_responses(idle, now, 5, 0.1, false);
   ASSERT_NEAR(idle.ratio(), 0.1, 0.005);
-  feed(idle, now, 15, 0.2, false);
-  const double risen = idle.ratio();
-  EXPECT_GT(risen, 0.11);
-  EXPECT_LT(risen, 0.14);
-  feed(idle, now, 15, 0.05, false);
+  add_responses(idle, now, 15, 0.2, false);
+  const double raised = idle.ratio();
+  EXPECT_GT(raised, 0.11);
+  EXPECT_LT(raised, 0.14);
+  add_responses(idle, now, 15, 0.05, false);
   EXPECT_LT(idle.ratio(), 0.06);
 }
 
 TEST(IdleLatency, IsBoundedAfterAStartUnderRejections) {
-  IdleLatency queued, calm;
+  IdleLatency queued, unqueued;
   for (int i = 0; i < 320; ++i) {
     queued.add(i * 0.01, 0.6, true);
-    calm.add(i * 0.01, 0.6, false);
+    unqueued.add(i * 0.01, 0.6, false);
   }
   EXPECT_LE(queued.ratio(), 0.16);
   EXPECT_FALSE(queued.is_reliable());
-  EXPECT_DOUBLE_EQ(calm.ratio(), 0.3);  // never more: no queue is idle
-  // While it is unreliable it rises four times as fast: a slow tier would starve under the guess.
+  EXPECT_DOUBLE_EQ(unqueued.ratio(), 0.3);  // the bound that keeps queueing out of the idle latency
+  // An unreliable ratio rises four times as fast: on a slow tier, an initial value that is too low would
+  // otherwise keep rejecting requests for too long.
   for (int i = 320; i < 1800; ++i) queued.add(i * 0.01, 0.6, true);
   EXPECT_GT(queued.ratio(), 0.25);
 }
--- a/tests/policy/throughput_test.cpp
+++ b/tests/policy/throughput_test.cpp
@@ -1,4 +1,4 @@
-// Rates of responses, and requests processed at once.
+// Response rates and peak concurrency.
 #include "throughput.h"
 
 #include <gtest/gtest.h>
@@ -22,9 +22,9 @@
   for (int i = 1; i <= 60000; ++i) t.add(i * 0.001, 0.02, 0.1);
   EXPECT_NEAR(t.concurrency(60), 20, 1);
   EXPECT_NEAR(t.concurrency(120), 20 / std::exp(1), 1);
-  Throughput unsure;
-  for (int i = 1; i <= 1000; ++i) unsure.add(i * 0.001, 0, 0.1);
-  EXPECT_EQ(unsure.concurrency(1), 0);
+  Throughput unreliable;
+  for (int i = 1; i <= 1000; ++i) unreliable.add(i * 0.001, 0, 0.1);
+  EXPECT_EQ(unreliable.concurrency(1), 0);
 }
 
 }  // namespace
