--- a/policy/latency_statistics.cpp
+++ b/policy/latency_statistics.cpp
@@ -6,13 +6,13 @@
 namespace thymewood {
 namespace {
 
-constexpr double kGain = 0.05;               // weight of one attempt
-constexpr double kDeviations = 15;           // deviations over the mean, up to which an attempt is not late
-constexpr double kTailFactor = 1.5;          // x the longest attempt of late, likewise
-constexpr double kTailTimeConstant = 5;      // s
-constexpr double kTooShortFactor = 1;        // x the mean
-constexpr double kMinSamples = 20;           // attempts, before the mean replaces the first guess
-constexpr double kMaxInitialObjective = 60;  // s; bounds the first guess
+constexpr double kGain = 0.05;                // weight of one attempt
+constexpr double kUpperBoundDeviations = 15;  // mean deviations; an attempt within them is not late
+constexpr double kTailFactor = 1.5;           // multiple of the decaying maximum; likewise
+constexpr double kTailTimeConstant = 5;       // s
+constexpr double kTooShortFactor = 1;         // multiple of the mean
+constexpr double kMinSamples = 20;            // attempts before the mean is used for is_too_short()
+constexpr double kMaxInitialObjective = 60;   // s; bounds the initial mean
 
 }  // namespace
 
@@ -27,13 +27,13 @@
   ClassLatency& c = classes_[request_class];
   overall_.add(elapsed, kGain);
   c.latency.add(elapsed, kGain);
-  c.tail = std::max(elapsed, c.tail * std::exp((c.tail_at - now) / kTailTimeConstant));
-  c.tail_at = now;
+  c.tail = std::max(elapsed, c.tail * std::exp((c.tail_updated_at - now) / kTailTimeConstant));
+  c.tail_updated_at = now;
 }
 
 double LatencyStatistics::upper_bound(std::size_t request_class) const {
   const ClassLatency& c = classes_[request_class];
-  return std::max(c.latency.mean + kDeviations * c.latency.deviation, kTailFactor * c.tail);
+  return std::max(c.latency.mean + kUpperBoundDeviations * c.latency.deviation, kTailFactor * c.tail);
 }
 
 bool LatencyStatistics::is_too_short(std::size_t request_class, double time_left) const {
--- a/policy/latency_statistics.h
+++ b/policy/latency_statistics.h
@@ -1,4 +1,4 @@
-// How long attempts take, for each request class and over all of them.
+// Attempt latency, per request class and over all classes.
 #pragma once
 
 #include <vector>
@@ -10,26 +10,27 @@
 
 class LatencyStatistics {
  public:
-  // The first guesses come from the latency objectives of the classes.
+  // The initial means are derived from the latency objectives of the classes.
   explicit LatencyStatistics(const std::vector<RequestClass>& classes);
 
-  // An attempt was answered or has timed out.
+  // Records the latency of an attempt that completed or timed out.
   void record(double now, std::size_t request_class, double elapsed);
 
-  // s; the mean of a class, and of all classes.
+  // Mean latency of a class, and of all classes, in seconds.
   double mean(std::size_t request_class) const { return classes_[request_class].latency.mean; }
   double overall_mean() const { return overall_.mean; }
-  // s; an attempt that takes longer is clearly late.
+  // An attempt that takes longer than this, in seconds, is clearly late.
   double upper_bound(std::size_t request_class) const;
-  // Whether requests of the class usually take longer than `time_left`; false while few have been seen.
+  // Whether requests of the class usually take longer than `time_left`; false until enough were observed.
   bool is_too_short(std::size_t request_class, double time_left) const;
 
  private:
   struct ClassLatency {
     Estimate latency;  // s
-    // s; the longest of late, decaying: where few requests are slow, the mean deviation does not cover them.
+    // Maximum with exponential decay, in seconds: if only a few requests are slow, the mean deviation does
+    // not cover them.
     double tail = 0;
-    double tail_at = 0;
+    double tail_updated_at = 0;
   };
 
   std::vector<ClassLatency> classes_;
--- a/policy/outlier_detection.h
+++ b/policy/outlier_detection.h
@@ -1,7 +1,7 @@
-// Passive health of one server: whether it fails so often that it is ejected from selection.
+// Passive health checking of one server: a server that fails too often is ejected from selection.
 //
-// The average of failures decays with time, so that an ejected server receives requests again; it decays more
-// slowly after several failures in a row.
+// The failure average decays over time, so that an ejected server receives requests again. It decays more
+// slowly after consecutive failures.
 #pragma once
 
 #include <algorithm>
@@ -11,12 +11,12 @@
 
 class OutlierDetector {
  public:
-  // The average of failures, 0 to 1.
+  // Exponentially weighted failure average, 0 to 1.
   double failure_average(double now) const {
     if (average_ == 0) return 0;
     const double decayed =
         average_ * std::exp2((updated_at_ - now) / (kHalfLife * (1 + consecutive_failures_)));
-    return decayed < kNegligible ? 0 : decayed;
+    return decayed < kNegligibleAverage ? 0 : decayed;
   }
   bool is_ejected(double now) const { return failure_average(now) >= kEjectionThreshold; }
 
@@ -27,10 +27,11 @@
   }
 
  private:
-  static constexpr double kGain = 0.3;               // weight of one outcome
-  static constexpr double kHalfLife = 2;             // s, for each failure in a row and one more
+  static constexpr double kGain = 0.3;    // weight of one outcome
+  static constexpr double kHalfLife = 2;  // s; multiplied by the number of consecutive failures plus one
   static constexpr int kMaxConsecutiveFailures = 4;  // bounds the half-life
-  static constexpr double kNegligible = 0.05;        // counts as none, or a server would never recover fully
+  // Averages below count as 0; otherwise a server would never recover fully.
+  static constexpr double kNegligibleAverage = 0.05;
   static constexpr double kEjectionThreshold = 0.5;
 
   double average_ = 0;
--- a/policy/server_selector.h
+++ b/policy/server_selector.h
@@ -1,8 +1,8 @@
 // Server selection: the least loaded of a few random candidates.
 //
-// Candidates are the members of the subset that are healthy, were not tried for the request before and have
-// capacity. Where too few of the subset are usable, all servers become candidates; where no server is
-// healthy, the cause is shared and health does not count.
+// Candidates are the members of the subset that are not ejected, have not been tried for the request and have
+// capacity. If too few members of the subset are usable, all ready servers become candidates. If all servers
+// are ejected, they probably share a common cause, and ejection is ignored.
 #pragma once
 
 #include <optional>
@@ -20,7 +20,7 @@
 
 namespace thymewood {
 
-// What selection goes by; each part is owned by the balancer.
+// The state that selection is based on, owned by the balancer.
 struct SelectionInputs {
   const Settings& settings;
   const Subset& subset;
@@ -30,18 +30,18 @@
   const LatencyStatistics& latency;
 };
 
-// Owns the memory of the last selection and the pace at which unconfirmed servers are used.
+// Keeps the last selection and limits the rate at which unconfirmed servers are used.
 class ServerSelector {
  public:
-  // All must outlive the selector.
+  // All references must outlive the selector.
   ServerSelector(const SelectionInputs& inputs, ServerTable& servers, Random& random)
-      : in_(inputs), servers_(servers), random_(random) {}
+      : inputs_(inputs), servers_(servers), random_(random) {}
 
-  // The server for the request's next attempt, if any may be used.
+  // Returns the server for the request's next attempt, or nothing if none is usable.
   std::optional<std::size_t> select(double now, const PendingRequest& request);
 
  private:
-  // What a candidate has to fulfill beside what every one has to.
+  // Requirements that can be dropped when too few servers are usable.
   struct Requirements {
     bool not_ejected = true;
     bool not_tried = true;
@@ -53,7 +53,7 @@
   bool slow_start_allows(double now, Server& server) const;
   bool is_usable(double now, std::size_t index, const PendingRequest& request, const Requirements& required);
 
-  bool draw_candidates(double now, const PendingRequest& request);
+  bool sample_candidates(double now, const PendingRequest& request);
   bool collect_candidates(double now, const std::vector<std::size_t>& from, const PendingRequest& request,
                           const Requirements& required);
   bool find_candidates(double now, const PendingRequest& request);
@@ -63,7 +63,7 @@
   double relative_latency(double now, const Server& server) const;
   double load_score(double now, const Server& server) const;
 
-  SelectionInputs in_;
+  SelectionInputs inputs_;
   ServerTable& servers_;
   Random& random_;
   std::vector<std::size_t> candidates_;
--- a/policy/slow_start.cpp
+++ b/policy/slow_start.cpp
@@ -5,8 +5,9 @@
 namespace thymewood {
 namespace {
 
-constexpr double kBudgetFactor = 1;    // x a server's part of the traffic, times the capacity it has reached
-constexpr double kBurstSeconds = 0.1;  // s of a server's part of the traffic, beside one attempt
+// Multiple of a server's traffic share, scaled by the capacity it has reached.
+constexpr double kBudgetFactor = 1;
+constexpr double kBurstSeconds = 0.1;  // s of a server's traffic share; added to the burst of one attempt
 
 }  // namespace
 
@@ -18,11 +19,12 @@
 
 bool SlowStart::allows(double now, const Endpoint& endpoint, SlowStartBudget& budget,
                        double total_weight) const {
-  const double reached = capacity(now, endpoint);
-  if (reached >= 1) return true;
-  const double part = admitted_.at(now) * endpoint.weight / total_weight;
-  budget.tokens_ = std::min(1.0 + part * kBurstSeconds,
-                            budget.tokens_ + (now - budget.refilled_at_) * part * reached * kBudgetFactor);
+  const double reached_capacity = capacity(now, endpoint);
+  if (reached_capacity >= 1) return true;
+  const double traffic_share = admitted_rate_.at(now) * endpoint.weight / total_weight;
+  budget.tokens_ = std::min(
+      1.0 + traffic_share * kBurstSeconds,
+      budget.tokens_ + (now - budget.refilled_at_) * traffic_share * reached_capacity * kBudgetFactor);
   budget.refilled_at_ = now;
   return budget.tokens_ >= 1;
 }
--- a/policy/slow_start.h
+++ b/policy/slow_start.h
@@ -1,7 +1,7 @@
 // Slow start: a server that has just started receives traffic in proportion to the capacity it has reached.
 //
-// All replicas together can overload a server that is warming up. Each therefore spends no more on it than
-// the server's part of the replica's own traffic, scaled by the capacity that the server has reached.
+// All replicas together could overload a server that is warming up. Each replica therefore sends it no more
+// than the server's share of the replica's own traffic, scaled by the capacity that the server has reached.
 #pragma once
 
 #include "decaying_rate.h"
@@ -10,11 +10,12 @@
 
 namespace thymewood {
 
-// Token bucket of one server at this replica.
+// Per-server token bucket of this replica.
 class SlowStartBudget {
  public:
   SlowStartBudget() = default;
-  // Starts at a random level: replicas learn of a start at the same time and must not all send at once.
+  // Starts at a random level: replicas are notified of a new server at the same time and must not all send to
+  // it at once.
   SlowStartBudget(double now, Random& random) : tokens_(random.unit()), refilled_at_(now) {}
 
  private:
@@ -23,19 +24,19 @@
   double refilled_at_ = 0;
 };
 
-// Owns the rate of admitted requests, by which budgets are sized.
+// Tracks the rate of admitted requests, from which budgets are computed.
 class SlowStart {
  public:
   SlowStart(double min_capacity, double window) : min_capacity_(min_capacity), window_(window) {}
 
-  void request_admitted(double now) { admitted_.add(now); }
+  void request_admitted(double now) { admitted_rate_.add(now); }
 
-  // The part of its full capacity that a server has reached for certain, up to 1.
+  // The fraction of its full capacity that a server is certain to have reached, up to 1.
   double capacity(double now, const Endpoint& endpoint) const;
 
-  // Whether the budget allows one more attempt. `total_weight`: of all servers that are ready.
+  // Whether the budget allows one more attempt. `total_weight`: the sum over all ready servers.
   bool allows(double now, const Endpoint& endpoint, SlowStartBudget& budget, double total_weight) const;
-  // An attempt is sent.
+  // Takes a token for an attempt that is sent.
   void spend(double now, const Endpoint& endpoint, SlowStartBudget& budget) const;
 
  private:
@@ -43,7 +44,7 @@
 
   double min_capacity_;
   double window_;  // s
-  DecayingRate admitted_{kAdmittedTimeConstant};
+  DecayingRate admitted_rate_{kAdmittedTimeConstant};
 };
 
 }  // namespace thymewood
--- a/policy/subset.cpp
+++ b/policy/subset.cpp
@@ -6,19 +6,20 @@
 namespace thymewood {
 namespace {
 
-constexpr std::size_t kMinSize = 5;  // servers; enough to spread load over, with few connections
+// Servers; enough to spread load while keeping the number of connections low.
+constexpr std::size_t kMinSubsetSize = 5;
 
 }  // namespace
 
-// Starts are evenly spaced on the ring: any two servers differ by at most one in how many replicas use them,
-// and a server that leaves shifts each start by one position at most.
+// Segments start at evenly spaced ring positions: the numbers of replicas that use any two servers differ by
+// at most one, and removing a server shifts each start by at most one position.
 std::vector<std::size_t> subset_of(std::size_t replica_index, std::size_t replica_count, std::size_t servers,
                                    std::size_t size) {
-  std::vector<std::size_t> out;
-  if (servers == 0 || replica_count == 0) return out;
+  std::vector<std::size_t> subset;
+  if (servers == 0 || replica_count == 0) return subset;
   const std::size_t start = replica_index * servers / replica_count;
-  for (std::size_t i = 0; i < std::min(size, servers); ++i) out.push_back((start + i) % servers);
-  return out;
+  for (std::size_t i = 0; i < std::min(size, servers); ++i) subset.push_back((start + i) % servers);
+  return subset;
 }
 
 Subset::Subset(const Settings& settings)
@@ -32,17 +33,20 @@
   replica_index_ = replicas.rank;
   replica_count_ = replicas.live_count;
   max_replica_count_ = std::max(replicas.live_count, replicas.max_count);
-  coverage_ = replicas.is_settling ? kSettlingCoverage : kCoverage;
+  min_replicas_per_server_ =
+      replicas.is_settling ? kMinReplicasPerServerWhileSettling : kMinReplicasPerServer;
 }
 
-// The size grows where replicas are few: one of fixed size would leave servers without any replica.
-std::vector<std::size_t> Subset::own_part(const std::vector<std::size_t>& from) const {
+// The subset grows if there are few replicas: with a fixed size, some servers would be used by no replica.
+std::vector<std::size_t> Subset::own_subset(const std::vector<std::size_t>& from) const {
   const std::size_t index = static_cast<std::size_t>(replica_index_);
   const std::size_t count = static_cast<std::size_t>(replica_count_);
-  const std::size_t size = std::max(kMinSize, (coverage_ * from.size() + count - 1) / count);
-  std::vector<std::size_t> out;
-  for (const std::size_t position : subset_of(index, count, from.size(), size)) out.push_back(from[position]);
-  return out;
+  const std::size_t size =
+      std::max(kMinSubsetSize, (min_replicas_per_server_ * from.size() + count - 1) / count);
+  std::vector<std::size_t> subset;
+  for (const std::size_t position : subset_of(index, count, from.size(), size))
+    subset.push_back(from[position]);
+  return subset;
 }
 
 bool Subset::rebuild(ServerTable& servers) {
@@ -60,9 +64,9 @@
   });
   const auto first_remote = std::stable_partition(ready_.begin(), ready_.end(),
                                                   [&](std::size_t i) { return !is_remote(servers[i]); });
-  members_ = own_part({ready_.begin(), first_remote});
+  members_ = own_subset({ready_.begin(), first_remote});
   local_count_ = members_.size();
-  const std::vector<std::size_t> remote = own_part({first_remote, ready_.end()});
+  const std::vector<std::size_t> remote = own_subset({first_remote, ready_.end()});
   members_.insert(members_.end(), remote.begin(), remote.end());
   for (const std::size_t i : members_) servers[i].in_subset = true;
   replicas_per_server_ =
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -1,4 +1,4 @@
-// Passive health: servers that fail are ejected, and return.
+// Passive health checking: failing servers are ejected and later readmitted.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -8,48 +8,49 @@
 namespace thymewood {
 namespace {
 
-// Sends requests of which those to `outlier` end with `outcome`, after `elapsed`; counts the first attempts
-// at each server.
-std::map<std::string, int> play(Replica& replica, const std::string& outlier, Outcome outcome, double from,
-                                double seconds, double rate, const std::string& prefix,
-                                double elapsed = 0.1) {
-  std::map<std::string, int> firsts;
+// Sends requests; attempts at `outlier` end with `outcome` after `elapsed`, all others succeed. Returns the
+// number of first attempts at each server.
+std::map<std::string, int> run_requests(Replica& replica, const std::string& outlier, Outcome outcome,
+                                        double from, double seconds, double rate, const std::string& prefix,
+                                        double elapsed = 0.1) {
+  std::map<std::string, int> first_attempts;
   for (int i = 0; i < static_cast<int>(seconds * rate); ++i) {
     replica.now = from + i / rate;
     const std::string id = prefix + std::to_string(i);
     auto sends = all<Send>(replica.request(id));
-    if (!sends.empty()) ++firsts[sends[0].server];
+    if (!sends.empty()) ++first_attempts[sends[0].server];
     for (int attempt = 0; !sends.empty(); ++attempt) {
       const bool is_outlier = sends[0].server == outlier;
       sends = all<Send>(
           replica.end(id, is_outlier ? outcome : Outcome::kSuccess, attempt, is_outlier ? elapsed : 0.1));
     }
   }
-  return firsts;
+  return first_attempts;
 }
 
-// A server that fails at once has nothing in flight and looks the least loaded of all.
+// A server that fails immediately has no requests in flight and therefore looks the least loaded.
 TEST(OutlierDetector, EjectsAFastFailingServerAndReadmitsIt) {
   Replica replica(settings_with_ample_quota());
   replica.at(0, endpoints(6));
-  const auto ejected = play(replica, "s2", Outcome::kError, 0, 10, 50, "a");
+  const auto ejected = run_requests(replica, "s2", Outcome::kError, 0, 10, 50, "a");
   EXPECT_LT(ejected.at("s2"), 25);
-  const auto back = play(replica, "", Outcome::kSuccess, 10, 30, 50, "b");
-  EXPECT_GT(back.at("s2"), 100);
+  const auto readmitted = run_requests(replica, "", Outcome::kSuccess, 10, 30, 50, "b");
+  EXPECT_GT(readmitted.at("s2"), 100);
 }
 
-// Where client timeouts are shorter than responses take, all servers in turn would look like outliers.
+// If client timeouts are shorter than the usual latency, every server would look like an outlier.
 TEST(OutlierDetector, IgnoresTimeoutsShorterThanTheLatency) {
-  for (const bool early : {true, false}) {
+  for (const bool shorter_than_latency : {true, false}) {
     Replica replica(settings_with_ample_quota());
     replica.at(0, endpoints(4));
-    play(replica, "", Outcome::kSuccess, 0, 10, 50, "a");
-    auto firsts = play(replica, "s0", Outcome::kTimedOut, 10, 4, 50, "b", early ? 0.09 : 0.5);
-    EXPECT_EQ(firsts["s0"] + firsts["s1"] + firsts["s2"] + firsts["s3"], 200);
-    if (early) {
-      EXPECT_GT(firsts["s0"], 30) << "like any other";
+    run_requests(replica, "", Outcome::kSuccess, 0, 10, 50, "a");
+    auto first_attempts =
+        run_requests(replica, "s0", Outcome::kTimedOut, 10, 4, 50, "b", shorter_than_latency ? 0.09 : 0.5);
+    EXPECT_EQ(first_attempts["s0"] + first_attempts["s1"] + first_attempts["s2"] + first_attempts["s3"], 200);
+    if (shorter_than_latency) {
+      EXPECT_GT(first_attempts["s0"], 30) << "the server is used like any other";
     } else {
-      EXPECT_LT(firsts["s0"], 20) << "ejected";
+      EXPECT_LT(first_attempts["s0"], 20) << "ejected";
     }
   }
 }
--- a/tests/policy/server_selector_test.cpp
+++ b/tests/policy/server_selector_test.cpp
@@ -1,4 +1,4 @@
-// Which of the usable servers a request is sent to.
+// Tests which of the usable servers is selected for a request.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,7 +22,8 @@
   EXPECT_EQ(in_flight["s1"], 5);
 }
 
-// With about one request in flight at each replica, counts of requests in flight tie.
+// With about one request in flight at each replica, the numbers of requests in flight tie, so latency must
+// decide.
 TEST(ServerSelector, SendsLessToASlowServerAtLowLoad) {
   Replica replica(basic_settings());
   replica.at(0, endpoints(4));
@@ -36,10 +37,11 @@
     }
   }
   EXPECT_LT(used["s1"], used["s0"] / 2);
-  EXPECT_GT(used["s1"], 0) << "or its recovery would not be seen";
+  EXPECT_GT(used["s1"], 0) << "otherwise its recovery would go unnoticed";
 }
 
-// A server that has stopped answering looks like the others until its first request times out.
+// By its response latency alone, a server that has stopped responding looks like the others until its first
+// request times out.
 TEST(ServerSelector, AvoidsAServerWithAnOldUnansweredRequest) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     Replica replica(basic_settings(), seed);
@@ -49,52 +51,56 @@
       replica.request(std::to_string(i));
       replica.end(std::to_string(i), Outcome::kSuccess, 0, 0.2);
     }
-    const std::string silent = all<Send>(replica.request("old"))[0].server;
+    const std::string unresponsive = all<Send>(replica.request("old"))[0].server;
     replica.now += 1;  // five mean latencies
     for (int i = 0; i < 3; ++i) {
-      EXPECT_NE(all<Send>(replica.request("new" + std::to_string(i)))[0].server, silent)
+      EXPECT_NE(all<Send>(replica.request("new" + std::to_string(i)))[0].server, unresponsive)
           << "several recent requests weigh less than one old one";
     }
   }
 }
 
-// A zone with more traffic than its own servers can process would queue while its neighbour idles.
+// Without cross-zone requests, a zone with more traffic than its servers can process would queue requests
+// while the servers of the neighboring zone are idle.
 TEST(ServerSelector, CrossesZonesOnlyWhenTheLocalZoneIsBusy) {
-  const auto away = [](double answer_at_home, double price = 0.01) {
+  const auto count_cross_zone_requests = [](double local_latency, double cross_zone_cost = 0.01) {
     Settings s = basic_settings();
-    s.cross_zone_cost = price;
+    s.cross_zone_cost = cross_zone_cost;
     Replica replica(s);
-    EndpointUpdate m;
-    for (int i = 0; i < 8; ++i) m.endpoints.push_back(server(i, i % 2));
-    replica.at(0, m);
-    int out = 0;
-    std::multimap<int, std::pair<std::string, double>> open;  // by the step in which each ends
+    EndpointUpdate update;
+    for (int i = 0; i < 8; ++i) update.endpoints.push_back(server(i, i % 2));
+    replica.at(0, update);
+    int cross_zone_requests = 0;
+    // Keyed by the step in which the request ends.
+    std::multimap<int, std::pair<std::string, double>> open_requests;
     for (int i = 0; i < 600; ++i) {
       replica.now = i * 0.05;
-      for (auto it = open.begin(); it != open.end() && it->first <= i; it = open.erase(it)) {
+      for (auto it = open_requests.begin(); it != open_requests.end() && it->first <= i;
+           it = open_requests.erase(it)) {
         replica.end(it->second.first, Outcome::kSuccess, 0, it->second.second);
       }
       const std::string id = std::to_string(i);
       for (const Send& send : all<Send>(replica.request(id))) {
-        const bool home = (send.server.back() - '0') % 2 == 0;
-        const double answer = home ? answer_at_home : 0.1;
-        out += home ? 0 : 1;
-        open.insert({i + static_cast<int>(answer / 0.05), {id, answer}});
+        const bool is_local = (send.server.back() - '0') % 2 == 0;
+        const double latency = is_local ? local_latency : 0.1;
+        cross_zone_requests += is_local ? 0 : 1;
+        open_requests.insert({i + static_cast<int>(latency / 0.05), {id, latency}});
       }
     }
-    return out;
+    return cross_zone_requests;
   };
-  EXPECT_LT(away(0.05), 30);
-  EXPECT_GT(away(1.0), 120);
-  EXPECT_LT(away(0.2, 0.04), away(0.2, 0.001) / 2) << "a higher cross-zone cost must weigh more";
+  EXPECT_LT(count_cross_zone_requests(0.05), 30);
+  EXPECT_GT(count_cross_zone_requests(1.0), 120);
+  EXPECT_LT(count_cross_zone_requests(0.2, 0.04), count_cross_zone_requests(0.2, 0.001) / 2)
+      << "a higher cross-zone cost must weigh more";
 }
 
-// Seconds to send a request and process its response among so many servers.
+// Returns the time to send a request and process its response with this number of servers, in seconds.
 double seconds_per_request(int servers) {
   Replica replica(basic_settings());
   replica.at(0, endpoints(servers));
   double best = 1;
-  for (int round = 0; round < 5; ++round) {  // the best of several, since the machine may be busy
+  for (int round = 0; round < 5; ++round) {  // minimum of several rounds, since the machine may be busy
     constexpr int kRequests = 2000;
     const auto begin = std::chrono::steady_clock::now();
     for (int i = 0; i < kRequests; ++i) {
@@ -102,32 +108,33 @@
       replica.request("r");
       replica.end("r", Outcome::kSuccess, 0, 0.005);
     }
-    const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begin;
-    best = std::min(best, took.count() / kRequests);
+    const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - begin;
+    best = std::min(best, elapsed.count() / kRequests);
   }
   return best;
 }
 
 TEST(ServerSelector, CostsAboutTheSameWithAThousandServersAsWithTen) {
-  EXPECT_LT(seconds_per_request(1000), 8 * seconds_per_request(10)) << "about the same; a wide margin";
+  EXPECT_LT(seconds_per_request(1000), 8 * seconds_per_request(10)) << "about the same, with a wide margin";
 }
 
-// Here the other server of a cell of two, which alone deduplicates a request that may have run.
+// Only the other server of the same two-server cell deduplicates a request that may have run, so only it can
+// be used for the retry.
 TEST(ServerSelector, FindsTheOnlyUsableServerAmongMany) {
-  EndpointUpdate many;
-  for (int i = 0; i < 400; ++i) many.endpoints.push_back(server(i, 0, i / 2));
+  EndpointUpdate update;
+  for (int i = 0; i < 400; ++i) update.endpoints.push_back(server(i, 0, i / 2));
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Replica replica(basic_settings(class_of(Idempotency::kIdempotentWithKey, DedupScope::kCell)), seed);
-    replica.at(0, many);
+    replica.at(0, update);
     const auto first = all<Send>(replica.request("r"));
     ASSERT_EQ(first.size(), 1U);
-    const auto again = all<Send>(replica.end("r", Outcome::kReset));
-    ASSERT_EQ(again.size(), 1U) << "seed " << seed;
-    EXPECT_EQ(std::stoi(again[0].server.substr(1)) ^ 1, std::stoi(first[0].server.substr(1)));
+    const auto retry = all<Send>(replica.end("r", Outcome::kReset));
+    ASSERT_EQ(retry.size(), 1U) << "seed " << seed;
+    EXPECT_EQ(std::stoi(retry[0].server.substr(1)) ^ 1, std::stoi(first[0].server.substr(1)));
   }
 }
 
-// What a saturated server rejects goes to the others, however much it is.
+// All requests that a saturated server rejects go to the other servers, however many there are.
 TEST(ServerSelector, SkipsASaturatedServerUntilARequestMayHaveEnded) {
   Settings s = settings_with_ample_quota();
   s.classes = {class_of(Idempotency::kNotIdempotent)};
@@ -136,18 +143,19 @@
   long rejected = 0;
   for (int i = 0; i < 200; ++i) {
     replica.now = i * 0.005;
-    const auto tried = run_to_end(replica, std::to_string(i), [](const std::string& server) {
+    const auto servers_tried = run_to_end(replica, std::to_string(i), [](const std::string& server) {
       return server == "s0" ? Outcome::kRejected : Outcome::kSuccess;
     });
-    ASSERT_FALSE(tried.empty());
-    EXPECT_NE(tried.back(), "s0") << "three servers are idle";
-    rejected += std::count(tried.begin(), tried.end(), "s0");
+    ASSERT_FALSE(servers_tried.empty());
+    EXPECT_NE(servers_tried.back(), "s0") << "three servers are idle";
+    rejected += std::count(servers_tried.begin(), servers_tried.end(), "s0");
   }
-  EXPECT_GE(rejected, 2) << "it gets requests again";
-  EXPECT_LE(rejected, 25) << "in 1 s, at 50 ms for an answer; its part would be 50 and more";
+  EXPECT_GE(rejected, 2) << "it receives requests again";
+  EXPECT_LE(rejected, 25) << "within 1 s, at a latency of 50 ms; its even share would be 50 or more";
 }
 
-// Retries of rejected requests are free, and all servers may be saturated.
+// Retries of rejected requests do not consume the retry budget, so they must be limited when all servers are
+// saturated.
 TEST(ServerSelector, SendsFewRequestsWhereAllServersAreSaturated) {
   Replica replica(settings_with_ample_quota());
   replica.at(0, endpoints(4));
@@ -157,7 +165,7 @@
     sent +=
         run_to_end(replica, std::to_string(i), [](const std::string&) { return Outcome::kRejected; }).size();
   }
-  EXPECT_LE(sent, 4U * 20) << "each gets a request now and then, not for each of 500";
+  EXPECT_LE(sent, 4U * 20) << "each server receives an occasional request, not one for each of the 500";
 }
 
 }  // namespace
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,7 +1,7 @@
-// Servers that have just started: what all nodes together send to one of them stays within its budget in
-// every window of the given length, whatever the number of nodes and whatever fails beside it, also where
-// nodes start meanwhile, are configured with a wrong number of nodes, or the server starts twice. In virtual
-// time, over a thousand seeds.
+// Slow start: the requests that all nodes together send to a server that has just started must stay within
+// its budget in every window of the given length. Covers different numbers of nodes, failures of other
+// servers, nodes that start in the meantime or are configured with a wrong number of nodes, and a server that
+// starts twice. Runs in virtual time with over a thousand seeds.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,25 +16,25 @@
 
 struct Deployment {
   const char* name;
-  double slow_start_min_capacity, slow_start_window;  // of the settings
-  double multiple, window;                            // x its capacity at that moment, s
+  double slow_start_min_capacity, slow_start_window;  // see Settings
+  double budget_factor, window;                       // times the capacity at that moment; s
 };
 constexpr Deployment kDeployments[] = {{"default", 0.32, 9, 4, 1},
                                        {"long_window", 0.3, 6, 2.5, 3},
                                        {"strict", 0.4, 8, 2, 1.5},
                                        {"low_start", 0.14, 24, 3, 0.8}};
 constexpr int kNodeCounts[] = {1, 2, 3, 12, 60, 300};
-constexpr int kSeedsEach = 42;  // x 4 deployments x 6 counts: 1,008
+constexpr int kSeedsPerCase = 42;  // x 4 deployments x 6 node counts: 1,008
 
 constexpr int kServers = 10;
 constexpr double kCapacity = 20;  // requests per second of a server past its slow start
-constexpr double kLoad = 0.8;     // of all capacity
+constexpr double kLoad = 0.8;     // fraction of the total capacity
 constexpr double kFirstStart = 4, kSecondStart = 7, kEnd = 13;  // s
 
-// The random variation that the protocol allows.
-double allowed(double mean) {
-  constexpr double kFew = 30;
-  return mean < kFew ? mean + 3 * std::sqrt(mean) + 3 : mean + 2 * std::sqrt(mean) + 2;
+// The maximum count for a mean, with the random variation that the protocol allows.
+double allowed_count(double mean) {
+  constexpr double kSmallMean = 30;
+  return mean < kSmallMean ? mean + 3 * std::sqrt(mean) + 3 : mean + 2 * std::sqrt(mean) + 2;
 }
 
 class SlowStartRun {
@@ -52,8 +52,8 @@
     failing_servers_ = static_cast<int>(rng_() % kServers);
   }
 
-  // The largest number of sends in a window, in parts of what is allowed there.
-  double play() {
+  // Returns the maximum, over all windows, of the number of sends divided by the allowed number.
+  double run() {
     std::vector<double> notified_at(nodes_.size()), notified_again_at(nodes_.size());
     for (double& t : notified_at) t = kFirstStart + 0.3 + unit();
     for (double& t : notified_again_at) t = kSecondStart + 0.3 + unit();
@@ -71,7 +71,7 @@
       }
       request(rng_() % nodes_.size(), now);
     }
-    return worst();
+    return max_ratio();
   }
 
  private:
@@ -80,36 +80,36 @@
   std::unique_ptr<Replica> start_node(int number, double now) {
     Settings s = settings_;
     s.replica_index = number;
-    const int wrong = static_cast<int>(rng_() % 4);
-    if (wrong == 1) s.replica_count = std::max(number + 1, s.replica_count / 2);
-    if (wrong == 2) s.replica_count *= 2;
-    auto out = std::make_unique<Replica>(s, seed_ * 1000 + static_cast<std::uint64_t>(number) + 1);
-    EndpointUpdate all = endpoints(kServers);
-    if (now > kFirstStart) all.endpoints[0].started_at = kFirstStart;
-    if (started_twice_ && now > kSecondStart) all.endpoints[0].started_at = kSecondStart;
-    out->at(now, all);
-    return out;
+    const int replica_count_error = static_cast<int>(rng_() % 4);
+    if (replica_count_error == 1) s.replica_count = std::max(number + 1, s.replica_count / 2);
+    if (replica_count_error == 2) s.replica_count *= 2;
+    auto replica = std::make_unique<Replica>(s, seed_ * 1000 + static_cast<std::uint64_t>(number) + 1);
+    EndpointUpdate update = endpoints(kServers);
+    if (now > kFirstStart) update.endpoints[0].started_at = kFirstStart;
+    if (started_twice_ && now > kSecondStart) update.endpoints[0].started_at = kSecondStart;
+    replica->at(now, update);
+    return replica;
   }
 
-  void notify(std::size_t node, double now, double started, double& when) {
-    when = kEnd + 1;
-    EndpointUpdate change;
-    change.form = EndpointUpdate::Form::kDelta;
-    change.endpoints = {server(0)};
-    change.endpoints[0].started_at = started;
-    nodes_[node]->at(now, change);
+  void notify(std::size_t node, double now, double started, double& notify_at) {
+    notify_at = kEnd + 1;
+    EndpointUpdate update;
+    update.form = EndpointUpdate::Form::kDelta;
+    update.endpoints = {server(0)};
+    update.endpoints[0].started_at = started;
+    nodes_[node]->at(now, update);
   }
 
-  // Of the other servers up to all nine reject or fail, so that their requests are retried elsewhere.
+  // Up to nine of the other servers reject or fail requests, so that these are retried elsewhere.
   void request(std::size_t node, double now) {
     Replica& replica = *nodes_[node];
     replica.now = now;
     const std::string id = std::to_string(++requests_);
     auto sends = all<Send>(replica.request(id));
     for (int attempt = 0; !sends.empty(); ++attempt) {
-      const std::string to = sends[0].server;
-      if (to == "s0") sent_.push_back(now);
-      const int number = std::stoi(to.substr(1));
+      const std::string address = sends[0].server;
+      if (address == "s0") sent_.push_back(now);
+      const int number = std::stoi(address.substr(1));
       const bool is_failing = number > 0 && number <= failing_servers_ && now > kFirstStart;
       const Outcome outcome = !is_failing       ? Outcome::kSuccess
                               : number % 2 == 0 ? Outcome::kError
@@ -118,23 +118,23 @@
     }
   }
 
-  double worst() const {
-    double out = 0;
+  double max_ratio() const {
+    double ratio = 0;
     const double start = started_twice_ ? kSecondStart : kFirstStart;
-    for (std::size_t first = 0; first < sent_.size(); ++first) {
-      if (sent_[first] < start + 1.5) continue;  // until then some nodes have not been notified
-      const auto end = std::lower_bound(sent_.begin(), sent_.end(), sent_[first] + deployment_.window);
-      const double age = sent_[first] - start;
+    for (std::size_t begin = 0; begin < sent_.size(); ++begin) {
+      if (sent_[begin] < start + 1.5) continue;  // until then, some nodes may not have been notified
+      const auto end = std::lower_bound(sent_.begin(), sent_.end(), sent_[begin] + deployment_.window);
+      const double age = sent_[begin] - start;
       if (age + deployment_.window > deployment_.slow_start_window)
-        break;  // a server past its slow start may be sent everything
+        break;  // after slow start there is no limit
       const double capacity =
           std::min(1.0, deployment_.slow_start_min_capacity +
                             (1 - deployment_.slow_start_min_capacity) * age / deployment_.slow_start_window);
-      const double mean = deployment_.multiple * kCapacity * capacity * deployment_.window;
-      const auto count = static_cast<double>(end - sent_.begin()) - static_cast<double>(first);
-      out = std::max(out, count / allowed(mean));
+      const double mean = deployment_.budget_factor * kCapacity * capacity * deployment_.window;
+      const auto count = static_cast<double>(end - sent_.begin()) - static_cast<double>(begin);
+      ratio = std::max(ratio, count / allowed_count(mean));
     }
-    return out;
+    return ratio;
   }
 
   Deployment deployment_;
@@ -152,29 +152,30 @@
 
 TEST_P(SlowStart, AllNodesTogetherStayWithinTheBudget) {
   for (const Deployment& deployment : kDeployments) {
-    double worst = 0;
-    for (int seed = 1; seed <= kSeedsEach; ++seed) {
-      const double part = SlowStartRun(deployment, GetParam(), static_cast<std::uint64_t>(seed)).play();
-      EXPECT_LE(part, 1) << deployment.name << ", seed " << seed;
-      worst = std::max(worst, part);
+    double max_ratio = 0;
+    for (int seed = 1; seed <= kSeedsPerCase; ++seed) {
+      const double ratio = SlowStartRun(deployment, GetParam(), static_cast<std::uint64_t>(seed)).run();
+      EXPECT_LE(ratio, 1) << deployment.name << ", seed " << seed;
+      max_ratio = std::max(max_ratio, ratio);
     }
-    EXPECT_GT(worst, 0) << "it gets some requests";
+    EXPECT_GT(max_ratio, 0) << "the server receives some requests";
   }
 }
 INSTANTIATE_TEST_SUITE_P(Nodes, SlowStart, testing::ValuesIn(kNodeCounts));
 
-// Several replicas and one server that has just started: together they stay within what it has capacity for.
+// Several replicas together stay within the capacity of a server that has just started.
 TEST(SlowStartBudget, IsKeptByAllReplicasTogether) {
   constexpr int kReplicas = 10;
-  constexpr double kRate = 20;  // a replica; a server's part is 20 a second over all replicas
+  // Requests per second and replica; each server's share is 20 per second over all replicas.
+  constexpr double kRate = 20;
   Settings s = basic_settings();
   s.replica_count = kReplicas;
   s.slow_start_min_capacity = 0.14;
   s.slow_start_window = 24;
   std::vector<double> sends;
-  for (int c = 0; c < kReplicas; ++c) {
-    s.replica_index = c;
-    Replica replica(s, static_cast<std::uint64_t>(c) + 1);
+  for (int index = 0; index < kReplicas; ++index) {
+    s.replica_index = index;
+    Replica replica(s, static_cast<std::uint64_t>(index) + 1);
     replica.at(100, endpoints(kServers));
     for (int i = 0; i < static_cast<int>(40 * kRate); ++i) {
       const double now = 100 + i / kRate;
@@ -193,15 +194,15 @@
       replica.end(id, Outcome::kSuccess);
     }
   }
-  const double part = kReplicas * kRate / kServers;
+  const double rate_per_server = kReplicas * kRate / kServers;
   for (int step = 0; step < 48; ++step) {
     const double t = 110 + 0.5 * step;
-    const double capacity = part * (0.14 + 0.86 * (t - 109) / 24);
+    const double capacity = rate_per_server * (0.14 + 0.86 * (t - 109) / 24);
     const auto in_window =
         std::count_if(sends.begin(), sends.end(), [t](double at) { return at >= t && at < t + 2; });
     EXPECT_LE(static_cast<double>(in_window), 3 * capacity * 2) << "at " << t;
   }
-  EXPECT_GT(sends.size(), 50U) << "a server that is warming up gets some requests";
+  EXPECT_GT(sends.size(), 50U) << "a server that is warming up receives some requests";
 }
 
 TEST(SlowStartBudget, StillServesWhereAllServersAreWarmingUp) {
@@ -210,9 +211,9 @@
   s.slow_start_window = 10;
   s.tenants = {{100.0}};
   Replica replica(s);
-  EndpointUpdate m = endpoints(4);
-  for (Endpoint& one : m.endpoints) one.started_at = 99.5;
-  replica.at(100, m);
+  EndpointUpdate update = endpoints(4);
+  for (Endpoint& endpoint : update.endpoints) endpoint.started_at = 99.5;
+  replica.at(100, update);
   int sent = 0;
   for (int i = 0; i < 500; ++i) {
     replica.now = 100 + i * 0.01;
--- a/tests/policy/subset_test.cpp
+++ b/tests/policy/subset_test.cpp
@@ -1,4 +1,4 @@
-// Which servers a replica uses.
+// Tests which servers a replica uses.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,16 +14,16 @@
   for (std::size_t replicas = 1; replicas <= 40; ++replicas) {
     for (std::size_t servers = 1; servers <= 45; servers += 4) {
       for (const std::size_t size : {3U, 8U}) {
-        std::vector<int> uses(servers, 0);
+        std::vector<int> use_counts(servers, 0);
         for (std::size_t i = 0; i < replicas; ++i) {
           const auto subset = subset_of(i, replicas, servers, size);
           EXPECT_EQ(std::set<std::size_t>(subset.begin(), subset.end()).size(), std::min(size, servers));
-          for (const std::size_t at : subset) ++uses[at];
+          for (const std::size_t position : subset) ++use_counts[position];
         }
-        const auto [least, most] = std::minmax_element(uses.begin(), uses.end());
-        // Starts of one replica or of evenly spread ones: no server is used by over one replica more than
-        // another.
-        EXPECT_LE(*most - *least, 1) << replicas << " replicas, " << servers << " servers, size " << size;
+        const auto [min_count, max_count] = std::minmax_element(use_counts.begin(), use_counts.end());
+        // Evenly spaced subsets: the numbers of replicas that use any two servers differ by at most one.
+        EXPECT_LE(*max_count - *min_count, 1)
+            << replicas << " replicas, " << servers << " servers, size " << size;
       }
     }
   }
@@ -35,32 +35,32 @@
       Settings s = basic_settings();
       s.replica_index = index;
       s.replica_count = replicas;
-      const auto used = [&](bool without_one) {
+      const auto servers_used = [&](bool without_one) {
         Replica replica(s);
-        EndpointUpdate m = endpoints(24);
-        if (without_one) m.endpoints.erase(m.endpoints.begin() + 5);
-        replica.at(0, m);
-        std::set<std::string> out;
+        EndpointUpdate update = endpoints(24);
+        if (without_one) update.endpoints.erase(update.endpoints.begin() + 5);
+        replica.at(0, update);
+        std::set<std::string> addresses;
         for (int i = 0; i < 400; ++i) {
           const std::string id = std::to_string(i);
-          for (const Send& send : all<Send>(replica.request(id))) out.insert(send.server);
+          for (const Send& send : all<Send>(replica.request(id))) addresses.insert(send.server);
           replica.end(id, Outcome::kSuccess);
         }
-        return out;
+        return addresses;
       };
-      const auto before = used(false);
-      const auto after = used(true);
-      std::vector<std::string> kept;
+      const auto before = servers_used(false);
+      const auto after = servers_used(true);
+      std::vector<std::string> kept_servers;
       std::set_intersection(before.begin(), before.end(), after.begin(), after.end(),
-                            std::back_inserter(kept));
-      EXPECT_GE(kept.size() + 2, before.size());
+                            std::back_inserter(kept_servers));
+      EXPECT_GE(kept_servers.size() + 2, before.size());
     }
   }
 }
 
-// A subset of fixed size at a single replica would leave most of a large tier without work.
+// With few replicas, subsets of fixed size would leave most servers of a large tier unused.
 TEST(Subset, ReachesEveryServerWithFewReplicas) {
-  std::set<std::string> used;
+  std::set<std::string> servers_used;
   for (int index = 0; index < 2; ++index) {
     Settings s = basic_settings();
     s.replica_index = index;
@@ -68,10 +68,10 @@
     Replica replica(s);
     replica.at(0, endpoints(40));
     for (int i = 0; i < 200; ++i) {
-      for (const Send& send : all<Send>(replica.request(std::to_string(i)))) used.insert(send.server);
+      for (const Send& send : all<Send>(replica.request(std::to_string(i)))) servers_used.insert(send.server);
     }
   }
-  EXPECT_EQ(used.size(), 40U);
+  EXPECT_EQ(servers_used.size(), 40U);
 }
 
 }  // namespace
