--- a/policy/sliding_window.h
+++ b/policy/sliding_window.h
@@ -1,4 +1,4 @@
-// Counts of requests over the last few seconds, by which a tenant's rate limit is enforced.
+// Sliding-window request counts, used to enforce the rate limit of a tenant.
 #pragma once
 
 #include <cmath>
@@ -8,8 +8,7 @@
 
 namespace thymewood {
 
-// Total and denied requests of a window, in buckets; the latest buckets also make the rate of the last
-// second.
+// Counts total and denied requests in buckets. The latest buckets also give the rate of the last second.
 class SlidingWindow {
  public:
   struct Sums {
@@ -19,9 +18,11 @@
     double admitted() const { return total - denied; }
   };
 
-  // `bucket_s`: seconds in a bucket. `short_buckets`: buckets that make a second.
-  SlidingWindow(double bucket_s, int buckets, int short_buckets)
-      : bucket_s_(bucket_s), short_buckets_(short_buckets), buckets_(static_cast<std::size_t>(buckets)) {}
+  // `bucket_s`: width of a bucket in seconds. `buckets`: number of buckets in the window.
+  SlidingWindow(double bucket_s, int buckets, int buckets_per_second)
+      : bucket_s_(bucket_s),
+        buckets_per_second_(buckets_per_second),
+        buckets_(static_cast<std::size_t>(buckets)) {}
 
   void add(double now, bool denied) {
     const std::int64_t slot = slot_of(now), count = std::ssize(buckets_);
@@ -38,22 +39,21 @@
       if (bucket.slot <= slot - std::ssize(buckets_)) continue;
       out.total += bucket.total;
       out.denied += bucket.denied;
-      if (bucket.slot > slot - short_buckets_) out.last_second += bucket.total;
+      if (bucket.slot > slot - buckets_per_second_) out.last_second += bucket.total;
     }
     return out;
   }
 
  private:
   struct Bucket {
-    std::int64_t slot =
-        std::numeric_limits<std::int64_t>::min() / 2;  // so far back that it counts as expired
+    std::int64_t slot = std::numeric_limits<std::int64_t>::min() / 2;  // early enough to count as expired
     double total = 0;
     double denied = 0;
   };
   std::int64_t slot_of(double now) const { return static_cast<std::int64_t>(std::floor(now / bucket_s_)); }
 
   double bucket_s_;
-  int short_buckets_;
+  int buckets_per_second_;
   std::vector<Bucket> buckets_;
 };
 
--- a/policy/tenant_limiter.cpp
+++ b/policy/tenant_limiter.cpp
@@ -7,41 +7,44 @@
 namespace thymewood {
 namespace {
 
-constexpr double kBucket = 0.1;  // s
+constexpr double kBucketSeconds = 0.1;
 constexpr int kBucketsPerSecond = 10;
-constexpr int kWindowBuckets = 40;  // long enough for a replica that sees a request a second
-constexpr double kWindow = kBucket * kWindowBuckets;  // s
-constexpr double kHardLimitFactor = 20;  // x the limit; denied requests count too, so only a flood reaches it
-constexpr double kSuppressionCache = 0.1;  // s
-constexpr double kDeviations = 1.5;        // standard deviations of a count that are left to random variation
-constexpr double kInitialFactor = 1.5;     // x the replica's part of the quota; the initial limit
-constexpr double kMinFactor = 1;           // x the same; the least limit: a tier can do more than all quotas
-constexpr double kMinFactorPastFirstTier = 6;  // x the same; a rejection there wastes the work of tiers above
-constexpr double kStep = 0.4;                  // requests per second that a failure takes off the limit ...
-constexpr double kMaxStep = 0.1;               // ... or this part of the limit, if that is less
-constexpr double kFailuresPerSuccess = 0.25;   // at which a limit stays where it is
+constexpr int kWindowBuckets = 40;  // long enough for a replica that receives one request per second
+constexpr double kWindowSeconds = kBucketSeconds * kWindowBuckets;
+// Multiple of the limit; includes denied requests, so only a flood reaches it.
+constexpr double kHardLimitFactor = 20;
+constexpr double kSuppressionCacheSeconds = 0.1;
+constexpr double kDeviations = 1.5;          // standard deviations of a count, allowed for random variation
+constexpr double kInitialLimitFactor = 1.5;  // multiple of the replica's quota share; initial limit
+// Multiple of the replica's quota share; minimum limit: a tier can process more than the sum of all quotas.
+constexpr double kMinLimitFactor = 1;
+// The same behind the first tier, where a rejection wastes the work of the tiers above.
+constexpr double kMinLimitFactorBehindFirstTier = 6;
+constexpr double kDecrease = 0.4;  // requests per second by which a failure lowers the limit, or ...
+constexpr double kMaxDecreaseFraction = 0.1;  // ... this fraction of the limit, if that is less
+constexpr double kFailuresPerSuccess = 0.25;  // ratio at which the limit stays constant
 
 constexpr double kUnlimited = std::numeric_limits<double>::infinity();
 
 }  // namespace
 
 double suppression_factor(double rate_limit, double window_rate, double last_second_rate) {
-  const double perceived = std::max(window_rate, last_second_rate);
-  return perceived <= 0 ? 0 : std::clamp(1 - rate_limit / perceived, 0.0, 1.0);
+  const double rate = std::max(window_rate, last_second_rate);
+  return rate <= 0 ? 0 : std::clamp(1 - rate_limit / rate, 0.0, 1.0);
 }
 
 TenantLimiter::TenantLimiter(const Tenant& tenant, const Settings& settings)
-    : window_(kBucket, kWindowBuckets, kBucketsPerSecond),
+    : window_(kBucketSeconds, kWindowBuckets, kBucketsPerSecond),
       is_first_tier_(settings.tier == 0),
       limit_(kUnlimited),
       initial_limit_(kUnlimited),
       cached_until_(-kUnlimited) {
   if (!tenant.quota) return;
-  const double part = *tenant.quota / settings.replica_count;
-  min_limit_ = part * (is_first_tier_ ? kMinFactor : kMinFactorPastFirstTier);
+  const double quota_share = *tenant.quota / settings.replica_count;
+  min_limit_ = quota_share * (is_first_tier_ ? kMinLimitFactor : kMinLimitFactorBehindFirstTier);
   over_quota_weight_ = settings.over_quota_weight;
-  limit_ = initial_limit_ =
-      std::max(min_limit_, part * kInitialFactor + kDeviations * std::sqrt(part / kWindow));
+  limit_ = initial_limit_ = std::max(
+      min_limit_, quota_share * kInitialLimitFactor + kDeviations * std::sqrt(quota_share / kWindowSeconds));
 }
 
 void TenantLimiter::scale_quota(double factor) {
@@ -51,19 +54,19 @@
 }
 
 double TenantLimiter::suppression(const SlidingWindow::Sums& sums) const {
-  const double soft_limit = limit_ * kWindow;
+  const double soft_limit = limit_ * kWindowSeconds;
   if (sums.admitted() < soft_limit) return 0;
   if (sums.total >= soft_limit * kHardLimitFactor) return 1;
-  return suppression_factor(limit_, sums.total / kWindow, sums.last_second);
+  return suppression_factor(limit_, sums.total / kWindowSeconds, sums.last_second);
 }
 
-// The factor is cached, except where it is 0 or 1.
+// The suppression factor is cached unless it is 0 or 1.
 bool TenantLimiter::admits(double now, Random& random) {
   double factor = suppression(window_.sums(now));
   if (factor > 0 && factor < 1) {
     if (now >= cached_until_) {
       cached_suppression_ = factor;
-      cached_until_ = now + kSuppressionCache;
+      cached_until_ = now + kSuppressionCacheSeconds;
     }
     factor = cached_suppression_;
   }
@@ -74,22 +77,23 @@
 
 bool TenantLimiter::is_within_quota(double now) const {
   return is_first_tier_ && std::isfinite(limit_) && over_quota_weight_ < 1 &&
-         window_.sums(now).admitted() <= min_limit_ * kWindow;
+         window_.sums(now).admitted() <= min_limit_ * kWindowSeconds;
 }
 
-double TenantLimiter::step() const { return std::min(kMaxStep, kStep / limit_); }
+double TenantLimiter::decrease_fraction() const { return std::min(kMaxDecreaseFraction, kDecrease / limit_); }
 
 void TenantLimiter::record_overload() {
   if (!std::isfinite(limit_)) return;
-  limit_ = std::max(min_limit_, limit_ * (1 - step()));
+  limit_ = std::max(min_limit_, limit_ * (1 - decrease_fraction()));
 }
 
-// The limit rises only while it is used. Beyond the initial limit it rises by the weight of requests over the
-// quota, and fully where servers are idle; not at all where that weight is 0.
+// The limit rises only while more than half of it is used. Above the initial limit the increase is scaled by
+// the weight of requests over the quota, and is in full if requests do not queue. If that weight is 0, the
+// limit does not rise above the initial limit.
 void TenantLimiter::record_success(double now, double unqueued) {
-  if (!std::isfinite(limit_) || !(window_.sums(now).admitted() > limit_ * kWindow / 2)) return;
+  if (!std::isfinite(limit_) || !(window_.sums(now).admitted() > limit_ * kWindowSeconds / 2)) return;
   const double weight = over_quota_weight_ > 0 ? over_quota_weight_ + (1 - over_quota_weight_) * unqueued : 0;
-  limit_ *= 1 + step() * kFailuresPerSuccess * (limit_ > initial_limit_ ? weight : 1);
+  limit_ *= 1 + decrease_fraction() * kFailuresPerSuccess * (limit_ > initial_limit_ ? weight : 1);
 }
 
 TenantLimitView TenantLimiter::view(double now) const {
--- a/tests/policy/tenant_limiter_test.cpp
+++ b/tests/policy/tenant_limiter_test.cpp
@@ -1,4 +1,4 @@
-// Rate limits of tenants: suppression, the quota, and how a limit follows the results of requests.
+// Tests tenant rate limiting: suppression, quotas, and adjustment of the limit by request results.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -30,9 +30,9 @@
   return s;
 }
 
-// Requests at a steady rate, each answered at once; returns how many were admitted.
-int offer(Replica& replica, double from, double seconds, double rate, const std::string& prefix,
-          Outcome outcome = Outcome::kSuccess) {
+// Sends requests at a constant rate, each completed immediately; returns how many were admitted.
+int send_requests(Replica& replica, double from, double seconds, double rate, const std::string& prefix,
+                  Outcome outcome = Outcome::kSuccess) {
   int admitted = 0;
   const int requests = static_cast<int>(seconds * rate);
   for (int i = 0; i < requests; ++i) {
@@ -41,7 +41,7 @@
     if (all<Send>(replica.request(id)).empty()) continue;
     ++admitted;
     const auto after = replica.end(id, outcome);
-    for (const Send& again : all<Send>(after)) replica.end(again.id, Outcome::kSuccess, 1);
+    for (const Send& retry : all<Send>(after)) replica.end(retry.id, Outcome::kSuccess, 1);
   }
   return admitted;
 }
@@ -49,17 +49,17 @@
 TEST(TenantLimiter, AdmitsEveryRequestBelowTheLimit) {
   Replica replica(settings_with_quota(100));
   replica.at(0, endpoints(4));
-  EXPECT_EQ(offer(replica, 0, 10, 50, "a"), 500);
+  EXPECT_EQ(send_requests(replica, 0, 10, 50, "a"), 500);
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).suppression_factor, 0);
 }
 
 TEST(TenantLimiter, DeniesInProportionAboveTheLimit) {
   Settings s = settings_with_quota(10);
-  s.over_quota_weight = 0;  // the limit stays where it starts
+  s.over_quota_weight = 0;  // keeps the limit at its initial value
   Replica replica(s);
   replica.at(0, endpoints(4));
   const double limit = replica.balancer.tenant(0, 0).rate_limit;
-  const int admitted = offer(replica, 0, 8, 4 * limit, "a");
+  const int admitted = send_requests(replica, 0, 8, 4 * limit, "a");
   const TenantLimitView view = replica.balancer.tenant(replica.now, 0);
   EXPECT_GT(admitted, 0.8 * limit * 8);
   EXPECT_LT(admitted, 1.6 * limit * 8);
@@ -67,13 +67,14 @@
   EXPECT_GT(view.declined, 0);
 }
 
-// Servers may fail at any load; that is no reason to cut a tenant to a part of its quota.
+// Server errors can occur at any load and must not lower the limit of a tenant, least of all to a part of its
+// quota.
 TEST(TenantLimiter, DoesNotLowerTheLimitOnServerErrors) {
   for (const Outcome outcome : {Outcome::kError, Outcome::kUnknown, Outcome::kReset}) {
     Replica replica(settings_with_quota(10));
     replica.at(0, endpoints(4));
     const double limit = replica.balancer.tenant(0, 0).rate_limit;
-    offer(replica, 0, 4, 5, "a", outcome);
+    send_requests(replica, 0, 4, 5, "a", outcome);
     EXPECT_GE(replica.balancer.tenant(replica.now, 0).rate_limit, limit);
   }
 }
@@ -81,11 +82,11 @@
 TEST(TenantLimiter, NeverLowersTheLimitBelowTheQuota) {
   Replica replica(settings_with_quota(10));
   replica.at(0, endpoints(4));
-  offer(replica, 0, 20, 9, "a", Outcome::kRejected);
+  send_requests(replica, 0, 20, 9, "a", Outcome::kRejected);
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).rate_limit, 10);
 }
 
-// A tenant within its quota finds a server although another, far over its own, uses all other capacity.
+// A tenant within its quota finds capacity even if another tenant, far over its quota, uses up the rest.
 TEST(TenantLimiter, KeepsCapacityForATenantWithinItsQuota) {
   Settings s = basic_settings();
   s.tenants = {{2.0}, {2.0}};
@@ -94,12 +95,12 @@
   replica.at(0, endpoints(6));
   replica.now = 300;  // the initial limit has decayed
   const auto sent = [&](const std::string& prefix, std::size_t tenant, int requests) {
-    std::size_t out = 0;
+    std::size_t sent_count = 0;
     for (int i = 0; i < requests; ++i)
-      out += all<Send>(replica.request(prefix + std::to_string(i), tenant)).size();
-    return out;
+      sent_count += all<Send>(replica.request(prefix + std::to_string(i), tenant)).size();
+    return sent_count;
   };
-  EXPECT_GT(sent("flood", 0, 60), 8U) << "its quota of the window, and more";
+  EXPECT_GT(sent("flood", 0, 60), 8U) << "more than its quota for the window";
   EXPECT_EQ(sent("more", 0, 3), 0U) << "no capacity is left";
   EXPECT_GT(sent("within", 1, 3), 0U);
 }
@@ -129,15 +130,16 @@
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(4.15, 0).suppression_factor, 0);
 }
 
-// The factor is cached for 100 ms: a flood within that time meets the factor from before it.
+// The suppression factor is cached for 100 ms, so a flood within that time is suppressed with the earlier
+// factor.
 TEST(TenantLimiter, CachesTheSuppressionFactor) {
   Settings s = settings_with_quota(100);
   s.over_quota_weight = 0;
   Replica replica(s);
   replica.at(0, endpoints(4));
   const double limit = replica.balancer.tenant(0, 0).rate_limit;
-  const int soft = static_cast<int>(std::ceil(4 * limit));  // the window's seconds
-  const auto pour = [&](double time, int requests, const std::string& prefix) {
+  const int soft_limit = static_cast<int>(std::ceil(4 * limit));  // over the window of 4 s
+  const auto send_burst = [&](double time, int requests, const std::string& prefix) {
     int admitted = 0;
     for (int i = 0; i < requests; ++i) {
       replica.now = time;
@@ -148,11 +150,12 @@
     }
     return admitted;
   };
-  EXPECT_EQ(pour(0, soft, "fill"), soft);
-  EXPECT_NEAR(pour(0.01, 1000, "cached"), 250, 60);  // the factor from when the flood began: three quarters
+  EXPECT_EQ(send_burst(0, soft_limit, "fill"), soft_limit);
+  // The cached factor from the start of the flood is three quarters.
+  EXPECT_NEAR(send_burst(0.01, 1000, "cached"), 250, 60);
   const double factor = replica.balancer.tenant(0.12, 0).suppression_factor;
   EXPECT_GT(factor, 0.85);
-  EXPECT_NEAR(pour(0.12, 1000, "fresh"), 1000 * (1 - factor), 40);
+  EXPECT_NEAR(send_burst(0.12, 1000, "fresh"), 1000 * (1 - factor), 40);
 }
 
 TEST(TenantLimiter, RejectsDeniedRequestsUnsent) {
@@ -170,32 +173,32 @@
   EXPECT_EQ(replica.balancer.tenant(replica.now, 0).declined, rejected);
 }
 
-// Clients that are rejected together must not come back together.
+// Clients that are rejected at the same time must not retry at the same time.
 TEST(TenantLimiter, SpreadsRetryAfterOverRejectedClients) {
-  Replica replica(settings_with_quota(10));  // without servers all are rejected
-  double least = 9, most = 0, sum = 0;
+  Replica replica(settings_with_quota(10));  // without servers, all requests are rejected
+  double min_retry_after = 9, max_retry_after = 0, sum = 0;
   for (int i = 0; i < 1000; ++i) {
     const auto rejections = all<Reject>(replica.request("r" + std::to_string(i)));
     ASSERT_EQ(rejections.size(), 1U);
-    least = std::min(least, rejections[0].retry_after);
-    most = std::max(most, rejections[0].retry_after);
+    min_retry_after = std::min(min_retry_after, rejections[0].retry_after);
+    max_retry_after = std::max(max_retry_after, rejections[0].retry_after);
     sum += rejections[0].retry_after;
   }
-  EXPECT_GE(least, 0.75) << "of 2 s that clients honor";
-  EXPECT_LE(most, 1.25);
-  EXPECT_GT(most - least, 0.45);
+  EXPECT_GE(min_retry_after, 0.75) << "of the 2 s that clients honor";
+  EXPECT_LE(max_retry_after, 1.25);
+  EXPECT_GT(max_retry_after - min_retry_after, 0.45);
   EXPECT_NEAR(sum / 1000, 1, 0.03);
   Settings s = basic_settings();
   s.max_retry_after = 0;
   Replica no_retry_after(s);
-  EXPECT_EQ(all<Reject>(no_retry_after.request("r"))[0].retry_after, 0) << "where clients honor none";
+  EXPECT_EQ(all<Reject>(no_retry_after.request("r"))[0].retry_after, 0) << "clients honor no Retry-After";
 }
 
 TEST(TenantLimiter, RaisesTheLimitWhileRequestsFinishInTime) {
   Replica replica(settings_with_quota(10));
   replica.at(0, endpoints(4));
   const double before = replica.balancer.tenant(0, 0).rate_limit;
-  offer(replica, 0, 10, before * 0.9, "a");
+  send_requests(replica, 0, 10, before * 0.9, "a");
   EXPECT_GT(replica.balancer.tenant(replica.now, 0).rate_limit, before);
   EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, before * 2);
 }
@@ -203,28 +206,29 @@
 TEST(TenantLimiter, LowersTheLimitOnOverloadDownToAMinimum) {
   Replica replica(settings_with_quota(100));
   replica.at(0, endpoints(4));
-  offer(replica, 0, 40, 120, "up");
+  send_requests(replica, 0, 40, 120, "up");
   const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
   ASSERT_GT(before, 130);
-  offer(replica, 40, 5, before, "a", Outcome::kRejected);
+  send_requests(replica, 40, 5, before, "a", Outcome::kRejected);
   EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, before);
-  offer(replica, 45, 60, 50, "b", Outcome::kRejected);
+  send_requests(replica, 45, 60, 50, "b", Outcome::kRejected);
   EXPECT_GE(replica.balancer.tenant(replica.now, 0).rate_limit, 25)
-      << "a quarter of the replica's part of the quota";
+      << "a quarter of the replica's share of the quota";
 }
 
-// Requests that end within a feedback delay were admitted under the old limit and say nothing of the new one.
+// Requests that complete within the feedback delay were admitted under the old limit and do not reflect the
+// new one.
 TEST(TenantLimiter, LowersTheLimitOnlyInPartWithinASecond) {
   Replica replica(settings_with_quota(100));
   replica.at(0, endpoints(4));
   const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
-  offer(replica, 0, 1, before, "a", Outcome::kRejected);
+  send_requests(replica, 0, 1, before, "a", Outcome::kRejected);
   const double after = replica.balancer.tenant(replica.now, 0).rate_limit;
   EXPECT_LT(after, before * 0.9);
   EXPECT_GT(after, before * 0.5);
 }
 
-// Where everything slows down together, cutting all tenants to the same minimum would leave servers idle.
+// If all requests slow down together, lowering all tenants to the minimum limit would leave servers idle.
 TEST(TenantLimiter, KeepsTheLimitOnSlowResponses) {
   Replica replica(settings_with_quota(100));
   replica.at(0, endpoints(4));
