--- a/fleet_rig/mutations.py
+++ b/fleet_rig/mutations.py
@@ -200,7 +200,7 @@
     Mutation(
         name='indirect_ack_not_relayed',
         file='membership/indirect_probe_relay.cpp',
-        original='sender_.send(MessageKind::kAck, probe.requester, probe.target, probe.request);',
+        original='sender_.send(MessageKind::kAck, probe.requester, probe.target, probe.request_sequence_number);',
         replacement='',
     ),
     Mutation(
@@ -260,7 +260,7 @@
     Mutation(
         name='leave_not_applied',
         file='membership/record_merger.cpp',
-        original='if (supersedes(sender, table_.at(message.sender).record))\n      apply(sender, ChangeReason::kAnnouncedItsLeaving);',
+        original='if (supersedes(sender, table_.at(message.sender).record)) apply(sender, ChangeReason::kAnnouncedLeave);',
         replacement='',
     ),
     Mutation(
@@ -302,8 +302,8 @@
     Mutation(
         name='checksum_unchecked',
         file='membership/codec.cpp',
-        original='if (reader.take<std::uint32_t>() != checksum_of(bytes)) return DecodeError::kChecksumMismatch;',
-        replacement='reader.take<std::uint32_t>();',
+        original='if (reader.read<std::uint32_t>() != checksum_of(bytes)) return DecodeError::kChecksumMismatch;',
+        replacement='reader.read<std::uint32_t>();',
     ),
     Mutation(
         name='oversized_datagrams',
--- a/membership/detector.cpp
+++ b/membership/detector.cpp
@@ -7,9 +7,10 @@
 namespace thymewood::membership {
 namespace {
 
-constexpr double kPauseFraction = 0.5;  // of the probe interval: a timer later than this shows a paused loop
+// Fraction of the probe interval. A timer that is later than this means that the event loop was paused.
+constexpr double kPauseFraction = 0.5;
 
-// Validates before any member is built from it.
+// Runs the validation before any data member is constructed from `local`.
 const LocalNode& validated(const LocalNode& local, const DetectorConfig& config) {
   validate(local, config);
   return local;
@@ -63,8 +64,8 @@
   return take_outputs();
 }
 
-// While the loop was paused nothing could be received: nobody is to be suspected for it, and the pause is
-// evidence against this node's own health.
+// No datagram could be received while the event loop was paused, so missing acks and refutations in this time
+// must not count against peers. The pause itself counts against this node's local health.
 void Detector::recover_from_pause(double now, double duration) {
   counters_.pauses += 1;
   outputs_.emplace_back(LoopPaused{duration});
@@ -81,18 +82,19 @@
   if (!is_running()) return {};
   counters_.received += 1;
   counters_.received_bytes += bytes.size();
-  if (const std::optional<Message> message = admit(sender, bytes)) handle(now, *message);
+  if (const std::optional<Message> message = decode_and_verify(sender, bytes)) on_message(now, *message);
   return take_outputs();
 }
 
-std::optional<Message> Detector::admit(std::optional<NodeId> sender, std::span<const std::uint8_t> bytes) {
+std::optional<Message> Detector::decode_and_verify(std::optional<NodeId> sender,
+                                                   std::span<const std::uint8_t> bytes) {
   std::variant<Message, DecodeError> decoded = decode(bytes, local_.replica_set_id, table_.size());
   if (const auto* error = std::get_if<DecodeError>(&decoded)) {
     count_dropped(*error);
     return std::nullopt;
   }
   Message& message = std::get<Message>(decoded);
-  // A broadcast of this node comes back to it.
+  // This node also receives its own broadcasts.
   if (message.sender == local_.id && sender == local_.id) return std::nullopt;
   if (!sender || *sender != message.sender) {
     counters_.unknown_senders += 1;
@@ -102,8 +104,8 @@
   const std::uint64_t start_time = start_time_of(message.incarnation);
   if (start_time < start_time_of(member.record.incarnation)) {
     counters_.stale += 1;
-    // Either of an earlier run, or of a new one whose clock was set back: the ack brings it its record, above
-    // which it can continue.
+    // Sent either by an earlier process of this node, or by a new one whose clock was set back. The ack
+    // carries the receiver's own record, so that a new process can raise its incarnation above it.
     if (message.kind == MessageKind::kPing)
       sender_.send(MessageKind::kAck, message.sender, local_.id, message.sequence_number);
     return std::nullopt;
@@ -129,7 +131,7 @@
     case DecodeError::kUnsupportedVersion:
       counters_.unsupported_versions += 1;
       return;
-    case DecodeError::kOtherReplicaSet:
+    case DecodeError::kReplicaSetMismatch:
       counters_.other_replica_set += 1;
       return;
     case DecodeError::kChecksumMismatch:
@@ -141,7 +143,7 @@
   }
 }
 
-void Detector::handle(double now, const Message& message) {
+void Detector::on_message(double now, const Message& message) {
   table_.at(message.sender).reported_digest = message.digest;
   merger_.merge_message(now, message);
   switch (message.kind) {
@@ -150,7 +152,7 @@
         sender_.send(MessageKind::kAck, message.sender, local_.id, message.sequence_number);
       break;
     case MessageKind::kIndirectPing:
-      relay_.on_request(now, message);
+      relay_.on_indirect_ping(now, message);
       break;
     case MessageKind::kAck:
       if (!prober_.on_ack(now, message)) relay_.on_ack(message);
--- a/membership/detector.h
+++ b/membership/detector.h
@@ -1,17 +1,17 @@
-// A failure detector with gossip between the nodes of a replica set. Pure: events in, datagrams and changes
-// out; time and randomness are arguments. Times are seconds on any steady clock.
+// A failure detector with gossip between the nodes of a replica set. It does no I/O: it takes received
+// datagrams and timer events, and returns datagrams to send and membership changes. The caller passes the
+// time (seconds on any steady clock) and the random seed.
 //
-// SWIM (Das, Gupta, Motivala, DSN 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey:
+// Implements SWIM (Das, Gupta, Motivala, DSN 2002) with the Lifeguard extensions (Dadgar, Phillips, Currey:
 // "Lifeguard: Local Health Awareness for More Accurate Failure Detection", DSN-W 2018):
-//   - prober.h: one peer is pinged per interval, directly and then through others;
-//   - indirect_probe_relay.h: pings in place of others;
-//   - record_merger.h, suspicion.h: a suspect has time to refute by raising its incarnation; the timeout
-//   shrinks
-//     with confirmations;
-//   - gossip_queue.h, message_sender.h: records are piggybacked on these datagrams; a suspect is always sent
-//   its
-//     own record (Buddy System), and tables whose digests differ are exchanged piece by piece;
-//   - local_health.h: a node whose own probes fail stretches its timeouts.
+//   - prober.h: pings one peer per interval, first directly, then through other nodes;
+//   - indirect_probe_relay.h: pings a peer on behalf of another node;
+//   - record_merger.h, suspicion.h: a suspect may refute the suspicion by raising its incarnation; the
+//     suspicion timeout shrinks as other nodes confirm it;
+//   - gossip_queue.h, message_sender.h: records are piggybacked on all of these datagrams; a suspect is
+//     always sent its own record (Lifeguard's Buddy System); nodes whose table digests differ exchange their
+//     tables, a part per datagram;
+//   - local_health.h: a node whose own probes fail extends its timeouts.
 #pragma once
 
 #include <cstdint>
@@ -43,21 +43,21 @@
   Detector& operator=(const Detector&) = delete;
 
   void start(double now);
-  // `sender`: the peer that has the datagram's source address, if any.
+  // Processes a received datagram. `sender` is the peer at its source address, if there is one.
   [[nodiscard]] Outputs receive(double now, std::optional<NodeId> sender,
                                 std::span<const std::uint8_t> bytes);
-  // To be called at next_deadline() or later, after receive() for all datagrams that have arrived before.
+  // Must be called at next_deadline() or later, after receive() for every datagram that has already arrived.
   [[nodiscard]] Outputs on_timer(double now);
   [[nodiscard]] double next_deadline() const;
-  // Announces this node's shutdown to all peers. It sends nothing more.
+  // Announces this node's shutdown to all peers; the detector sends nothing afterwards.
   [[nodiscard]] Outputs leave();
 
-  // Of any node, this one included; incarnation 0 where nothing was heard.
+  // The record of any node, including this one; its incarnation is 0 if the node is still unknown.
   [[nodiscard]] const MemberRecord& record(NodeId id) const { return table_.at(id).record; }
   [[nodiscard]] std::size_t size() const { return table_.size(); }
   [[nodiscard]] int local_health() const { return health_.score(); }
   [[nodiscard]] const DetectorCounters& counters() const { return counters_; }
-  // s; of the newest direct ping that was acked.
+  // Round-trip time of the latest acknowledged direct ping, in seconds.
   [[nodiscard]] std::optional<double> round_trip_time(NodeId id) const {
     return table_.at(id).round_trip_time;
   }
@@ -68,11 +68,12 @@
  private:
   [[nodiscard]] bool is_running() const { return is_started_ && !has_left_; }
   [[nodiscard]] Outputs take_outputs();
-  // The message, where it is new and its sender is the peer at its source address.
-  [[nodiscard]] std::optional<Message> admit(std::optional<NodeId> sender,
-                                             std::span<const std::uint8_t> bytes);
+  // Returns the decoded message if it is new and its source address belongs to the node that it names as
+  // sender, otherwise drops it.
+  [[nodiscard]] std::optional<Message> decode_and_verify(std::optional<NodeId> sender,
+                                                         std::span<const std::uint8_t> bytes);
   void count_dropped(DecodeError error);
-  void handle(double now, const Message& message);
+  void on_message(double now, const Message& message);
   void recover_from_pause(double now, double duration);
 
   LocalNode local_;
--- a/membership/detector_config.cpp
+++ b/membership/detector_config.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::uint64_t kMaxStartMs = std::uint64_t{1} << 47;
-constexpr double kMaxProbeInterval = 3600;  // s
+constexpr double kMaxProbeInterval = 3600;  // seconds
 
 void require(bool is_valid, const char* field, const char* reason) {
   if (!is_valid) throw InvalidDetectorConfig(field, reason);
@@ -19,20 +19,21 @@
     : std::invalid_argument("membership: " + field + " " + reason), field_(field), reason_(reason) {}
 
 void validate(const LocalNode& local, const DetectorConfig& config) {
-  require(local.peer_count > 0, "peer_count", "has to be above 0");
-  require(local.id < local.peer_count, "id", "has to be below peer_count");
-  require(local.start_ms > 0 && local.start_ms < kMaxStartMs, "start_ms", "is not a Unix time");
+  require(local.peer_count > 0, "peer_count", "must be above 0");
+  require(local.id < local.peer_count, "id", "must be below peer_count");
+  require(local.start_ms > 0 && local.start_ms < kMaxStartMs, "start_ms",
+          "must be a Unix time in milliseconds");
   require(config.probe_interval > 0 && config.probe_interval <= kMaxProbeInterval, "probe_interval",
-          "has to be above 0 s, an hour at most");
+          "must be above 0 s and at most 1 hour");
   require(config.ack_timeout_fraction > 0 && config.ack_timeout_fraction < 1, "ack_timeout_fraction",
-          "has to be between 0 and 1");
-  require(config.indirect_probe_count >= 0, "indirect_probe_count", "has to be 0 at least");
-  require(config.expected_confirmations >= 1, "expected_confirmations", "has to be 1 at least");
-  require(config.max_local_health >= 0, "max_local_health", "has to be 0 at least");
-  require(config.suspicion_multiplier >= 1, "suspicion_multiplier", "has to be 1 at least");
-  require(config.max_suspicion_multiplier >= 1, "max_suspicion_multiplier", "has to be 1 at least");
-  require(config.retransmit_multiplier >= 1, "retransmit_multiplier", "has to be 1 at least");
-  require(config.rejoin_interval >= 1, "rejoin_interval", "has to be 1 at least");
+          "must be above 0 and below 1");
+  require(config.indirect_probe_count >= 0, "indirect_probe_count", "must be at least 0");
+  require(config.expected_confirmations >= 1, "expected_confirmations", "must be at least 1");
+  require(config.max_local_health >= 0, "max_local_health", "must be at least 0");
+  require(config.suspicion_multiplier >= 1, "suspicion_multiplier", "must be at least 1");
+  require(config.max_suspicion_multiplier >= 1, "max_suspicion_multiplier", "must be at least 1");
+  require(config.retransmit_multiplier >= 1, "retransmit_multiplier", "must be at least 1");
+  require(config.rejoin_interval >= 1, "rejoin_interval", "must be at least 1");
 }
 
 double size_factor(std::size_t node_count) {
@@ -43,8 +44,8 @@
   return config.suspicion_multiplier * size_factor(node_count) * config.probe_interval;
 }
 
-// Each round probes every peer once, so the dead node's turn comes within the length of two rounds; then the
-// suspicion lasts as long as with a single reporter.
+// Each round probes every peer once, so the crashed node is probed within the length of two rounds. The
+// suspicion then lasts at most for the timeout with a single reporter.
 double max_time_to_failure(const DetectorConfig& config, std::size_t node_count) {
   const auto others = static_cast<double>(node_count > 1 ? node_count - 1 : 1);
   return (2 * others + 2) * config.probe_interval +
--- a/membership/detector_config.h
+++ b/membership/detector_config.h
@@ -1,4 +1,4 @@
-// Settings of the failure detector and the times that follow from them. Pure.
+// Configuration of the failure detector and the timeouts derived from it.
 #pragma once
 
 #include <cstddef>
@@ -11,27 +11,28 @@
 namespace thymewood::membership {
 
 struct DetectorConfig {
-  double probe_interval = 1;          // s between two probes
-  double ack_timeout_fraction = 0.3;  // of the probe interval; without an ack by then, indirect probes follow
-  int indirect_probe_count = 3;       // nodes that are requested to ping in this node's place
-  int suspicion_multiplier = 4;       // see min_suspicion_timeout()
-  double max_suspicion_multiplier = 6;  // of the minimum: the suspicion timeout with a single reporter
-  int expected_confirmations = 3;       // further reporters that shorten the timeout to its minimum
-  int max_local_health = 8;             // all timeouts are up to 1 + this times longer
-  int retransmit_multiplier = 4;        // x log10(nodes): how often a record is piggybacked
-  int rejoin_interval = 3;              // probe intervals between two pings of a failed node
+  double probe_interval = 1;  // seconds between two probes
+  // Fraction of the probe interval after which indirect probes are sent if there is no ack.
+  double ack_timeout_fraction = 0.3;
+  int indirect_probe_count = 3;         // nodes asked to ping the target on this node's behalf
+  int suspicion_multiplier = 4;         // see min_suspicion_timeout()
+  double max_suspicion_multiplier = 6;  // x the minimum: suspicion timeout with a single reporter
+  int expected_confirmations = 3;       // further reporters needed to reach the minimum timeout
+  int max_local_health = 8;             // multiplies probe intervals and ack timeouts by up to 1 + this
+  int retransmit_multiplier = 4;        // x log10(nodes): how many times a record is gossiped
+  int rejoin_interval = 3;              // probe intervals between two pings of a randomly chosen failed node
 };
 
-// This node, as configured.
+// Identity and configuration of this node.
 struct LocalNode {
   NodeId id = 0;
-  std::uint16_t peer_count = 1;  // node ids are below it
+  std::uint16_t peer_count = 1;  // node ids are 0 .. peer_count - 1
   std::uint8_t zone = 0;
-  std::uint64_t start_ms = 1;  // Unix time, above 0
+  std::uint64_t start_ms = 1;  // start time in ms of Unix time, above 0
   std::uint32_t replica_set_id = 0;
 };
 
-// A field of LocalNode or DetectorConfig is out of its range.
+// Thrown if a field of LocalNode or DetectorConfig is out of range.
 class InvalidDetectorConfig : public std::invalid_argument {
  public:
   InvalidDetectorConfig(const std::string& field, const std::string& reason);
@@ -46,14 +47,14 @@
 // Throws InvalidDetectorConfig.
 void validate(const LocalNode& local, const DetectorConfig& config);
 
-// log10 of the node count, at least 1: timeouts and retransmissions grow with it.
+// log10 of the node count, at least 1. Suspicion timeouts and gossip retransmissions scale with it.
 [[nodiscard]] double size_factor(std::size_t node_count);
 
-// s that a suspect has to refute, at least.
+// Minimum time, in seconds, that a suspect has to refute the suspicion.
 [[nodiscard]] double min_suspicion_timeout(const DetectorConfig& config, std::size_t node_count);
 
-// s within which a node that died is failed at every live node, where no datagram is lost and local health is
-// 0. Where many nodes are live, all are much quicker.
+// Upper bound, in seconds, on the time until every live node has marked a crashed node as failed, provided
+// that no datagram is lost and the local health score is 0. With many live nodes it takes much less.
 [[nodiscard]] double max_time_to_failure(const DetectorConfig& config, std::size_t node_count);
 
 }  // namespace thymewood::membership
--- a/membership/detector_output.cpp
+++ b/membership/detector_output.cpp
@@ -12,7 +12,7 @@
       return "no_ack";
     case ChangeReason::kSuspicionTimedOut:
       return "suspicion_timed_out";
-    case ChangeReason::kAnnouncedItsLeaving:
+    case ChangeReason::kAnnouncedLeave:
       return "announced_its_leaving";
   }
   return "unknown";
--- a/membership/detector_output.h
+++ b/membership/detector_output.h
@@ -1,4 +1,4 @@
-// What the failure detector hands to its host, and its counters. Pure.
+// Outputs of the failure detector, to be processed by its owner, and its counters.
 #pragma once
 
 #include <cstdint>
@@ -10,41 +10,41 @@
 
 namespace thymewood::membership {
 
-// To be sent to one peer, or to all where `to` is empty.
+// A datagram to send to one peer, or to all peers if `to` is empty.
 struct SendDatagram {
   std::optional<NodeId> to;
   Datagram datagram;
 };
 
 enum class ChangeReason {
-  kHeardDirectly,        // a datagram of the node itself
-  kReportedAlive,        // by another node
-  kNoAck,                // to the node that reported it
-  kSuspicionTimedOut,    // without a refutation
-  kAnnouncedItsLeaving,  // by the node itself
+  kHeardDirectly,      // received a datagram from the node itself
+  kReportedAlive,      // another node reported it alive
+  kNoAck,              // the reporting node got no ack from it
+  kSuspicionTimedOut,  // the suspicion was not refuted in time
+  kAnnouncedLeave,     // the node announced its own shutdown
 };
 const char* name_of(ChangeReason reason);
 
-// A node has changed its state, or was restarted.
+// A node changed its state or was restarted.
 struct MemberChanged {
   MemberRecord current;
   MemberRecord previous;
   ChangeReason reason = ChangeReason::kHeardDirectly;
-  int reporter_count = 0;  // kSuspicionTimedOut
+  int reporter_count = 0;  // only for kSuspicionTimedOut
 };
 
-// This node raised its own incarnation above what was claimed of it.
+// This node raised its own incarnation to refute a claim about itself.
 struct Refuted {
   MemberRecord claim;
   Incarnation incarnation = 0;
 };
 
-// The event loop did not run for so long.
+// The event loop did not run for `duration`.
 struct LoopPaused {
-  double duration = 0;  // s
+  double duration = 0;  // seconds
 };
 
-// Another process uses this node's id.
+// Another process uses the id of this node.
 struct NodeIdConflict {};
 
 using Output = std::variant<SendDatagram, MemberChanged, Refuted, LoopPaused, NodeIdConflict>;
@@ -55,7 +55,7 @@
   std::uint64_t received = 0;
   std::uint64_t received_bytes = 0;
 
-  // Dropped datagrams, see DecodeError.
+  // Dropped datagrams by reason; see DecodeError.
   std::uint64_t too_short = 0;
   std::uint64_t too_long = 0;
   std::uint64_t unknown_protocols = 0;
@@ -63,18 +63,18 @@
   std::uint64_t other_replica_set = 0;
   std::uint64_t checksum_mismatches = 0;
   std::uint64_t invalid_fields = 0;
-  std::uint64_t unknown_senders = 0;  // from an address that is not the sender's
+  std::uint64_t unknown_senders = 0;  // the source address does not belong to the sender id
   std::uint64_t duplicates = 0;
-  std::uint64_t stale = 0;  // of an earlier run of the sender
+  std::uint64_t stale = 0;  // sent by an earlier process of the sender
 
   std::uint64_t pings = 0;
   std::uint64_t unanswered = 0;
   std::uint64_t answered_indirectly = 0;
   std::uint64_t suspicions = 0;
-  std::uint64_t refuted = 0;  // suspicions that ended with a refutation
+  std::uint64_t refuted = 0;  // suspicions ended by a refutation
   std::uint64_t failures = 0;
-  std::uint64_t refutations = 0;  // by this node, of claims about itself
-  std::uint64_t pauses = 0;       // of the event loop
+  std::uint64_t refutations = 0;  // refutations of claims about this node
+  std::uint64_t pauses = 0;       // event loop pauses
 };
 
 }  // namespace thymewood::membership
--- a/membership/gossip_queue.cpp
+++ b/membership/gossip_queue.cpp
@@ -4,16 +4,16 @@
 
 void GossipQueue::add(const MemberRecord& record) {
   remove(record.id);
-  const Entry entry{record, 0, ++order_};
+  const Entry entry{record, 0, ++last_insertion_order_};
   priorities_.insert(priority_of(entry));
   entries_[record.id] = entry;
 }
 
 void GossipQueue::remove(NodeId id) {
-  const auto at = entries_.find(id);
-  if (at == entries_.end()) return;
-  priorities_.erase(priority_of(at->second));
-  entries_.erase(at);
+  const auto found = entries_.find(id);
+  if (found == entries_.end()) return;
+  priorities_.erase(priority_of(found->second));
+  entries_.erase(found);
 }
 
 std::vector<MemberRecord> GossipQueue::take(std::size_t max_records, int max_transmissions, NodeId excluded) {
--- a/membership/indirect_probe_relay.h
+++ b/membership/indirect_probe_relay.h
@@ -1,5 +1,6 @@
-// Pings in place of other nodes that had no ack themselves, and passes the acks on (SWIM, section 3). A nack
-// tells the requester early that this node is alive and has no ack yet (Lifeguard, LHA-Probe). Pure.
+// Pings a target on behalf of a node that got no ack from it, and forwards the ack (SWIM, section 3). If
+// there is no ack yet shortly before the probe ends, a nack shows the requester that this node is alive
+// (Lifeguard, LHA-Probe).
 #pragma once
 
 #include <cstdint>
@@ -13,13 +14,13 @@
 
 class IndirectProbeRelay {
  public:
-  // All references outlive the relay.
+  // All referenced objects must outlive the relay.
   IndirectProbeRelay(const DetectorConfig& config, const MemberTable& table, MessageSender& sender);
 
-  // A kIndirectPing.
-  void on_request(double now, const Message& message);
+  // Handles a kIndirectPing message.
+  void on_indirect_ping(double now, const Message& message);
   void on_ack(const Message& message);
-  // Sends the nacks that are due, and ends the probes whose time is over.
+  // Sends the nacks that are due and removes expired probes.
   void on_timer(double now);
   [[nodiscard]] double next_deadline() const;
   void clear() { pending_.clear(); }
@@ -28,8 +29,8 @@
   struct PendingProbe {
     NodeId target = 0;
     NodeId requester = 0;
-    std::uint32_t ping = 0;     // sequence number of this node's ping
-    std::uint32_t request = 0;  // sequence number that the requester's answer refers to
+    std::uint32_t ping_sequence_number = 0;     // of this node's ping to the target
+    std::uint32_t request_sequence_number = 0;  // of the requester's ping; `in_reply_to` of the ack or nack
     double nack_at = 0;
     double ends_at = 0;
     bool is_nacked = false;
--- a/membership/isolation.cpp
+++ b/membership/isolation.cpp
@@ -5,7 +5,7 @@
 namespace thymewood::membership {
 namespace {
 
-constexpr std::size_t kMaxAttempts = 256;  // the newest; bounds the memory of a busy node
+constexpr std::size_t kMaxAttempts = 256;  // most recent attempts kept; bounds memory on a busy node
 
 }  // namespace
 
@@ -36,14 +36,14 @@
   const double threshold = config_.unanswered_fraction * static_cast<double>(attempts_.size());
   if (static_cast<double>(unanswered) < threshold) return;
   is_isolated_ = true;
-  last_trial_ = now;
+  last_trial_at_ = now;
   consecutive_successes_ = 0;
 }
 
 bool IsolationDetector::should_reject(double now) {
   if (!is_isolated_) return false;
-  if (now < last_trial_ + config_.trial_interval) return true;
-  last_trial_ = now;
+  if (now < last_trial_at_ + config_.trial_interval) return true;
+  last_trial_at_ = now;
   return false;
 }
 
--- a/membership/isolation.h
+++ b/membership/isolation.h
@@ -1,8 +1,9 @@
-// Detects that a node is cut off from its servers as well as from its peers, so that its clients are better
-// sent to another node. Pure; times are seconds on a steady clock.
+// Detects that this node can reach neither its peers nor its servers, in which case clients are better served
+// by another node. Times are seconds on a steady clock.
 //
-// Lost peers alone are no reason: they may all be down. Silent servers alone may be an outage that every node
-// sees, where another node would do no better. Only both together point at this node.
+// Unreachable peers alone are not sufficient: they may all be down. Unresponsive servers alone may be an
+// outage that affects every node, so another node would do no better. Only both together indicate a fault of
+// this node.
 #pragma once
 
 #include <deque>
@@ -12,10 +13,10 @@
 namespace thymewood::membership {
 
 struct IsolationConfig {
-  int min_attempts = 10;             // completed within `window` before a decision
-  double window = 5;                 // s
-  double unanswered_fraction = 0.8;  // of these attempts, at least, without any response of a server
-  double trial_interval = 1;         // s; while isolated one request per interval is still forwarded
+  int min_attempts = 10;             // required within `window` before a decision
+  double window = 5;                 // seconds
+  double unanswered_fraction = 0.8;  // minimum fraction of these attempts without any response from a server
+  double trial_interval = 1;         // seconds; while isolated, one request per interval is still forwarded
   int required_successes = 2;        // consecutive answered attempts that end the isolation
 };
 
@@ -24,11 +25,11 @@
   explicit IsolationDetector(const IsolationConfig& config) : config_(config) {}
 
   void on_connectivity(Connectivity connectivity);
-  // An attempt has completed; `answered`: the server responded at all, even with a rejection.
+  // Records a completed attempt. `answered`: the server responded, even if with a rejection.
   void on_attempt_ended(double now, bool answered);
 
   [[nodiscard]] bool is_isolated() const { return is_isolated_; }
-  // Whether a request that has just arrived is to be rejected; trial requests are not.
+  // Whether to reject a request that just arrived. Lets one trial request through per trial interval.
   [[nodiscard]] bool should_reject(double now);
 
  private:
@@ -42,7 +43,7 @@
   std::deque<Attempt> attempts_;
   bool is_partitioned_ = false;
   bool is_isolated_ = false;
-  double last_trial_ = 0;
+  double last_trial_at_ = 0;
   int consecutive_successes_ = 0;
 };
 
--- a/membership/member_table.cpp
+++ b/membership/member_table.cpp
@@ -7,8 +7,8 @@
 namespace thymewood::membership {
 namespace {
 
-// A suspicion passes by itself and is left out. So is the difference between failed and left, as a node that
-// missed the announcement of leaving has the leaver as failed.
+// Excludes suspicions, because they resolve without synchronizing tables. Also excludes the difference
+// between failed and left: a node that missed the leave announcement marks the leaving node as failed.
 std::uint32_t digest_of(const MemberRecord& record) {
   constexpr std::size_t kBitsPerByte = 8;
   constexpr std::size_t kIncarnationOffset = 3;
@@ -18,7 +18,7 @@
   bytes[2] = static_cast<std::uint8_t>(record.state < MemberState::kFailed ? 0 : 1);
   for (std::size_t i = 0; i < sizeof record.incarnation; ++i)
     bytes[kIncarnationOffset + i] = static_cast<std::uint8_t>(record.incarnation >> (kBitsPerByte * i));
-  return hash_of(bytes);
+  return xxh32(bytes);
 }
 
 }  // namespace
@@ -47,7 +47,7 @@
 
 void MemberTable::set_local_left() { members_[local_id_].record.state = MemberState::kLeft; }
 
-// A sum, so that the order of events does not matter.
+// Sums the record digests, so that the result does not depend on the order of events.
 std::uint32_t MemberTable::digest() {
   if (cached_digest_) return *cached_digest_;
   std::uint32_t sum = 0;
--- a/membership/member_table.h
+++ b/membership/member_table.h
@@ -1,4 +1,4 @@
-// Everything that this node knows of each node, its own record included, and the digest of it. Pure.
+// What this node knows about every node, including its own record, and a digest of this state.
 #pragma once
 
 #include <cstdint>
@@ -16,9 +16,9 @@
  public:
   struct Member {
     MemberRecord record;
-    std::optional<Suspicion> suspicion;     // while the state is kSuspect
-    std::optional<double> round_trip_time;  // s; of the newest direct ping
-    std::uint32_t reported_digest = 0;      // of its own table, in its newest datagram
+    std::optional<Suspicion> suspicion;     // set while the state is kSuspect
+    std::optional<double> round_trip_time;  // seconds; latest acknowledged direct ping
+    std::uint32_t reported_digest = 0;      // digest of the member's own table, from its latest datagram
     ReplayWindow replay_window;
   };
 
@@ -37,16 +37,16 @@
     return members_[id].record.state >= MemberState::kFailed;
   }
 
-  // Ends a suspicion of the node.
+  // Replaces the node's record and ends a suspicion of the node.
   void replace(const MemberRecord& record);
   void raise_local_incarnation(Incarnation incarnation);
   void set_local_left();
 
-  // Equal where two tables hold the same incarnations and failures.
+  // Two tables have equal digests if they hold the same incarnations and agree on which nodes are up.
   [[nodiscard]] std::uint32_t digest();
 
  private:
-  std::vector<Member> members_;  // by id
+  std::vector<Member> members_;  // indexed by node id
   NodeId local_id_;
   std::optional<std::uint32_t> cached_digest_;
 };
--- a/membership/message_sender.cpp
+++ b/membership/message_sender.cpp
@@ -25,7 +25,8 @@
 }
 
 void MessageSender::broadcast_leaving() {
-  // A datagram may be lost, and a node that receives none of them suspects this one like any other.
+  // Sent several times because a datagram may be lost: a node that receives none of them will suspect this
+  // node as if it had crashed.
   constexpr int kTransmissions = 3;
   for (int i = 0; i < kTransmissions; ++i) {
     Message message;
@@ -51,7 +52,8 @@
 }
 
 void MessageSender::add_records(Message& message, NodeId to) {
-  // The receiver's own record comes first: it alone can refute a suspicion (Lifeguard, section 3.3).
+  // The receiver's own record comes first, since only the receiver can refute a suspicion of itself
+  // (Lifeguard, section 3.3).
   const MemberTable::Member& receiver = table_.at(to);
   if (receiver.record.incarnation > 0) message.records.push_back(receiver.record);
   const std::size_t capacity = kMaxRecords - message.records.size();
@@ -61,7 +63,8 @@
   if (!is_in_sync) add_table_records(message);
 }
 
-// Fills the datagram from the table, continuing where the previous one ended.
+// Fills the rest of the datagram with table records, continuing after the last record of the previous
+// datagram.
 void MessageSender::add_table_records(Message& message) {
   for (std::size_t i = 0; i < table_.size() && message.records.size() < kMaxRecords; ++i) {
     table_cursor_ = (table_cursor_ + 1) % table_.size();
--- a/membership/message_sender.h
+++ b/membership/message_sender.h
@@ -1,5 +1,5 @@
-// Composes the datagrams of this node: header, piggybacked gossip, and records of the table for receivers
-// whose digest differs. Pure.
+// Builds the datagrams of this node: header, piggybacked gossip and, for receivers whose digest differs,
+// further records from the member table.
 #pragma once
 
 #include <cstdint>
@@ -16,11 +16,11 @@
 
 class MessageSender {
  public:
-  // All references outlive the sender. Datagrams are appended to `outputs`.
+  // All referenced objects must outlive the sender. Datagrams are appended to `outputs`.
   MessageSender(const LocalNode& local, const DetectorConfig& config, MemberTable& table, GossipQueue& gossip,
                 DetectorCounters& counters, std::vector<Output>& outputs);
 
-  // Returns the datagram's sequence number.
+  // Queues a datagram and returns its sequence number.
   std::uint32_t send(MessageKind kind, NodeId to, NodeId target, std::uint32_t in_reply_to = 0);
   void broadcast_leaving();
 
--- a/membership/prober.cpp
+++ b/membership/prober.cpp
@@ -32,15 +32,15 @@
 
 std::optional<NodeId> Prober::next_target() {
   for (int rounds = 0; rounds < 2; ++rounds) {
-    while (!round_.empty()) {
-      const NodeId id = round_.back();
-      round_.pop_back();
+    while (!round_targets_.empty()) {
+      const NodeId id = round_targets_.back();
+      round_targets_.pop_back();
       if (!table_.is_failed_or_left(id)) return id;
     }
     for (std::size_t i = 0; i < table_.size(); ++i) {
-      if (i != table_.local_id()) round_.push_back(static_cast<NodeId>(i));
+      if (i != table_.local_id()) round_targets_.push_back(static_cast<NodeId>(i));
     }
-    std::shuffle(round_.begin(), round_.end(), random_);
+    std::shuffle(round_targets_.begin(), round_targets_.end(), random_);
   }
   return std::nullopt;
 }
@@ -61,11 +61,12 @@
   probe.indirect_at = now + config_.ack_timeout_fraction * interval;
   probe.ends_at = now + interval;
   counters_.pings += 1;
-  probe.first_ping = sender_.send(MessageKind::kPing, *target, *target);
+  probe.first_ping_sequence_number = sender_.send(MessageKind::kPing, *target, *target);
   probe_ = probe;
 }
 
-// Without it, two parts of a replica set that have each other as failed would never merge again.
+// Without these pings, two partitions that marked each other as failed would never rejoin after the network
+// heals.
 void Prober::ping_failed_member() {
   std::vector<NodeId> failed;
   for (const MemberTable::Member& member : table_.members()) {
@@ -79,10 +80,10 @@
 void Prober::request_indirect_probes_if_due(double now) {
   if (!probe_ || probe_->is_acked || probe_->is_indirect_requested || now < probe_->indirect_at) return;
   probe_->is_indirect_requested = true;
-  probe_->second_ping = sender_.send(MessageKind::kPing, probe_->target, probe_->target);
+  probe_->second_ping_sequence_number = sender_.send(MessageKind::kPing, probe_->target, probe_->target);
   const auto max_count = static_cast<std::size_t>(config_.indirect_probe_count);
-  for (const NodeId helper : pick_alive_members(max_count, probe_->target)) {
-    sender_.send(MessageKind::kIndirectPing, helper, probe_->target, probe_->first_ping);
+  for (const NodeId relay : pick_alive_members(max_count, probe_->target)) {
+    sender_.send(MessageKind::kIndirectPing, relay, probe_->target, probe_->first_ping_sequence_number);
     probe_->indirect_requests += 1;
   }
 }
@@ -107,12 +108,13 @@
 std::optional<NodeId> Prober::finish_probe_if_due(double now) {
   if (!probe_ || now < probe_->ends_at) return std::nullopt;
   const Probe probe = *std::exchange(probe_, std::nullopt);
-  record_sample(probe.is_acked);
+  record_result(probe.is_acked);
   const bool was_retry = retry_target_ == probe.target;
   retry_target_.reset();
   if (probe.is_acked) return std::nullopt;
   counters_.unanswered += 1;
-  // Nacks show that this node is reachable; helpers that stay silent are evidence against its own health.
+  // A nack shows that this node is reachable. Relays that send neither an ack nor a nack count against this
+  // node's own health.
   health_.adjust(probe.indirect_requests > 0 ? probe.indirect_requests - probe.nacks : 1);
   if (table_.is_failed_or_left(probe.target)) return std::nullopt;
   if (!was_retry && table_.at(probe.target).record.state == MemberState::kAlive) {
@@ -124,11 +126,13 @@
 
 bool Prober::on_ack(double now, const Message& message) {
   if (!probe_ || message.target != probe_->target) return false;
-  const bool is_second = probe_->second_ping != 0 && message.in_reply_to == probe_->second_ping;
-  if (message.in_reply_to != probe_->first_ping && !is_second) return false;
+  const bool is_second_ping =
+      probe_->second_ping_sequence_number != 0 && message.in_reply_to == probe_->second_ping_sequence_number;
+  if (message.in_reply_to != probe_->first_ping_sequence_number && !is_second_ping) return false;
   if (!probe_->is_acked) health_.adjust(-1);
   if (message.sender == probe_->target) {
-    table_.at(message.sender).round_trip_time = now - (is_second ? probe_->indirect_at : probe_->sent_at);
+    table_.at(message.sender).round_trip_time =
+        now - (is_second_ping ? probe_->indirect_at : probe_->sent_at);
   } else if (!probe_->is_acked) {
     counters_.answered_indirectly += 1;
   }
@@ -137,19 +141,19 @@
 }
 
 void Prober::on_nack(const Message& message) {
-  if (!probe_ || message.in_reply_to != probe_->first_ping) return;
+  if (!probe_ || message.in_reply_to != probe_->first_ping_sequence_number) return;
   if (probe_->nacks < probe_->indirect_requests) probe_->nacks += 1;
 }
 
-void Prober::record_sample(bool was_acked) {
-  sample_bits_ = (sample_bits_ << 1) | (was_acked ? 1 : 0);
-  sample_size_ = std::min(sample_size_ + 1, kSampleSize);
+void Prober::record_result(bool was_acked) {
+  ack_history_ = (ack_history_ << 1) | (was_acked ? 1 : 0);
+  ack_history_size_ = std::min(ack_history_size_ + 1, kAckHistorySize);
 }
 
 ProbeSample Prober::recent_probes() const {
   ProbeSample out;
-  out.sent = sample_size_;
-  for (int i = 0; i < sample_size_; ++i) out.acked += static_cast<int>((sample_bits_ >> i) & 1);
+  out.sent = ack_history_size_;
+  for (int i = 0; i < ack_history_size_; ++i) out.acked += static_cast<int>((ack_history_ >> i) & 1);
   return out;
 }
 
--- a/membership/record_merger.cpp
+++ b/membership/record_merger.cpp
@@ -6,7 +6,7 @@
 namespace thymewood::membership {
 namespace {
 
-// The sender's own record, from the header of its datagram.
+// The sender's own record, taken from the message header.
 MemberRecord sender_record_of(const Message& message) {
   MemberRecord out;
   out.id = out.reported_by = message.sender;
@@ -30,14 +30,13 @@
 void RecordMerger::merge_message(double now, const Message& message) {
   const MemberRecord sender = sender_record_of(message);
   if (message.kind == MessageKind::kLeaving) {
-    if (supersedes(sender, table_.at(message.sender).record))
-      apply(sender, ChangeReason::kAnnouncedItsLeaving);
+    if (supersedes(sender, table_.at(message.sender).record)) apply(sender, ChangeReason::kAnnouncedLeave);
     return;
   }
   merge(now, sender, message.sender, false);
   std::vector<NodeId> suspected;
   for (const MemberRecord& record : message.records) {
-    // Nodes that are not configured here belong to a larger replica set.
+    // Ids that are not configured here come from a sender that is configured with a larger replica set.
     if (!table_.contains(record.id) || record.incarnation == 0) continue;
     const bool is_first = std::find(suspected.begin(), suspected.end(), record.id) == suspected.end();
     if (record.state != MemberState::kAlive) suspected.push_back(record.id);
@@ -60,7 +59,7 @@
   const bool is_outdated = record.incarnation < known.incarnation || known.state >= MemberState::kFailed;
   if (is_outdated && !is_newer) return;
   if (is_newer) {
-    // A suspicion also shows that this incarnation was alive.
+    // A suspicion of a newer incarnation also shows that this incarnation was alive.
     MemberRecord alive = record;
     alive.state = MemberState::kAlive;
     alive.reported_by = record.id;
@@ -91,11 +90,11 @@
     member.suspicion.emplace(now, report.reported_by);
     return;
   }
-  // A further report is gossiped as well, so that other nodes can count it.
+  // Further reports are gossiped as well, so that other nodes count them as confirmations.
   if (member.suspicion->confirm(report.reported_by, config_)) gossip_.add(report);
 }
 
-// Puts the record into the table and gossips it.
+// Stores the record in the table and queues it for gossip.
 void RecordMerger::apply(const MemberRecord& record, ChangeReason reason, int reporter_count) {
   const MemberTable::Member& member = table_.at(record.id);
   const MemberRecord previous = member.record;
@@ -117,7 +116,8 @@
     return;
   }
   if (record.incarnation == own) return;
-  // Either an earlier run of this node, whose clock was set back since, or another node with the same id.
+  // Either an earlier process of this node, before its clock was set back, or another process with the same
+  // id.
   id_conflicts_ += 1;
   if (id_conflicts_ == kMaxIdConflicts) outputs_.emplace_back(NodeIdConflict{});
   if (id_conflicts_ <= kMaxIdConflicts) refute(record);
--- a/membership/record_merger.h
+++ b/membership/record_merger.h
@@ -1,8 +1,8 @@
-// Merges what nodes report of each other into the member table, and runs the suspicion timers. Pure.
+// Merges the records that nodes report about each other into the member table, and runs the suspicion timers.
 //
-// A report of a third node's failure or leaving is never applied at once: it only starts or confirms a
-// suspicion that the node may refute. Only a node itself can announce that it leaves. So no single false
-// datagram removes any node but its sender.
+// A report that a third node has failed or left is never applied immediately: it only starts or confirms a
+// suspicion, which the node can refute. A node's leave is accepted only from the node itself. A single false
+// datagram can therefore remove no node except its sender.
 #pragma once
 
 #include <vector>
@@ -17,14 +17,14 @@
 
 class RecordMerger {
  public:
-  // All references outlive the merger. Changes are appended to `outputs`.
+  // All referenced objects must outlive the merger. Changes are appended to `outputs`.
   RecordMerger(const DetectorConfig& config, MemberTable& table, GossipQueue& gossip, LocalHealth& health,
                DetectorCounters& counters, std::vector<Output>& outputs);
 
-  // All records of one datagram: the sender's own first, then those it reports. At most one of them counts as
-  // a report of the same node.
+  // Merges all records of one datagram: first the sender's own, then those that it reports. Of several
+  // records about the same node, at most one counts as a suspicion report.
   void merge_message(double now, const Message& message);
-  // This node itself had no ack of `id`.
+  // Reports that this node itself got no ack from `id`.
   void report_missing_ack(double now, NodeId id);
 
   void expire_suspicions(double now);
@@ -34,7 +34,9 @@
   [[nodiscard]] bool has_id_conflict() const { return id_conflicts_ >= kMaxIdConflicts; }
 
  private:
-  static constexpr int kMaxIdConflicts = 3;  // raised incarnations that this node's earlier runs may explain
+  // A higher incarnation of this node's id, reported alive, may also come from an earlier process of this
+  // node. After this many, the id is considered to be in use by another process.
+  static constexpr int kMaxIdConflicts = 3;
 
   void merge(double now, const MemberRecord& record, NodeId sender, bool may_suspect);
   void merge_local(const MemberRecord& record);
--- a/membership/replica_set_view.cpp
+++ b/membership/replica_set_view.cpp
@@ -5,7 +5,7 @@
 namespace thymewood::membership {
 namespace {
 
-constexpr int kMinProbeSample = 4;  // probes; fewer do not show a partition
+constexpr int kMinProbeSample = 4;  // probes; fewer are not sufficient to detect a partition
 
 }  // namespace
 
@@ -28,7 +28,7 @@
   view_.rank = local.id;
   view_.live_count = view_.max_count = view_.configured_count = local.peer_count;
   view_.reachable_count = 1;
-  view_.connectivity = Connectivity::kPartitioned;  // until a peer has acked
+  view_.connectivity = Connectivity::kPartitioned;  // until a peer has acknowledged a probe
 }
 
 double ReplicaSetViewTracker::settle_time_of(const Hysteresis& member) const {
@@ -41,7 +41,7 @@
   const int others = view.configured_count - 1 - left_count;
   if (detector.has_id_conflict()) return Connectivity::kPartitioned;
   if (others <= 0) return Connectivity::kComplete;
-  // The newest probes show a partition long before all unreachable nodes have failed.
+  // Recent probes reveal a partition long before all unreachable nodes are marked as failed.
   const ProbeSample sample = detector.recent_probes();
   if (sample.acked == 0) return Connectivity::kPartitioned;
   if (sample.sent >= kMinProbeSample && 2 * sample.acked <= sample.sent) return Connectivity::kPartitioned;
@@ -53,7 +53,7 @@
   next_deadline_ = std::numeric_limits<double>::infinity();
   ReplicaSetView view = view_;
   const Scan scan = scan_members(now, detector, view);
-  // One change for all members that are due: the next is `min_change_interval` later at the earliest.
+  // Applies all due changes together, because the next change must wait for `min_change_interval`.
   if (scan.has_due_change) apply_due_changes(now);
   if (now < last_change_ + config_.settle_time) {
     view.is_settling = true;
@@ -115,7 +115,7 @@
   }
 }
 
-// A partition counts at once; its end only after `settle_time`.
+// A partition takes effect immediately; its end only after `settle_time`.
 void ReplicaSetViewTracker::set_connectivity(double now, Connectivity measured, ReplicaSetView& view) {
   if (measured == Connectivity::kPartitioned) last_partitioned_ = now;
   view.connectivity = measured;
--- a/membership/replica_set_view.h
+++ b/membership/replica_set_view.h
@@ -1,10 +1,11 @@
-// Derives from the failure detector what the rest of the node works with: its rank among the live nodes,
-// their number, and how far these can be relied on. Pure.
+// Derives the replica set view from the failure detector: this node's rank among the live nodes, their
+// number, and how reliable both are.
 //
-// Two counts are kept apart. Work is spread by `rank` and `live_count`, which follow the live nodes with
-// hysteresis, so that a flapping node does not move the others' parts. Limits are divided by `max_count`,
-// which includes every node that may still run: an unreachable node may be partitioned and go on sending, so
-// only its own announcement of leaving removes it.
+// Two counts are kept separately. Servers and quotas are divided among the nodes by `rank` and `live_count`,
+// which follow the set of live nodes with hysteresis, so that a flapping node does not shift the shares of
+// the others. Limits are divided by `max_count`, which includes every node that may still be running: an
+// unreachable node may be partitioned and continue to send requests, so a node is excluded only once it has
+// announced that it leaves.
 #pragma once
 
 #include <cstdint>
@@ -18,32 +19,32 @@
 namespace thymewood::membership {
 
 enum class Connectivity {
-  kStandalone,   // membership is off
-  kPartitioned,  // half of the other nodes or fewer are reachable, or this node's id is in conflict
-  kPartial,      // some nodes are missing, more than half are reachable
+  kStandalone,   // membership is disabled
+  kPartitioned,  // at most half of the nodes are reachable, or another process uses this node's id
+  kPartial,      // more than half of the nodes are reachable, but not all
   kComplete      // all nodes that have not left are reachable
 };
 const char* name_of(Connectivity connectivity);
 
 struct ReplicaSetView {
-  std::uint64_t epoch = 0;  // local to this node; raised with each change
-  // This node has the rank-th of `live_count` parts of the work. When partitioned: as configured.
+  std::uint64_t epoch = 0;  // local to this node; incremented with each change
+  // This node takes the rank-th of `live_count` shares. While partitioned, both are as configured.
   int rank = 0;
   int live_count = 1;
-  int max_count = 1;         // nodes among which limits are divided; never below `live_count`
-  bool is_settling = false;  // other nodes may have another view: a node joins or leaves, or just has
+  int max_count = 1;         // number of nodes that share the limits; never below `live_count`
+  bool is_settling = false;  // nodes may have different views, because a node joins or leaves or did recently
   int configured_count = 1;
-  int reachable_count = 1;  // alive, this node included
+  int reachable_count = 1;  // nodes that are alive, including this one
   Connectivity connectivity = Connectivity::kStandalone;
   std::map<int, int> reachable_by_zone;
   bool operator==(const ReplicaSetView&) const = default;
 };
 
 struct ReplicaSetViewConfig {
-  double settle_time = 5;           // s that a node has to be up, or gone, before it is counted so
-  double min_change_interval = 10;  // s between two changes of rank and live_count
-  int max_settle_doublings = 5;     // settle_time doubles with each recent flap, at most so often
-  double flap_decay_interval = 60;  // s after which one flap is forgotten
+  double settle_time = 5;           // seconds that a node must be up or down before live_count reflects it
+  double min_change_interval = 10;  // seconds between two changes of rank and live_count
+  int max_settle_doublings = 5;     // settle_time doubles with each recent flap, at most this many times
+  double flap_decay_interval = 60;  // seconds after which one flap is no longer counted
 };
 
 class ReplicaSetViewTracker {
@@ -51,23 +52,23 @@
   ReplicaSetViewTracker(const LocalNode& local, const ReplicaSetViewConfig& config);
 
   [[nodiscard]] const ReplicaSetView& current() const { return view_; }
-  // Evaluates the detector's state. Returns the new view where it differs.
+  // Evaluates the detector's state. Returns the new view if it changed.
   [[nodiscard]] std::optional<ReplicaSetView> update(double now, const Detector& detector);
-  // When the view changes without further events; infinity: never.
+  // When update() must be called even without further events; infinity if never.
   [[nodiscard]] double next_deadline() const { return next_deadline_; }
 
  private:
   static constexpr double kNever = -std::numeric_limits<double>::infinity();
 
-  // Hysteresis of one node.
+  // Hysteresis state of one node.
   struct Hysteresis {
-    bool is_counted = true;  // in live_count
+    bool is_counted = true;  // included in live_count
     bool is_up = true;
     double up_changed_at = 0;
     int flaps = 0;
     double flaps_changed_at = kNever;
   };
-  // What one pass over all nodes finds.
+  // Result of one pass over all nodes.
   struct Scan {
     int left_count = 0;
     bool has_due_change = false;
--- a/membership/suspicion.cpp
+++ b/membership/suspicion.cpp
@@ -15,7 +15,7 @@
 double Suspicion::deadline(const DetectorConfig& config, std::size_t node_count) const {
   const double min_timeout = min_suspicion_timeout(config, node_count);
   const double max_timeout = config.max_suspicion_multiplier * min_timeout;
-  // No more confirmations can be expected than there are other nodes.
+  // At most node_count - 2 nodes, all but the first reporter and the suspect, can confirm the suspicion.
   const auto expected = std::min<std::size_t>(static_cast<std::size_t>(config.expected_confirmations),
                                               node_count > 3 ? node_count - 2 : 1);
   const double confirmations = static_cast<double>(reporters_.size() - 1);
--- a/tests/membership/codec_test.cpp
+++ b/tests/membership/codec_test.cpp
@@ -1,5 +1,5 @@
-// The codec of the datagrams between nodes: round trips, the size limit, the layout, and how anything else is
-// rejected.
+// Tests for the datagram codec: round trips, the size limit, the wire layout and the rejection of invalid
+// datagrams.
 #include "codec.h"
 
 #include <gtest/gtest.h>
@@ -33,9 +33,9 @@
   return m;
 }
 
-// Nothing where `bytes` are a message; it is put into `out`.
-std::optional<DecodeError> read(std::span<const std::uint8_t> bytes, Message& out,
-                                std::string_view replica_set = "here") {
+// Stores the decoded message in `out`. Returns std::nullopt on success, otherwise the error.
+std::optional<DecodeError> try_decode(std::span<const std::uint8_t> bytes, Message& out,
+                                      std::string_view replica_set = "here") {
   const std::variant<Message, DecodeError> decoded =
       decode(bytes, replica_set_id_of(replica_set), kNodeCount);
   if (const auto* error = std::get_if<DecodeError>(&decoded)) return *error;
@@ -43,8 +43,8 @@
   return std::nullopt;
 }
 
-// The encoded message after a change of its bytes; the checksum stays.
-Datagram changed(const Message& m, const std::function<void(Datagram&)>& change) {
+// Encodes the message, then modifies its bytes without updating the checksum.
+Datagram encode_and_modify(const Message& m, const std::function<void(Datagram&)>& change) {
   Datagram out = encode(m);
   change(out);
   return out;
@@ -56,9 +56,9 @@
     const Message m = random_message(random, i % (kMaxRecords + 1));
     const Datagram d = encode(m);
     EXPECT_LE(d.size, kMaxDatagramBytes);
-    Message back;
-    ASSERT_EQ(read(d.view(), back), std::nullopt);
-    ASSERT_EQ(back, m);
+    Message decoded;
+    ASSERT_EQ(try_decode(d.view(), decoded), std::nullopt);
+    ASSERT_EQ(decoded, m);
   }
 }
 
@@ -67,14 +67,14 @@
   Message m = random_message(random, 60);
   const Datagram d = encode(m);
   EXPECT_LE(d.size, kMaxDatagramBytes);
-  EXPECT_GT(d.size + kRecordBytes, kMaxDatagramBytes) << "and uses the whole datagram";
-  Message back;
-  ASSERT_EQ(read(d.view(), back), std::nullopt);
+  EXPECT_GT(d.size + kRecordBytes, kMaxDatagramBytes) << "another record would fit";
+  Message decoded;
+  ASSERT_EQ(try_decode(d.view(), decoded), std::nullopt);
   m.records.resize(kMaxRecords);
-  EXPECT_EQ(back, m);
+  EXPECT_EQ(decoded, m);
 }
 
-// The layout is written out by hand: nodes of other versions rely on it.
+// The expected bytes are written out by hand because nodes of other versions depend on the layout.
 TEST(Codec, EncodesTheDocumentedLayout) {
   Message m;
   m.kind = MessageKind::kIndirectPing;
@@ -103,56 +103,57 @@
   std::mt19937_64 random(3);
   const Message m = random_message(random, 3);
   Message out;
-  const Datagram good = encode(m);
-  EXPECT_EQ(read({}, out), DecodeError::kTooShort);
-  EXPECT_EQ(read(good.view().first(kHeaderBytes - 1), out), DecodeError::kTooShort);
-  std::vector<std::uint8_t> longer(good.bytes.begin(), good.bytes.end());
-  longer.resize(kMaxDatagramBytes + 1);
-  EXPECT_EQ(read(longer, out), DecodeError::kTooLong);
-  EXPECT_EQ(read(changed(m, [](Datagram& d) { d.bytes[0] = 'X'; }).view(), out),
+  const Datagram valid = encode(m);
+  EXPECT_EQ(try_decode({}, out), DecodeError::kTooShort);
+  EXPECT_EQ(try_decode(valid.view().first(kHeaderBytes - 1), out), DecodeError::kTooShort);
+  std::vector<std::uint8_t> oversized(valid.bytes.begin(), valid.bytes.end());
+  oversized.resize(kMaxDatagramBytes + 1);
+  EXPECT_EQ(try_decode(oversized, out), DecodeError::kTooLong);
+  EXPECT_EQ(try_decode(encode_and_modify(m, [](Datagram& d) { d.bytes[0] = 'X'; }).view(), out),
             DecodeError::kUnknownProtocol);
-  EXPECT_EQ(read(changed(m, [](Datagram& d) { d.bytes[2] = kProtocolVersion + 1; }).view(), out),
-            DecodeError::kUnsupportedVersion);
-  EXPECT_EQ(read(good.view(), out, "there"), DecodeError::kOtherReplicaSet);
-  EXPECT_EQ(read(good.view().first(good.size - 1), out), DecodeError::kChecksumMismatch)
-      << "a truncated record";
+  EXPECT_EQ(
+      try_decode(encode_and_modify(m, [](Datagram& d) { d.bytes[2] = kProtocolVersion + 1; }).view(), out),
+      DecodeError::kUnsupportedVersion);
+  EXPECT_EQ(try_decode(valid.view(), out, "there"), DecodeError::kReplicaSetMismatch);
+  EXPECT_EQ(try_decode(valid.view().first(valid.size - 1), out), DecodeError::kChecksumMismatch)
+      << "the last record is truncated";
   Message unknown_sender = m;
   unknown_sender.sender = kNodeCount;
-  EXPECT_EQ(read(encode(unknown_sender).view(), out), DecodeError::kInvalidField);
+  EXPECT_EQ(try_decode(encode(unknown_sender).view(), out), DecodeError::kInvalidField);
   Message without_incarnation = m;
   without_incarnation.incarnation = 0;
-  EXPECT_EQ(read(encode(without_incarnation).view(), out), DecodeError::kInvalidField);
+  EXPECT_EQ(try_decode(encode(without_incarnation).view(), out), DecodeError::kInvalidField);
   Message invalid = m;
   invalid.kind = static_cast<MessageKind>(9);
-  EXPECT_EQ(read(encode(invalid).view(), out), DecodeError::kInvalidField);
+  EXPECT_EQ(try_decode(encode(invalid).view(), out), DecodeError::kInvalidField);
   invalid = m;
   invalid.records[1].state = static_cast<MemberState>(4);
-  EXPECT_EQ(read(encode(invalid).view(), out), DecodeError::kInvalidField);
+  EXPECT_EQ(try_decode(encode(invalid).view(), out), DecodeError::kInvalidField);
 }
 
 TEST(Codec, DetectsEverySingleBitError) {
   std::mt19937_64 random(4);
-  const Datagram good = encode(random_message(random, 5));
-  for (std::size_t bit = 0; bit < good.size * 8; ++bit) {
-    Datagram bad = good;
-    bad.bytes[bit / 8] ^= static_cast<std::uint8_t>(1 << (bit % 8));
+  const Datagram valid = encode(random_message(random, 5));
+  for (std::size_t bit = 0; bit < valid.size * 8; ++bit) {
+    Datagram corrupted = valid;
+    corrupted.bytes[bit / 8] ^= static_cast<std::uint8_t>(1 << (bit % 8));
     Message out;
-    ASSERT_NE(read(bad.view(), out), std::nullopt) << "bit " << bit;
+    ASSERT_NE(try_decode(corrupted.view(), out), std::nullopt) << "bit " << bit;
   }
 }
 
 TEST(Codec, RejectsRandomBytes) {
   std::mt19937_64 random(5);
   for (int i = 0; i < 20000; ++i) {
-    std::vector<std::uint8_t> noise(random() % 300);
-    for (std::uint8_t& byte : noise) byte = static_cast<std::uint8_t>(random());
-    if (i % 2 == 0 && noise.size() > 3) {
-      noise[0] = 'T';
-      noise[1] = 'W';
-      noise[2] = kProtocolVersion;
+    std::vector<std::uint8_t> random_bytes(random() % 300);
+    for (std::uint8_t& byte : random_bytes) byte = static_cast<std::uint8_t>(random());
+    if (i % 2 == 0 && random_bytes.size() > 3) {
+      random_bytes[0] = 'T';
+      random_bytes[1] = 'W';
+      random_bytes[2] = kProtocolVersion;
     }
     Message out;
-    ASSERT_NE(read(noise, out), std::nullopt);
+    ASSERT_NE(try_decode(random_bytes, out), std::nullopt);
   }
 }
 
