--- a/bench/membership/simulated_network.cpp
+++ b/bench/membership/simulated_network.cpp
@@ -6,7 +6,7 @@
 namespace thymewood::membership {
 namespace {
 
-constexpr std::uint64_t kEpochMs = 1'700'000'000'000;  // Unix time at which a run starts
+constexpr std::uint64_t kStartUnixMs = 1'700'000'000'000;  // Unix time at the start of a run
 constexpr int kZoneCount = 3;
 
 }  // namespace
@@ -17,17 +17,17 @@
       view_config_(view_config),
       random_(seed),
       nodes_(static_cast<std::size_t>(node_count)),
-      newest_timers_(nodes_.size()) {}
+      latest_timer_ids_(nodes_.size()) {}
 
 void SimulatedNetwork::start(int index, int configured_count) {
   Node& node = this->node(index);
   node.configured_count = configured_count > 0 ? configured_count : size();
-  const auto wall_clock = static_cast<std::uint64_t>(now_ * 1000) + kEpochMs;
+  const auto unix_ms = static_cast<std::uint64_t>(now_ * 1000) + kStartUnixMs;
   LocalNode local;
   local.id = static_cast<NodeId>(index);
   local.peer_count = static_cast<std::uint16_t>(node.configured_count);
   local.zone = static_cast<std::uint8_t>(index % kZoneCount);
-  local.start_ms = node.is_clock_behind ? wall_clock - node.clock_error : wall_clock + node.clock_error;
+  local.start_ms = node.is_clock_behind ? unix_ms - node.clock_offset_ms : unix_ms + node.clock_offset_ms;
   local.replica_set_id = replica_set_id();
   node.detector = std::make_unique<Detector>(local, config_, random_());
   node.tracker = std::make_unique<ReplicaSetViewTracker>(local, view_config_);
@@ -102,27 +102,27 @@
   return true;
 }
 
-int SimulatedNetwork::false_failures(const std::set<int>& except) {
+int SimulatedNetwork::false_failures(const std::set<int>& excluded) {
   int out = 0;
   for (int i = 0; i < size(); ++i) {
-    if (except.contains(i)) continue;
+    if (excluded.contains(i)) continue;
     for (const MemberChanged& change : node(i).changes) {
-      if (change.current.state == MemberState::kFailed && !except.contains(change.current.id)) ++out;
+      if (change.current.state == MemberState::kFailed && !excluded.contains(change.current.id)) ++out;
     }
   }
   return out;
 }
 
 void SimulatedNetwork::transmit(int from, int to, const Datagram& datagram) {
-  constexpr double kReorderFactor = 10;  // of delay and jitter
+  constexpr double kReorderFactor = 10;  // extra delay, x (delay + jitter)
   longest_datagram_ = std::max(longest_datagram_, datagram.size);
-  if (records_traffic) traffic.push_back({from, to, datagram});
-  if (from != to && delivers && !delivers(from, to)) return;
-  if (draw_unit() < links.loss) return;
-  const int deliveries = draw_unit() < links.duplicate ? 2 : 1;
+  if (capture_traffic) traffic.push_back({from, to, datagram});
+  if (from != to && link_filter && !link_filter(from, to)) return;
+  if (random_unit() < links.loss) return;
+  const int deliveries = random_unit() < links.duplicate ? 2 : 1;
   for (int i = 0; i < deliveries; ++i) {
-    double at = now_ + links.delay + links.jitter * draw_unit();
-    if (draw_unit() < links.reorder) at += kReorderFactor * (links.delay + links.jitter);
+    double at = now_ + links.delay + links.jitter * random_unit();
+    if (random_unit() < links.reorder) at += kReorderFactor * (links.delay + links.jitter);
     events_.push({at, ++event_count_, false, from, to, 0, datagram});
   }
 }
@@ -157,14 +157,14 @@
   if (!node.is_up || node.is_paused) return;
   const double at = std::min(node.detector->next_deadline(), node.tracker->next_deadline());
   if (at == std::numeric_limits<double>::infinity()) return;
-  const double due = std::max(now_, at) + node.timer_delay * draw_unit();
-  const std::uint64_t order = ++event_count_;
-  events_.push({due, order, true, index, index, ++newest_timers_[static_cast<std::size_t>(index)], {}});
+  const double due = std::max(now_, at) + node.max_timer_delay * random_unit();
+  const std::uint64_t sequence = ++event_count_;
+  events_.push({due, sequence, true, index, index, ++latest_timer_ids_[static_cast<std::size_t>(index)], {}});
 }
 
 void SimulatedNetwork::on_timer(int index, std::uint64_t timer_id) {
   Node& node = this->node(index);
-  const bool is_cancelled = timer_id != newest_timers_[static_cast<std::size_t>(index)];
+  const bool is_cancelled = timer_id != latest_timer_ids_[static_cast<std::size_t>(index)];
   if (!node.is_up || node.is_paused || is_cancelled) return;
   process(index, node.detector->on_timer(now_));
 }
@@ -172,7 +172,7 @@
 void SimulatedNetwork::on_arrival(const Event& event) {
   Node& node = this->node(event.to);
   if (!node.is_up) return;
-  // A node recognizes only the source addresses in its configuration.
+  // A node knows only the source addresses in its configuration.
   std::optional<NodeId> sender;
   if (event.from < node.configured_count) sender = static_cast<NodeId>(event.from);
   if (node.is_paused) {
--- a/bench/membership/simulated_network.h
+++ b/bench/membership/simulated_network.h
@@ -1,6 +1,6 @@
-// A simulated network of failure detectors in virtual time. Datagrams are delayed, duplicated, reordered or
-// lost as a seed draws it; links are cut one way or both; nodes pause, stop and start again. The same seed
-// gives the same run.
+// Simulates a network of failure detectors in virtual time. Datagrams are delayed, duplicated, reordered or
+// lost at random; links can fail in one or both directions; nodes can pause, stop and restart. Runs with the
+// same seed are identical.
 #pragma once
 
 #include <cstdint>
@@ -21,9 +21,9 @@
 class SimulatedNetwork {
  public:
   struct LinkConditions {
-    double delay = 0.001;   // s
-    double jitter = 0.002;  // s
-    double loss = 0;        // probabilities
+    double delay = 0.001;   // seconds
+    double jitter = 0.002;  // seconds
+    double loss = 0;        // probability, as are the two below
     double duplicate = 0;
     double reorder = 0;
   };
@@ -37,14 +37,15 @@
     std::unique_ptr<ReplicaSetViewTracker> tracker;
     bool is_up = false;
     bool is_paused = false;
-    double timer_delay = 0;                       // s by which its timers are late at most: a starved core
-    std::uint64_t clock_error = 0;                // ms by which its wall clock is wrong
-    bool is_clock_behind = false;                 // else ahead
-    int configured_count = 0;                     // nodes in its configuration
-    std::vector<ReceivedDatagram> socket_buffer;  // while it is paused
+    // Seconds. Timers fire late by a random time up to this, as on a starved CPU core.
+    double max_timer_delay = 0;
+    std::uint64_t clock_offset_ms = 0;            // error of the node's wall clock
+    bool is_clock_behind = false;                 // otherwise the clock is ahead
+    int configured_count = 0;                     // number of nodes in its configuration
+    std::vector<ReceivedDatagram> socket_buffer;  // datagrams received while the node is paused
     std::vector<MemberChanged> changes;
-    int rank_changes = 0;                                        // of rank or live_count
-    Connectivity best_connectivity = Connectivity::kStandalone;  // over the whole run
+    int rank_changes = 0;                                        // changes of rank or live_count
+    Connectivity best_connectivity = Connectivity::kStandalone;  // best value in the whole run
   };
   struct SentDatagram {
     int from = 0;
@@ -56,11 +57,11 @@
                    ReplicaSetViewConfig view_config = {});
 
   LinkConditions links;
-  // Whether what `from` sends reaches `to`; everything does where it is empty.
-  std::function<bool(int from, int to)> delivers;
-  // What was sent, in order, while `records_traffic`.
+  // Returns whether datagrams from `from` can reach `to`. If empty, all links work.
+  std::function<bool(int from, int to)> link_filter;
+  // Datagrams sent while `capture_traffic` is set, in order.
   std::vector<SentDatagram> traffic;
-  bool records_traffic = false;
+  bool capture_traffic = false;
 
   [[nodiscard]] double now() const { return now_; }
   [[nodiscard]] int size() const { return static_cast<int>(nodes_.size()); }
@@ -70,41 +71,44 @@
   const ReplicaSetView& view(int index) { return node(index).tracker->current(); }
   static std::uint32_t replica_set_id() { return replica_set_id_of("net"); }
 
-  // `configured_count`: nodes in its configuration; 0: all.
+  // Starts or restarts a node. `configured_count`: number of nodes in its configuration; 0 means all.
   void start(int index, int configured_count = 0);
   void start_all();
   void kill(int index);
   void leave(int index);
   void pause(int index) { node(index).is_paused = true; }
-  // Receives what has arrived meanwhile before any timer, as node/peers does.
+  // Delivers the datagrams that arrived during the pause before any timer runs, as node/peers.cpp does.
   void resume(int index);
-  // Delivers a datagram that no node has sent.
+  // Delivers a datagram that no simulated node sent.
   void inject(int to, std::optional<NodeId> from, const Datagram& datagram) { deliver(to, from, datagram); }
 
   void run(double seconds);
-  // Whether `done` became true within `seconds`.
+  // Runs until `done` returns true, for at most `seconds`. Returns whether it did.
   bool run_until(double seconds, const std::function<bool()>& done);
 
-  // Whether every live node in `observers` (all, where empty) has `id` in `state`.
+  // Whether every live node in `observers` (all nodes if empty) has `id` in state `state`.
   [[nodiscard]] bool all_see(NodeId id, MemberState state, const std::vector<int>& observers = {});
-  // Whether every live node has exactly the live ones as alive.
+  // Whether every live node sees exactly the live nodes as alive.
   [[nodiscard]] bool has_converged();
-  // How often nodes, but those in `except`, were declared failed by others, over all nodes.
-  [[nodiscard]] int false_failures(const std::set<int>& except = {});
+  // How many times a node marked another as failed. Nodes in `excluded` count neither as observers nor as
+  // failed nodes.
+  [[nodiscard]] int false_failures(const std::set<int>& excluded = {});
 
  private:
   struct Event {
     double at = 0;
-    std::uint64_t order = 0;
+    std::uint64_t sequence = 0;
     bool is_timer = false;
     int from = 0;
     int to = 0;
     std::uint64_t timer_id = 0;
     Datagram datagram;
-    bool operator>(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
+    bool operator>(const Event& other) const {
+      return at != other.at ? at > other.at : sequence > other.sequence;
+    }
   };
 
-  double draw_unit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  double random_unit() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   void transmit(int from, int to, const Datagram& datagram);
   void process(int index, const std::vector<Output>& outputs);
   void update_view(Node& node);
@@ -117,7 +121,7 @@
   ReplicaSetViewConfig view_config_;
   std::mt19937_64 random_;
   std::vector<Node> nodes_;
-  std::vector<std::uint64_t> newest_timers_;  // by node; older ones are cancelled
+  std::vector<std::uint64_t> latest_timer_ids_;  // by node index; timers with older ids are cancelled
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::uint64_t event_count_ = 0;
   std::size_t longest_datagram_ = 0;
--- a/tests/membership/detector_test.cpp
+++ b/tests/membership/detector_test.cpp
@@ -1,5 +1,5 @@
-// The failure detector in a simulated network, over many seeds: completeness, accuracy, and robustness
-// against false and replayed datagrams.
+// Tests the failure detector in a simulated network with many seeds: completeness, accuracy, and robustness
+// against link failures, restarts, pauses and configuration changes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,9 +11,9 @@
 namespace thymewood::membership {
 namespace {
 
-// The stated time to failure where all live nodes reach each other: one of them probes the stopped node
-// within a few intervals, and others confirm the suspicion or it times out. max_time_to_failure() bounds an
-// observer without helpers.
+// Expected time until a stopped node is marked as failed if all live nodes can reach each other: one of them
+// probes it within a few intervals, then the suspicion times out or is confirmed earlier.
+// max_time_to_failure() is the bound for a single observer without help from other nodes.
 double expected_time_to_failure(int nodes) {
   const DetectorConfig config;
   const double log10 = std::max(1.0, std::log10(nodes));
@@ -38,26 +38,28 @@
   }
 }
 
-// Completeness, over seeds and sizes.
-TEST(Detector, AStoppedNodeIsFailedAtEveryLiveNode) {
+// Completeness, for many seeds and replica set sizes.
+TEST(Detector, EveryLiveNodeMarksAStoppedNodeAsFailed) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     const int nodes = 2 + static_cast<int>(seed * 7 % 39);
     SimulatedNetwork net(nodes, seed);
     net.links.loss = seed % 3 == 0 ? 0.05 : 0;
     net.start_all();
     net.run(15);
-    const int dead = static_cast<int>(seed) % nodes;
-    net.kill(dead);
-    EXPECT_TRUE(net.run_until(2 * expected_time_to_failure(nodes),
-                              [&] { return net.all_see(static_cast<NodeId>(dead), MemberState::kFailed); }))
+    const int stopped = static_cast<int>(seed) % nodes;
+    net.kill(stopped);
+    EXPECT_TRUE(
+        net.run_until(2 * expected_time_to_failure(nodes),
+                      [&] { return net.all_see(static_cast<NodeId>(stopped), MemberState::kFailed); }))
         << nodes << " nodes, seed " << seed;
     net.run(30);
-    EXPECT_TRUE(net.all_see(static_cast<NodeId>(dead), MemberState::kFailed)) << "and stays so";
-    EXPECT_EQ(net.false_failures({dead}), 0) << nodes << " nodes, seed " << seed;
+    EXPECT_TRUE(net.all_see(static_cast<NodeId>(stopped), MemberState::kFailed))
+        << "the node must stay failed";
+    EXPECT_EQ(net.false_failures({stopped}), 0) << nodes << " nodes, seed " << seed;
   }
 }
 
-TEST(Detector, AStoppedNodeOfThreeHundredIsFailedWithinTheStatedTime) {
+TEST(Detector, AStoppedNodeAmongThreeHundredIsFailedWithinTheExpectedTime) {
   SimulatedNetwork net(300, 11);
   net.start_all();
   net.run(20);
@@ -67,20 +69,20 @@
   EXPECT_EQ(net.false_failures({123}), 0);
 }
 
-TEST(Detector, OfTwoNodesTheSurvivorDetectsTheFailureWithinTheBound) {
+TEST(Detector, TheSurvivorOfTwoNodesDetectsTheFailureWithinTheBound) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     SimulatedNetwork net(2, seed);
     net.start_all();
     net.run(5);
     net.kill(1);
-    // Its local health stretches its intervals: no other node can answer it.
+    // The local health score extends the survivor's probe intervals because no other node answers.
     EXPECT_TRUE(net.run_until(max_time_to_failure({}, 2) * (1 + DetectorConfig{}.max_local_health), [&] {
       return net.all_see(1, MemberState::kFailed);
     })) << seed;
   }
 }
 
-// Accuracy: with a fifth of all datagrams lost, and others duplicated and reordered.
+// Accuracy: a fifth of all datagrams is lost, others are duplicated or reordered.
 TEST(Detector, PacketLossAloneCausesNoLastingFailure) {
   int failed = 0;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
@@ -92,10 +94,10 @@
     net.links.loss = 0;
     EXPECT_TRUE(net.run_until(60, [&] { return net.has_converged(); })) << "seed " << seed;
   }
-  EXPECT_EQ(failed, 0) << "in ten node hours";
+  EXPECT_EQ(failed, 0) << "in 10 node hours";
 }
 
-// Suspicions and refutations have to fit into what datagrams can carry.
+// Suspicions and refutations must fit into the capacity of the datagrams.
 TEST(Detector, RefutationsGetThroughDespiteLossInALargeReplicaSet) {
   SimulatedNetwork net(160, 5);
   net.links.loss = 0.2;
@@ -104,7 +106,7 @@
   EXPECT_EQ(net.false_failures(), 0);
   std::uint64_t suspicions = 0;
   for (int i = 0; i < net.size(); ++i) suspicions += net.detector(i).counters().suspicions;
-  EXPECT_LT(suspicions / 160, 60u) << "suspicions per node in two minutes of 160 pings a second";
+  EXPECT_LT(suspicions / 160, 60u) << "suspicions per node within two minutes at 160 pings per second";
 }
 
 TEST(Detector, WithoutFaultsNoNodeIsSuspected) {
@@ -119,17 +121,17 @@
 }
 
 TEST(Detector, BytesPerNodeDoNotDependOnTheReplicaSetSize) {
-  std::map<int, double> a_second;
+  std::map<int, double> bytes_per_second;
   for (const int nodes : {3, 30, 150}) {
     SimulatedNetwork net(nodes, 5);
     net.start_all();
-    net.run(60);  // until all have met
+    net.run(60);  // until all nodes know each other
     const std::uint64_t before = net.detector(0).counters().sent_bytes;
     net.run(60);
-    a_second[nodes] = static_cast<double>(net.detector(0).counters().sent_bytes - before) / 60;
+    bytes_per_second[nodes] = static_cast<double>(net.detector(0).counters().sent_bytes - before) / 60;
   }
-  for (const auto& [nodes, bytes] : a_second) {
-    EXPECT_LE(bytes, 3 * kMaxDatagramBytes) << nodes << ": a ping and an answer a second, and rarely more";
+  for (const auto& [nodes, bytes] : bytes_per_second) {
+    EXPECT_LE(bytes, 3 * kMaxDatagramBytes) << nodes << " nodes: usually one ping and one ack per second";
     EXPECT_GT(bytes, 0);
   }
 }
@@ -139,7 +141,7 @@
 TEST(Detector, IndirectProbesCompensateForAOneWayLink) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SimulatedNetwork net(8, seed);
-    net.delivers = [](int from, int to) { return !(from == 2 && to == 5); };
+    net.link_filter = [](int from, int to) { return !(from == 2 && to == 5); };
     net.start_all();
     net.run(200);
     EXPECT_EQ(net.false_failures(), 0) << seed;
@@ -151,7 +153,7 @@
 TEST(Detector, IndirectProbesKeepTwoDisconnectedNodesAlive) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SimulatedNetwork net(3, seed);
-    net.delivers = [](int from, int to) { return !(from + to == 1); };  // 0 and 1
+    net.link_filter = [](int from, int to) { return !(from + to == 1); };  // cuts the link between 0 and 1
     net.start_all();
     net.run(300);
     EXPECT_EQ(net.false_failures(), 0) << seed;
@@ -164,18 +166,18 @@
     SimulatedNetwork net(12, seed);
     net.start_all();
     net.run(15);
-    net.delivers = [](int from, int to) { return (from % 3 == 1) == (to % 3 == 1); };
+    net.link_filter = [](int from, int to) { return (from % 3 == 1) == (to % 3 == 1); };
     net.run(150);
     std::vector<int> outside;
     for (int i = 0; i < 12; ++i) {
       if (i % 3 != 1) outside.push_back(i);
     }
-    for (const int gone : {1, 4, 7, 10}) {
-      EXPECT_TRUE(net.all_see(static_cast<NodeId>(gone), MemberState::kFailed, outside)) << seed;
-      EXPECT_EQ(net.detector(1).record(static_cast<NodeId>(gone)).state, MemberState::kAlive)
-          << "within the zone all are alive";
+    for (const int partitioned : {1, 4, 7, 10}) {
+      EXPECT_TRUE(net.all_see(static_cast<NodeId>(partitioned), MemberState::kFailed, outside)) << seed;
+      EXPECT_EQ(net.detector(1).record(static_cast<NodeId>(partitioned)).state, MemberState::kAlive)
+          << "nodes within the partitioned zone see each other as alive";
     }
-    net.delivers = {};
+    net.link_filter = {};
     EXPECT_TRUE(net.run_until(60, [&] { return net.has_converged(); })) << "seed " << seed;
   }
 }
@@ -185,7 +187,7 @@
 TEST(Detector, ARestartWithinAnIntervalRaisesTheIncarnationWithoutFailure) {
   for (std::uint64_t seed = 1; seed <= 30; ++seed) {
     SimulatedNetwork net(6, seed);
-    net.links = {0.01, 0.2, 0, 0, 0.2};  // datagrams of the previous run are still in flight
+    net.links = {0.01, 0.2, 0, 0, 0.2};  // datagrams of the previous process are still in flight
     net.start_all();
     net.run(10);
     const Incarnation before = net.detector(0).record(4).incarnation;
@@ -205,7 +207,7 @@
   net.start_all();
   net.run(10);
   net.kill(4);
-  net.node(4).clock_error = 3'600'000;
+  net.node(4).clock_offset_ms = 3'600'000;
   net.node(4).is_clock_behind = true;
   net.run(0.5);
   net.start(4);
@@ -217,7 +219,7 @@
     }
     return own > stale && net.has_converged();
   }));
-  EXPECT_FALSE(net.detector(4).has_id_conflict()) << "its own earlier run is no other node";
+  EXPECT_FALSE(net.detector(4).has_id_conflict()) << "its own earlier process must not count as a conflict";
 }
 
 TEST(Detector, NodesThatRestartAtOnceConverge) {
@@ -243,7 +245,7 @@
     EXPECT_TRUE(net.all_see(6, MemberState::kLeft));
     for (int i = 0; i < 20; ++i) EXPECT_EQ(net.detector(i).counters().suspicions, 0u);
     net.start(6);
-    EXPECT_TRUE(net.run_until(60, [&] { return net.has_converged(); })) << "and it joins again";
+    EXPECT_TRUE(net.run_until(60, [&] { return net.has_converged(); })) << "the node must be able to rejoin";
   }
 }
 
@@ -261,7 +263,8 @@
     for (const MemberChanged& c : net.node(3).changes)
       EXPECT_NE(c.current.state, MemberState::kFailed) << "seed " << seed;
     EXPECT_GE(net.detector(3).counters().pauses, 1u);
-    EXPECT_TRUE(net.run_until(30, [&] { return net.has_converged(); })) << "and it is alive again for all";
+    EXPECT_TRUE(net.run_until(30, [&] { return net.has_converged(); }))
+        << "all nodes must see it as alive again";
   }
 }
 
@@ -269,30 +272,30 @@
   int failed = 0, suspected = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SimulatedNetwork net(15, seed);
-    net.node(2).timer_delay = 0.9;
+    net.node(2).max_timer_delay = 0.9;
     net.start_all();
     net.run(200);
     for (const MemberChanged& c : net.node(2).changes)
       failed += c.current.state == MemberState::kFailed ? 1 : 0;
     suspected += static_cast<int>(net.detector(2).counters().suspicions);
   }
-  EXPECT_EQ(failed, 0) << "of " << suspected << " suspicions";
+  EXPECT_EQ(failed, 0) << "failures out of " << suspected << " suspicions";
 }
 
-// Its own link is the likelier fault: it stretches its timeouts and accuses fewer nodes.
+// The node's own link is the likely fault, so it extends its timeouts and suspects fewer nodes.
 TEST(Detector, ANodeWithoutInboundTrafficLowersItsLocalHealth) {
   SimulatedNetwork net(20, 3);
   net.start_all();
   net.run(30);
   const std::uint64_t before = net.detector(7).counters().pings;
-  net.delivers = [](int, int to) { return to != 7; };
+  net.link_filter = [](int, int to) { return to != 7; };
   net.run(90);
   EXPECT_EQ(net.detector(7).local_health(), DetectorConfig{}.max_local_health);
-  EXPECT_LT(net.detector(7).counters().pings - before, 20u) << "of 90 with a healthy score";
+  EXPECT_LT(net.detector(7).counters().pings - before, 20u) << "a healthy node would send 90";
   EXPECT_EQ(net.view(7).connectivity, Connectivity::kPartitioned);
-  net.delivers = {};
+  net.link_filter = {};
   EXPECT_TRUE(net.run_until(200, [&] { return net.has_converged() && net.detector(7).local_health() == 0; }))
-      << "and it recovers";
+      << "the node must recover";
 }
 
 TEST(Detector, NeverAcceptsALowerIncarnation) {
@@ -303,25 +306,25 @@
     std::map<std::pair<int, int>, Incarnation> highest;
     std::mt19937_64 random(seed);
     for (int step = 0; step < 60; ++step) {
-      const int who = static_cast<int>(random() % 8);
-      SimulatedNetwork::Node& n = net.node(who);
+      const int node_index = static_cast<int>(random() % 8);
+      SimulatedNetwork::Node& node = net.node(node_index);
       switch (random() % 5) {
         case 0:
-          if (n.is_up && !n.is_paused) net.pause(who);
+          if (node.is_up && !node.is_paused) net.pause(node_index);
           break;
         case 1:
-          if (n.is_up && n.is_paused) net.resume(who);
+          if (node.is_up && node.is_paused) net.resume(node_index);
           break;
         case 2:
-          net.kill(who);
+          net.kill(node_index);
           break;
         case 3:
-          if (n.is_up && !n.is_paused) net.leave(who);
+          if (node.is_up && !node.is_paused) net.leave(node_index);
           break;
         default:
-          if (!n.is_up) {
-            net.start(who);
-            for (int k = 0; k < 8; ++k) highest.erase({who, k});  // a restarted node knows nothing
+          if (!node.is_up) {
+            net.start(node_index);
+            for (int k = 0; k < 8; ++k) highest.erase({node_index, k});  // a restart clears its table
           }
       }
       net.run(1.5);
@@ -339,12 +342,13 @@
       if (net.node(i).is_paused) net.resume(i);
     }
     net.links = {};
-    EXPECT_TRUE(net.run_until(90, [&] { return net.has_converged(); })) << "and all converge, seed " << seed;
+    EXPECT_TRUE(net.run_until(90, [&] { return net.has_converged(); }))
+        << "all nodes must converge, seed " << seed;
     EXPECT_LE(net.longest_datagram(), kMaxDatagramBytes);
   }
 }
 
-// ---------------------------------------------------------------- installations
+// ---------------------------------------------------------------- configuration changes
 
 TEST(Detector, AGrownReplicaSetConvergesOnceAllNodesAreConfigured) {
   SimulatedNetwork net(12, 21);
@@ -355,9 +359,9 @@
   for (int i = 0; i < 8; ++i) {
     for (NodeId k = 0; k < 8; ++k)
       EXPECT_EQ(net.detector(i).record(k).state, MemberState::kAlive)
-          << "the old nodes drop the new nodes' datagrams";
+          << "nodes with the old configuration must ignore datagrams from new nodes";
   }
-  EXPECT_GT(net.detector(0).counters().invalid_fields, 0u) << "an id beyond its configuration";
+  EXPECT_GT(net.detector(0).counters().invalid_fields, 0u) << "sender id outside its configuration";
   for (int i = 0; i < 8; ++i) {
     net.kill(i);
     net.start(i, 12);
@@ -370,7 +374,7 @@
   SimulatedNetwork net(5, 17);
   net.start_all();
   net.run(20);
-  // Another process with node 4's id and address that started later.
+  // Reports the higher incarnation of another process that started later with node 4's id.
   for (int i = 0; i < 4; ++i) {
     net.run(3);
     Message m = message_of(net, 1);
@@ -389,28 +393,28 @@
 }
 
 TEST(Detector, RejectsInvalidConfigurations) {
-  const auto rejected_field = [](LocalNode self, DetectorConfig config) {
+  const auto invalid_field = [](LocalNode local, DetectorConfig config) {
     try {
-      Detector(self, config, 1);
+      Detector(local, config, 1);
       return std::string();
-    } catch (const InvalidDetectorConfig& problem) {
-      return problem.field();
+    } catch (const InvalidDetectorConfig& error) {
+      return error.field();
     }
   };
-  const LocalNode good{1, 3, 0, 1000, 1};
-  EXPECT_EQ(rejected_field(good, {}), "");
-  LocalNode self = good;
-  self.id = 3;
-  EXPECT_EQ(rejected_field(self, {}), "id");
-  self = good;
-  self.start_ms = 0;
-  EXPECT_EQ(rejected_field(self, {}), "start_ms");
+  const LocalNode valid{1, 3, 0, 1000, 1};
+  EXPECT_EQ(invalid_field(valid, {}), "");
+  LocalNode local = valid;
+  local.id = 3;
+  EXPECT_EQ(invalid_field(local, {}), "id");
+  local = valid;
+  local.start_ms = 0;
+  EXPECT_EQ(invalid_field(local, {}), "start_ms");
   DetectorConfig config;
   config.probe_interval = 0;
-  EXPECT_EQ(rejected_field(good, config), "probe_interval");
+  EXPECT_EQ(invalid_field(valid, config), "probe_interval");
   config = {};
   config.ack_timeout_fraction = 1;
-  EXPECT_EQ(rejected_field(good, config), "ack_timeout_fraction");
+  EXPECT_EQ(invalid_field(valid, config), "ack_timeout_fraction");
 }
 
 }  // namespace
--- a/tests/membership/false_datagram_test.cpp
+++ b/tests/membership/false_datagram_test.cpp
@@ -1,4 +1,4 @@
-// What false, stale and replayed datagrams must not change.
+// Tests that false, stale and replayed datagrams do not change the membership state.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -11,7 +11,7 @@
 namespace thymewood::membership {
 namespace {
 
-// One false datagram may remove no node but its sender.
+// A single false datagram must not remove any node except its sender.
 TEST(FalseDatagram, RemovesNoNodeButItsSender) {
   for (const MemberState state : {MemberState::kSuspect, MemberState::kFailed, MemberState::kLeft}) {
     SimulatedNetwork net(16, 4);
@@ -27,18 +27,19 @@
     }
     net.inject(0, 5, encode(m));
     for (int i = 1; i < 16; ++i) {
-      EXPECT_LT(net.detector(0).record(static_cast<NodeId>(i)).state, MemberState::kFailed) << "at once";
+      EXPECT_LT(net.detector(0).record(static_cast<NodeId>(i)).state, MemberState::kFailed)
+          << "failed immediately";
     }
     net.run(120);
     EXPECT_EQ(net.false_failures(), 0)
-        << "nor later: each refutes in time, though all were suspected at once";
+        << "every suspect must refute in time, although all were suspected at once";
     EXPECT_TRUE(net.has_converged());
   }
 }
 
-TEST(FalseDatagram, WithManyAccusersCountsAsOneAccusation) {
+TEST(FalseDatagram, WithManyReportersCountsAsOneReport) {
   SimulatedNetwork net(9, 4);
-  net.delivers = [](int, int to) { return to != 0; };  // node 0 receives only what is injected
+  net.link_filter = [](int, int to) { return to != 0; };  // node 0 receives only what is injected
   net.start_all();
   net.run(0.01);
   Message m = message_of(net, 5);
@@ -46,17 +47,17 @@
   suspected.id = 3;
   suspected.state = MemberState::kSuspect;
   suspected.incarnation = net.detector(3).record(3).incarnation;
-  for (const int by : {1, 2, 4, 5, 6, 7}) {
-    suspected.reported_by = static_cast<NodeId>(by);
+  for (const int reporter : {1, 2, 4, 5, 6, 7}) {
+    suspected.reported_by = static_cast<NodeId>(reporter);
     m.records.push_back(suspected);
   }
   net.inject(0, 5, encode(m));
   ASSERT_EQ(net.detector(0).record(3).state, MemberState::kSuspect);
-  const double least = min_suspicion_timeout({}, 9);
-  net.run(least * 1.5);
+  const double min_timeout = min_suspicion_timeout({}, 9);
+  net.run(min_timeout * 1.5);
   EXPECT_EQ(net.detector(0).record(3).state, MemberState::kSuspect)
-      << "with six reporters it would have timed out";
-  net.run(least * DetectorConfig{}.max_suspicion_multiplier);
+      << "the suspicion would have timed out with six reporters";
+  net.run(min_timeout * DetectorConfig{}.max_suspicion_multiplier);
   EXPECT_EQ(net.detector(0).record(3).state, MemberState::kFailed);
 }
 
@@ -83,18 +84,18 @@
     net.inject(0, from, encode(m));
   };
   const MemberRecord before = net.detector(0).record(2);
-  const auto ending = [](Message& m) { m.kind = MessageKind::kLeaving; };
-  inject(std::nullopt, ending);
-  inject(NodeId{3}, ending);
+  const auto make_leaving = [](Message& m) { m.kind = MessageKind::kLeaving; };
+  inject(std::nullopt, make_leaving);
+  inject(NodeId{3}, make_leaving);
   EXPECT_EQ(net.detector(0).counters().unknown_senders, 2u)
-      << "from an unknown address, and from another node's";
+      << "one from an unknown address, one from the address of another node";
   inject(NodeId{2}, [&](Message& m) {
-    ending(m);
+    make_leaving(m);
     m.replica_set_id += 1;
   });
   EXPECT_EQ(net.detector(0).counters().other_replica_set, 1u);
   inject(NodeId{2}, [&](Message& m) {
-    ending(m);
+    make_leaving(m);
     m.incarnation -= Incarnation{1} << kRefutationBits;
   });
   EXPECT_EQ(net.detector(0).counters().stale, 1u);
@@ -102,19 +103,21 @@
   d.bytes[20] ^= 1;
   net.inject(0, NodeId{2}, d);
   EXPECT_EQ(net.detector(0).counters().checksum_mismatches, 1u);
-  EXPECT_EQ(net.detector(0).record(2), before) << "none of them was applied";
-  inject(NodeId{2}, ending);
-  EXPECT_EQ(net.detector(0).record(2).state, MemberState::kLeft) << "the same from its own address is";
+  EXPECT_EQ(net.detector(0).record(2), before) << "no dropped datagram may be applied";
+  inject(NodeId{2}, make_leaving);
+  EXPECT_EQ(net.detector(0).record(2).state, MemberState::kLeft)
+      << "the same message from the sender's own address must be applied";
 }
 
 TEST(FalseDatagram, IsDroppedWhenReplayed) {
   SimulatedNetwork net(6, 8);
-  net.records_traffic = true;
+  net.capture_traffic = true;
   net.start_all();
   net.run(20);
   const auto traffic = net.traffic;
-  net.records_traffic = false;
-  // Refuted suspicions, earlier incarnations and pings, each replayed from its original address.
+  net.capture_traffic = false;
+  // The replayed traffic contains refuted suspicions, earlier incarnations and pings, each from its original
+  // source address.
   net.kill(3);
   net.run(0.2);
   net.start(3);
@@ -130,7 +133,7 @@
   std::size_t at = 0;
   for (int i = 0; i < 6; ++i) {
     for (NodeId k = 0; k < 6; ++k)
-      EXPECT_EQ(net.detector(i).record(k).incarnation, before[at++]) << "at " << i << " of " << k;
+      EXPECT_EQ(net.detector(i).record(k).incarnation, before[at++]) << "observer " << i << ", node " << k;
   }
   EXPECT_GT(net.detector(0).counters().duplicates, duplicates);
   EXPECT_GT(net.detector(0).counters().stale, stale);
--- a/tests/membership/gossip_queue_test.cpp
+++ b/tests/membership/gossip_queue_test.cpp
@@ -1,4 +1,4 @@
-// The queue of records that are piggybacked on datagrams.
+// Tests the queue of records to be piggybacked on datagrams.
 #include "gossip_queue.h"
 
 #include <gtest/gtest.h>
@@ -9,8 +9,8 @@
 namespace thymewood::membership {
 namespace {
 
-MemberRecord record_of(int number, Incarnation incarnation = 1) {
-  return {static_cast<NodeId>(number), 0, MemberState::kAlive, 0, incarnation};
+MemberRecord record_of(int id, Incarnation incarnation = 1) {
+  return {static_cast<NodeId>(id), 0, MemberState::kAlive, 0, incarnation};
 }
 
 TEST(GossipQueue, TakesRecordsWithTheFewestTransmissionsUpToTheLimit) {
@@ -23,11 +23,11 @@
       queue.add(record_of(7));
       const std::vector<MemberRecord> out = queue.take(1, 3, 99);
       ASSERT_EQ(out.size(), 1u);
-      EXPECT_EQ(out[0].id, 7) << "the newest record goes first";
+      EXPECT_EQ(out[0].id, 7) << "the newest record must be returned first";
       transmissions[7] += 1;
     }
   }
-  for (const int number : {0, 1, 2, 3, 4, 7}) EXPECT_EQ(transmissions[number], 3) << number;
+  for (const int id : {0, 1, 2, 3, 4, 7}) EXPECT_EQ(transmissions[id], 3) << id;
   EXPECT_EQ(queue.size(), 0u);
 }
 
@@ -36,7 +36,7 @@
   queue.add(record_of(3, 1));
   queue.add(record_of(3, 2));
   EXPECT_EQ(queue.size(), 1u);
-  EXPECT_TRUE(queue.take(9, 5, 3).empty()) << "the receiver's own record is excluded";
+  EXPECT_TRUE(queue.take(9, 5, 3).empty()) << "the excluded node's record must not be returned";
   const std::vector<MemberRecord> out = queue.take(9, 5, 4);
   ASSERT_EQ(out.size(), 1u);
   EXPECT_EQ(out[0].incarnation, 2u);
--- a/tests/membership/message_of_node.h
+++ b/tests/membership/message_of_node.h
@@ -1,11 +1,11 @@
-// Messages that appear to come from a node of a simulated network.
+// Builds messages that appear to come from a node of a simulated network.
 #pragma once
 
 #include "simulated_network.h"
 
 namespace thymewood::membership {
 
-// A ping from `sender` to node 0, with a sequence number above all that it has sent.
+// A ping from `sender` to node 0 with a higher sequence number than any datagram that `sender` has sent.
 inline Message message_of(SimulatedNetwork& net, int sender) {
   Message m;
   m.kind = MessageKind::kPing;
--- a/tests/membership/replica_set_view_test.cpp
+++ b/tests/membership/replica_set_view_test.cpp
@@ -1,4 +1,4 @@
-// A node's view of the replica set: rank, counts and connectivity.
+// Tests a node's view of the replica set: rank, counts and connectivity.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 namespace thymewood::membership {
 namespace {
 
-TEST(ReplicaSetView, IsCompleteAndRankedByIdWhereAllNodesAreLive) {
+TEST(ReplicaSetView, IsCompleteAndRankedByIdWhenAllNodesAreLive) {
   SimulatedNetwork net(7, 1);
   net.start_all();
   net.run(40);
@@ -18,7 +18,7 @@
     EXPECT_EQ(net.view(i).live_count, 7);
     EXPECT_EQ(net.view(i).max_count, 7);
     EXPECT_EQ(net.view(i).reachable_by_zone, (std::map<int, int>{{0, 3}, {1, 2}, {2, 2}}));
-    EXPECT_EQ(net.node(i).rank_changes, 0) << "as configured from the start";
+    EXPECT_EQ(net.node(i).rank_changes, 0) << "the initial rank and live_count must not change";
   }
 }
 
@@ -28,14 +28,15 @@
   net.run(300);
   EXPECT_EQ(net.view(4).connectivity, Connectivity::kPartitioned);
   EXPECT_EQ(net.view(4).reachable_count, 1);
-  EXPECT_EQ(net.node(4).best_connectivity, Connectivity::kPartitioned) << "over the whole run";
+  EXPECT_EQ(net.node(4).best_connectivity, Connectivity::kPartitioned)
+      << "best connectivity in the whole run";
   EXPECT_EQ(net.view(4).rank, 4);
-  EXPECT_EQ(net.view(4).live_count, 9) << "all peers silent: as configured";
+  EXPECT_EQ(net.view(4).live_count, 9) << "must stay as configured while no peer responds";
   EXPECT_EQ(net.view(4).max_count, 9);
   EXPECT_EQ(net.node(4).rank_changes, 0);
 }
 
-TEST(ReplicaSetView, AFailedNodesWorkIsTakenOverButNotItsPartOfLimits) {
+TEST(ReplicaSetView, AFailedNodeCountsForLimitsButNotForRanks) {
   SimulatedNetwork net(10, 2);
   net.start_all();
   net.run(40);
@@ -49,7 +50,7 @@
   for (int i = 0; i < 10; ++i) {
     if (i == 3) continue;
     EXPECT_EQ(net.view(i).rank, i < 3 ? i : i - 1);
-    EXPECT_EQ(net.view(i).max_count, 10) << "it may be partitioned, and go on sending";
+    EXPECT_EQ(net.view(i).max_count, 10) << "the node may be partitioned and still send requests";
     EXPECT_EQ(net.view(i).connectivity, Connectivity::kPartial);
   }
 }
@@ -69,20 +70,22 @@
   }
 }
 
-TEST(ReplicaSetView, AMinorityThatSurvivesIsPartitioned) {
+TEST(ReplicaSetView, ASurvivingMinorityIsPartitioned) {
   SimulatedNetwork net(10, 5);
   net.start_all();
   net.run(40);
-  for (const int dead : {0, 1, 2, 4, 5, 7, 8}) net.kill(dead);
-  for (const int left : {3, 6, 9}) {
-    EXPECT_TRUE(net.run_until(90, [&] { return net.view(left).connectivity == Connectivity::kPartitioned; }));
+  for (const int failed_node : {0, 1, 2, 4, 5, 7, 8}) net.kill(failed_node);
+  for (const int survivor : {3, 6, 9}) {
+    EXPECT_TRUE(
+        net.run_until(90, [&] { return net.view(survivor).connectivity == Connectivity::kPartitioned; }));
   }
   net.run(200);
-  for (const int left : {3, 6, 9}) {
-    EXPECT_EQ(net.view(left).live_count, 10) << "they can't tell failures from a partition: as configured";
-    EXPECT_EQ(net.view(left).max_count, 10);
+  for (const int survivor : {3, 6, 9}) {
+    EXPECT_EQ(net.view(survivor).live_count, 10)
+        << "the survivors can't distinguish failures from a partition, so the count stays as configured";
+    EXPECT_EQ(net.view(survivor).max_count, 10);
   }
-  for (const int dead : {0, 1, 2, 4, 5, 7, 8}) net.start(dead);
+  for (const int failed_node : {0, 1, 2, 4, 5, 7, 8}) net.start(failed_node);
   EXPECT_TRUE(net.run_until(120, [&] {
     for (int i = 0; i < 10; ++i) {
       if (net.view(i).connectivity != Connectivity::kComplete || net.view(i).live_count != 10) return false;
@@ -91,12 +94,12 @@
   }));
 }
 
-TEST(ReplicaSetView, TheSmallerSideIsPartitionedBeforeAllOthersHaveFailed) {
+TEST(ReplicaSetView, TheMinoritySideIsPartitionedBeforeAllUnreachableNodesAreFailed) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     SimulatedNetwork net(60, seed);
     net.start_all();
     net.run(60);
-    net.delivers = [](int from, int to) { return (from % 3 == 1) == (to % 3 == 1); };
+    net.link_filter = [](int from, int to) { return (from % 3 == 1) == (to % 3 == 1); };
     int failed = -1;
     EXPECT_TRUE(net.run_until(60, [&] {
       if (net.view(1).connectivity != Connectivity::kPartitioned) return false;
@@ -106,13 +109,13 @@
       return true;
     })) << seed;
     EXPECT_LT(failed, 30);
-    net.delivers = {};
+    net.link_filter = {};
     EXPECT_TRUE(net.run_until(200, [&] { return net.view(1).connectivity == Connectivity::kComplete; }))
         << seed;
   }
 }
 
-// Each flap of a node moves the others' parts of the work less often.
+// A flapping node must not change the ranks of the other nodes with each flap.
 TEST(ReplicaSetView, AFlappingNodeDoesNotChangeRanksEachTime) {
   SimulatedNetwork net(8, 6);
   net.start_all();
@@ -127,62 +130,62 @@
   }
   for (int i = 0; i < 8; ++i) {
     if (i == 2) continue;
-    EXPECT_LT(net.node(i).rank_changes, flaps) << "two per flap without hysteresis";
+    EXPECT_LT(net.node(i).rank_changes, flaps) << "without hysteresis there would be two per flap";
     EXPECT_GT(net.node(i).rank_changes, 0);
   }
 }
 
-TEST(ReplicaSetView, ChangesAreBatchedAndKeepTheMinimumInterval) {
+TEST(ReplicaSetView, ChangesAreBatchedAndRespectTheMinimumInterval) {
   ReplicaSetViewConfig config;
-  config.settle_time = 0.5;  // so that min_change_interval decides
+  config.settle_time = 0.5;  // short, so that min_change_interval determines the time between changes
   config.max_settle_doublings = 0;
-  const LocalNode self{0, 12, 0, 1000, 1};
-  Detector detector(self, {}, 1);
+  const LocalNode local{0, 12, 0, 1000, 1};
+  Detector detector(local, {}, 1);
   detector.start(0);
-  ReplicaSetViewTracker tracker(self, config);
-  double last = -100;
+  ReplicaSetViewTracker tracker(local, config);
+  double last_change = -100;
   ReplicaSetView before = tracker.current();
-  int moves = 0;
+  int rank_changes = 0;
   std::mt19937_64 random(3);
-  std::uint32_t stamp = 0;
+  std::uint32_t last_sequence_number = 0;
   std::vector<Incarnation> incarnations(12, incarnation_of(1000));
-  const auto receive = [&](double t, MessageKind kind, NodeId who, std::uint32_t answers) {
+  const auto receive = [&](double now, MessageKind kind, NodeId id, std::uint32_t in_reply_to) {
     Message m;
     m.kind = kind;
-    m.sender = m.target = who;
+    m.sender = m.target = id;
     m.replica_set_id = 1;
-    m.sequence_number = ++stamp;
-    m.in_reply_to = answers;
-    m.incarnation = incarnations[who];
-    static_cast<void>(detector.receive(t, who, encode(m).view()));  // its answers go nowhere
+    m.sequence_number = ++last_sequence_number;
+    m.in_reply_to = in_reply_to;
+    m.incarnation = incarnations[id];
+    static_cast<void>(detector.receive(now, id, encode(m).view()));  // replies are discarded
   };
-  for (double t = 0; t < 600; t += 0.25) {
-    // Every pinged node acks.
-    for (const Output& output : detector.on_timer(t)) {
+  for (double now = 0; now < 600; now += 0.25) {
+    // Every pinged node replies with an ack.
+    for (const Output& output : detector.on_timer(now)) {
       const auto* sent = std::get_if<SendDatagram>(&output);
       if (sent == nullptr) continue;
       const auto decoded = decode(sent->datagram.view(), 1, 12);
       const auto* ping = std::get_if<Message>(&decoded);
       if (ping != nullptr && ping->kind == MessageKind::kPing)
-        receive(t, MessageKind::kAck, ping->target, ping->sequence_number);
+        receive(now, MessageKind::kAck, ping->target, ping->sequence_number);
     }
-    // At random a node leaves or is restarted.
-    const auto who = static_cast<NodeId>(1 + random() % 11);
-    incarnations[who] += Incarnation{1} << kRefutationBits;
-    receive(t, random() % 2 == 0 ? MessageKind::kLeaving : MessageKind::kAck, who, 0);
-    if (const auto view = tracker.update(t, detector)) {
+    // A random node leaves or restarts.
+    const auto id = static_cast<NodeId>(1 + random() % 11);
+    incarnations[id] += Incarnation{1} << kRefutationBits;
+    receive(now, random() % 2 == 0 ? MessageKind::kLeaving : MessageKind::kAck, id, 0);
+    if (const auto view = tracker.update(now, detector)) {
       if (view->connectivity > Connectivity::kPartitioned &&
           before.connectivity > Connectivity::kPartitioned &&
           (view->rank != before.rank || view->live_count != before.live_count)) {
-        EXPECT_GE(t - last, config.min_change_interval - 1e-9);
-        last = t;
-        ++moves;
+        EXPECT_GE(now - last_change, config.min_change_interval - 1e-9);
+        last_change = now;
+        ++rank_changes;
       }
       before = *view;
     }
   }
-  EXPECT_LE(moves, 60);
-  EXPECT_GT(moves, 20);
+  EXPECT_LE(rank_changes, 60);
+  EXPECT_GT(rank_changes, 20);
 }
 
 }  // namespace
