--- a/include/thymewood/events.h
+++ b/include/thymewood/events.h
@@ -1,4 +1,4 @@
-// What a Balancer is notified of. Times are seconds on the host's clock, durations seconds.
+// Events that a host passes to a Balancer. Times are seconds on the host's clock; durations are in seconds.
 #pragma once
 
 #include <cstdint>
@@ -9,101 +9,104 @@
 
 namespace thymewood {
 
-// The replica starts; the first event.
+// The replica has started. This is the first event.
 struct Started {};
 
-// A client's request needs a server.
+// A client's request has arrived and needs a server.
 struct Request {
   std::string id;
   std::size_t tenant = 0;
   std::size_t request_class = 0;
-  double time_left = 0;          // until the client's timeout
-  std::optional<double> work;    // announced work, seconds on a standard core
-  bool is_client_retry = false;  // the client marked it as a retry of its own
+  double time_left = 0;          // time until the client's timeout
+  std::optional<double> work;    // work announced by the client, seconds on a standard core
+  bool is_client_retry = false;  // the client marked it as a retry
 };
 
 // How an attempt ended.
 enum class Outcome {
   kSuccess,        // a complete response for the client
   kError,          // the server answered with an error
-  kRejected,       // the server rejected it unprocessed: full or draining
-  kTimedOut,       // no response in time
+  kRejected,       // the server rejected it without processing it: overloaded or draining
+  kTimedOut,       // no response within the attempt's timeout
   kConnectFailed,  // no connection was established
   kReset,          // the connection broke while the attempt was in flight
-  kCancelled,      // withdrawn by Cancel
+  kCancelled,      // cancelled by a Cancel action
   kNotSent,        // never left this replica
-  kUnknown         // anything else: it may have run
+  kUnknown         // anything else: the attempt may have run
 };
 
-// A streaming response has begun; from here on the attempt belongs to the client and is not retried.
+// A streaming response has started: the client receives its data from now on, so the attempt is neither
+// retried nor cancelled.
 struct ResponseStarted {
   std::string id;
   int attempt = 0;
   double elapsed = 0;
 };
 
-// An attempt has ended. Each Send gets exactly one.
+// An attempt has ended. Each Send action results in exactly one of these events.
 struct AttemptResult {
   std::string id;
   int attempt = 0;
   Outcome outcome = Outcome::kUnknown;
   double elapsed = 0;             // since it was sent
-  bool request_complete = false;  // the request needs no further answer
+  bool request_complete = false;  // the client needs no further response
 };
 
-// The client disconnected or timed out; no answer is owed any more.
+// The client disconnected or timed out; no final answer is needed any more.
 struct RequestAbandoned {
   std::string id;
 };
 
 enum class EndpointState { kReady, kDraining, kRemoved };
 
-// A server as discovery lists it.
+// A server as listed by discovery.
 struct Endpoint {
   std::string address;
   int zone = 0;
   int cell = 0;
-  double weight = 1;      // capacity in comparison with other servers
-  double started_at = 0;  // when its process last started; 0: long ago
+  double weight = 1;      // capacity relative to other servers
+  double started_at = 0;  // when its process last started; 0: long before now
   EndpointState state = EndpointState::kReady;
 };
 
-// How a call to discovery failed, or a watch ended.
+// Describes how a call to discovery failed, or how a watch ended.
 struct WatchFailure {
-  bool was_open = false;  // a watch that had answered
-  double waited = 0;      // how long the call was out without an answer
+  bool was_open = false;  // an open watch that had delivered a response
+  double waited = 0;      // how long the call waited for a response
 };
 
-// Discovery's answer, or its failure to answer.
+// A response of discovery, or the failure of a call to it.
 struct EndpointUpdate {
   enum class Form {
-    kDelta,  // only what changed
-    kFull,   // the complete list: what it lacks is removed
-    kFailed  // the call failed or the watch broke; what is known stays
+    kDelta,  // only the changed endpoints
+    kFull,   // the complete list: endpoints missing from it are removed
+    kFailed  // the call failed or the watch broke; the known endpoints are kept
   };
   Form form = Form::kFull;
   std::vector<Endpoint> endpoints;
-  std::optional<WatchFailure> failure = std::nullopt;  // with kFailed, where the host can say
+  std::optional<WatchFailure> failure = std::nullopt;  // set with kFailed if the host knows the cause
 };
 
-// Whether the endpoint list is kept up to date. Without this event it counts as current.
+// Whether the endpoint list is up to date. Before the first such event, the list counts as current only if
+// Settings::endpoint_lease is infinite.
 struct EndpointListFreshness {
   enum class State {
-    kCurrent,  // a watch is open and has delivered all it had
-    kStale,    // no watch is open, or it is silent
-    kMoved     // discovery has moved: changes it already had count as notified sooner
+    kCurrent,  // a watch is open and all of its updates have been delivered
+    kStale,    // no watch is open, or the watch has gone silent
+    kMoved     // discovery has moved to another address: changes it already had count as notified sooner
   };
   State state = State::kCurrent;
-  double as_of = 0;  // kStale: until when the list was current
+  double as_of = 0;  // with kStale: the time until which the list was current
 };
 
-// The live replicas of the load balancer and this one's place among them, where that is known better than by
-// the settings. It spreads work and tightens limits; it never makes an endpoint usable.
+// The live replicas of the load balancer and the rank of this one among them. Overrides the configured
+// replica_count and replica_index. It changes how requests are spread and how far shared limits apply here;
+// it never makes an endpoint usable.
 struct ReplicaSetChanged {
-  int rank = 0;        // this replica's place among the live ones, 0 .. live_count - 1
-  int live_count = 1;  // live replicas
-  int max_count = 1;   // replicas that may be running, at least live_count: a shared limit is split by it
-  bool is_settling = false;  // replicas may see different sets for now: their subsets overlap more
+  int rank = 0;        // rank of this replica among the live ones, 0 .. live_count - 1
+  int live_count = 1;  // number of live replicas
+  int max_count = 1;   // replicas that may be running, at least live_count: they share the servers' limits
+  bool is_settling = false;  // replicas may have different views of the set: their subsets overlap more
 };
 
 struct TimerFired {
