--- a/fleet_rig/mutations.py
+++ b/fleet_rig/mutations.py
@@ -165,7 +165,7 @@
     NodeMutation(
         name='retry_budget_ignored',
         file='policy/retry_policy.cpp',
-        original='if (budgeted && budget_ < 1) return false;',
+        original='if (consumes_budget && budget_ < 1) return false;',
         replacement='',
         scenario='all_fail',
         expected='tier1/tries > 1.5',
--- a/policy/balancer.cpp
+++ b/policy/balancer.cpp
@@ -1,4 +1,5 @@
-// The handlers of events. Each names the order of its steps; the policy modules decide, and own the state.
+// Event handlers of the Balancer. They define the order of the steps; the policy modules make the decisions
+// and own the state.
 #include "thymewood/balancer.h"
 
 #include <algorithm>
@@ -26,21 +27,24 @@
 
 constexpr std::uint64_t kWatchTimer = 0;
 
-// Part of the requests with too little time that is sent all the same; without it, a latency learned under
-// load would never be corrected.
-constexpr double kTooLittleTimeSample = 0.05;
-// Of the latency objective; slower responses show queues before the objective is missed.
-constexpr double kInTimePart = 0.6;
-// Parts of the longest Retry-After that clients honor.
-constexpr double kMinRetryAfter = 0.375, kRetryAfterSpread = 0.25;
-// s; by which a change that discovery had when it moved counts as notified sooner than one that comes later.
-constexpr double kMovedEarlier = 2;
-// An answer has to reach the client before its timeout, by so many steps of the clock.
-constexpr double kClockSteps = 2;
-
-// Requests whose class or tenant is out of range get one more of each: a class that is not idempotent and has
-// no latency objective, and a tenant without a quota.
-Settings with_fallbacks(Settings settings) {
+// Fraction of the requests with too little time that is sent anyway. Without these, a latency that was
+// learned under load would never be corrected.
+constexpr double kTooLittleTimeSampleRate = 0.05;
+// Fraction of the latency objective. Only faster responses raise a tenant's limit: slower ones indicate
+// queueing before the objective is missed.
+constexpr double kFastResponseFraction = 0.6;
+// Fractions of the longest Retry-After that clients honor.
+constexpr double kMinRetryAfterFraction = 0.375, kRetryAfterJitterFraction = 0.25;
+// s; how much sooner replicas count as notified of changes that discovery had when it moved than of later
+// ones.
+constexpr double kDiscoveryMoveLeaseReduction = 2;
+// A response must reach the client this many steps of the clock (Settings::clock_granularity) before the
+// latency objective, which the client timeout bounds.
+constexpr double kDeadlineMarginSteps = 2;
+
+// Appends the class and the tenant of requests whose own index is out of range: a class that is not
+// idempotent and has no latency objective, and a tenant without a quota.
+Settings with_fallback_class_and_tenant(Settings settings) {
   validate(settings);
   settings.classes.emplace_back();
   settings.classes.back().client_timeout = std::numeric_limits<double>::infinity();
@@ -54,7 +58,7 @@
 class Balancer::Impl {
  public:
   Impl(const Settings& settings, std::uint64_t seed)
-      : settings_(with_fallbacks(settings)),
+      : settings_(with_fallback_class_and_tenant(settings)),
         random_(seed),
         latency_(settings_.classes),
         limit_(settings_.classes),
@@ -71,7 +75,7 @@
     std::visit([this](const auto& e) { on(e); }, event);
   }
 
-  std::size_t known_endpoints() const { return servers_.known(); }
+  std::size_t known_endpoints() const { return servers_.known_count(); }
 
   TenantLimitView tenant(double now, std::size_t tenant) const {
     return tenants_[std::min(tenant, tenants_.size() - 1)].view(now);
@@ -108,12 +112,12 @@
     switch (freshness.state) {
       case EndpointListFreshness::State::kCurrent:
         watch_backoff_.reset();
-        return lease_.list_is_current();
+        return lease_.mark_list_current();
       case EndpointListFreshness::State::kStale:
-        return lease_.list_is_stale(freshness.as_of);
+        return lease_.mark_list_stale(freshness.as_of);
       case EndpointListFreshness::State::kMoved:
         watch_backoff_.reset();
-        return lease_.discovery_moved(now_, kMovedEarlier);
+        return lease_.on_discovery_moved(now_, kDiscoveryMoveLeaseReduction);
     }
   }
 
@@ -132,7 +136,7 @@
   // ---- requests
 
   void on(const Request& arrived) {
-    if (pending_.contains(arrived.id)) return;  // one answer is owed for an id, not two
+    if (pending_.contains(arrived.id)) return;  // a repeated id must not get a second final answer
     const std::size_t tenant = std::min(arrived.tenant, tenants_.size() - 1);
     const bool within_quota = tenants_[tenant].is_within_quota(now_);
     if (!tenants_[tenant].admits(now_, random_)) return shed(arrived.id, SheddingReason::kOverTenantLimit);
@@ -144,14 +148,14 @@
     PendingRequest& request = pending_.add(arrived.id);
     request.tenant = tenant;
     request.request_class = request_class;
-    request.useful_until = useful_until(arrived, settings_.classes[request_class]);
+    request.response_deadline = response_deadline(arrived, settings_.classes[request_class]);
     request.within_quota = within_quota;
     if (send(arrived.id, request, false)) return;
 
     limit_.record_rejection(now_, servers_.in_flight(), settings_.tier == 0, subset_.replicas_per_server());
     tenants_[tenant].record_overload();
-    count_shed(SheddingReason::kNoCapacity);
-    finish_unserved(arrived.id, request);
+    record_shed(SheddingReason::kNoCapacity);
+    reject_or_fail(arrived.id, request);
     pending_.remove(arrived.id);
   }
 
@@ -168,13 +172,13 @@
     attempt.in_flight = false;
     attempt.may_have_run = !proves_not_processed(result.outcome);
     servers_.attempt_ended(attempt.server, attempt.sent_at);
-    learn_from(*request, attempt, result);
+    update_statistics(*request, attempt, result);
     if (result.request_complete && !request->finished) {
       request->finished = true;
       cancel_attempts(result.id, *request);
     }
     if (!request->finished && !request->any_in_flight()) retry_or_finish(*request, result);
-    if (request->finished && !request->any_in_flight()) close(result.id);
+    if (request->finished && !request->any_in_flight()) remove_request(result.id);
   }
 
   void on(const RequestAbandoned& abandoned) {
@@ -182,37 +186,39 @@
     if (request == nullptr) return;
     if (!request->finished) cancel_attempts(abandoned.id, *request);
     request->finished = true;
-    if (!request->any_in_flight()) close(abandoned.id);
+    if (!request->any_in_flight()) remove_request(abandoned.id);
   }
 
-  // ---- steps
+  // ---- attempts and final answers
 
-  // Whether the client times out sooner than requests of its class are answered. Sent, such a request would
-  // be work for nothing and fail for good where it must not run twice; rejected, it may come back. Past the
-  // first tier the work of the tiers above is spent already.
+  // Whether the client times out sooner than requests of its class usually complete. Sending such a request
+  // would waste work, and it would fail permanently if it must not run twice; after a rejection the client
+  // can retry it. Beyond the first tier all are sent, since a rejection would waste the work of the tiers
+  // above.
   bool has_too_little_time(std::size_t request_class, double time_left) {
     return settings_.tier == 0 && latency_.is_too_short(request_class, time_left) &&
-           random_.unit() >= kTooLittleTimeSample;
+           random_.unit() >= kTooLittleTimeSampleRate;
   }
 
-  // When an answer to the request has lost all of its value.
-  double useful_until(const Request& request, const RequestClass& c) const {
+  // The time at which a response to the request has lost all of its value.
+  double response_deadline(const Request& request, const RequestClass& c) const {
     if (c.late_value > 0) return now_ + request.time_left;
     const double latency_objective = std::min(
         c.latency_objective + c.latency_objective_per_work * request.work.value_or(0), c.client_timeout);
-    return now_ + std::min(request.time_left, latency_objective - kClockSteps * settings_.clock_granularity);
+    return now_ + std::min(request.time_left,
+                           latency_objective - kDeadlineMarginSteps * settings_.clock_granularity);
   }
 
-  // Sends one more attempt, if there is time and a server for it.
-  [[nodiscard]] bool send(const std::string& id, PendingRequest& request, bool budgeted) {
+  // Sends one more attempt if there is time left and a usable server. Returns whether it did.
+  [[nodiscard]] bool send(const std::string& id, PendingRequest& request, bool consumes_budget) {
     const double timeout = retries_.attempt_timeout(now_, request);
     if (!(timeout > 0)) return false;
     const std::optional<std::size_t> selected = selector_.select(now_, request);
     if (!selected) return false;
     if (request.attempts.empty()) {
-      retries_.first_attempt_sent();
+      retries_.on_first_attempt_sent();
     } else {
-      retries_.retry_sent(budgeted);
+      retries_.on_retry_sent(consumes_budget);
     }
     Server& server = servers_[*selected];
     slow_start_.spend(now_, server.endpoint, server.slow_start);
@@ -224,13 +230,14 @@
   }
 
   void retry_or_finish(PendingRequest& request, const AttemptResult& result) {
-    const bool budgeted = RetryPolicy::is_budgeted(result);
-    if (retries_.allows_retry(now_, request, budgeted) && send(result.id, request, budgeted)) return;
-    finish_unserved(result.id, request);
+    const bool consumes_budget = RetryPolicy::consumes_budget(result);
+    if (retries_.allows_retry(now_, request, consumes_budget) && send(result.id, request, consumes_budget))
+      return;
+    reject_or_fail(result.id, request);
   }
 
-  // A rejection promises that a retry by the client is harmless.
-  void finish_unserved(const std::string& id, PendingRequest& request) {
+  // Rejects the request if the client can safely retry it, and fails it otherwise.
+  void reject_or_fail(const std::string& id, PendingRequest& request) {
     request.finished = true;
     if (is_client_retry_safe(settings_.classes[request.request_class], request)) {
       emit(Reject{id, retry_after()});
@@ -241,16 +248,16 @@
 
   void shed(const std::string& id, SheddingReason reason) {
     emit(Reject{id, retry_after()});
-    count_shed(reason);
+    record_shed(reason);
   }
 
-  void count_shed(SheddingReason reason) {
+  void record_shed(SheddingReason reason) {
     if (const auto report = shedding_.record(now_, reason)) emit(*report);
   }
 
-  // s. Random, since clients that were rejected together would otherwise come back together.
+  // s. Randomized, since clients that were rejected together would otherwise retry together.
   double retry_after() {
-    return settings_.max_retry_after * (kMinRetryAfter + kRetryAfterSpread * random_.unit());
+    return settings_.max_retry_after * (kMinRetryAfterFraction + kRetryAfterJitterFraction * random_.unit());
   }
 
   void cancel_attempts(const std::string& id, const PendingRequest& request) {
@@ -260,27 +267,28 @@
     }
   }
 
-  void close(const std::string& id) {
-    const PendingRequest closed = pending_.remove(id);
-    for (const Attempt& attempt : closed.attempts) servers_.release(attempt.server);
+  void remove_request(const std::string& id) {
+    const PendingRequest removed = pending_.remove(id);
+    for (const Attempt& attempt : removed.attempts) servers_.release_reference(attempt.server);
   }
 
-  // ---- learning from an attempt's result
+  // ---- statistics of attempt results
 
-  void learn_from(const PendingRequest& request, const Attempt& attempt, const AttemptResult& result) {
+  void update_statistics(const PendingRequest& request, const Attempt& attempt, const AttemptResult& result) {
     if (result.outcome == Outcome::kCancelled || result.outcome == Outcome::kNotSent) return;
     const double class_mean = latency_.mean(request.request_class);
-    // A client timeout shorter than the mean latency says nothing of the server. A retry that runs out of
-    // time does: its timeout was the balancer's choice.
+    // A timeout of the first attempt below the mean latency is due to a short client timeout and does not
+    // indicate a slow server. The timeout of a retry does, since the balancer chose it.
     if (result.outcome == Outcome::kTimedOut && result.attempt == 0 && result.elapsed < class_mean) return;
     Server& server = servers_[attempt.server];
     const bool was_ejected = server.outlier.is_ejected(now_);
-    learn_health(server, attempt, result, class_mean);
-    learn_latency(server, request.request_class, result, class_mean);
-    learn_tenant_limit(request, result, was_ejected);
+    update_server_health(server, attempt, result, class_mean);
+    update_latency(server, request.request_class, result, class_mean);
+    update_tenant_limit(request, result, was_ejected);
   }
 
-  void learn_health(Server& server, const Attempt& attempt, const AttemptResult& result, double class_mean) {
+  void update_server_health(Server& server, const Attempt& attempt, const AttemptResult& result,
+                            double class_mean) {
     const bool success = result.outcome == Outcome::kSuccess;
     if (success) {
       server.accepted_at = std::max(server.accepted_at, attempt.sent_at);
@@ -293,8 +301,8 @@
     }
   }
 
-  void learn_latency(Server& server, std::size_t request_class, const AttemptResult& result,
-                     double class_mean) {
+  void update_latency(Server& server, std::size_t request_class, const AttemptResult& result,
+                      double class_mean) {
     const bool success = result.outcome == Outcome::kSuccess;
     if (!success && result.outcome != Outcome::kTimedOut) return;
     if (success)
@@ -305,13 +313,15 @@
     limit_.record_latency(now_, request_class, result.elapsed);
   }
 
-  // Answers in time raise a tenant's limit and signs of overload lower it. Errors come at any load, and one
-  // server that was ejected before says nothing of the tier.
-  void learn_tenant_limit(const PendingRequest& request, const AttemptResult& result, bool was_ejected) {
+  // Fast responses raise a tenant's limit, signs of overload lower it. Errors are no such sign, since they
+  // occur at any load; nor are failures of a server that was already ejected, since they do not reflect the
+  // tier.
+  void update_tenant_limit(const PendingRequest& request, const AttemptResult& result, bool was_ejected) {
     TenantLimiter& tenant = tenants_[request.tenant];
     if (result.outcome == Outcome::kSuccess) {
       const double latency_objective = settings_.classes[request.request_class].latency_objective;
-      if (result.elapsed < kInTimePart * latency_objective) tenant.record_success(now_, limit_.unqueued());
+      if (result.elapsed < kFastResponseFraction * latency_objective)
+        tenant.record_success(now_, limit_.unqueued());
       return;
     }
     const bool is_overload = result.outcome == Outcome::kRejected || result.outcome == Outcome::kTimedOut ||
@@ -319,15 +329,15 @@
     if (is_overload && !was_ejected) tenant.record_overload();
   }
 
-  template <typename SomeAction>
-  void emit(SomeAction action) {
+  template <typename ActionType>
+  void emit(ActionType action) {
     actions_->push_back(std::move(action));
   }
 
   const Settings settings_;
   Random random_;
-  double now_ = 0;                          // of the event that is being handled
-  std::vector<Action>* actions_ = nullptr;  // likewise
+  double now_ = 0;                          // time of the event that is being handled
+  std::vector<Action>* actions_ = nullptr;  // output of that event
 
   PendingRequests pending_;
   ServerTable servers_;
--- a/policy/endpoint_lease.h
+++ b/policy/endpoint_lease.h
@@ -1,14 +1,15 @@
-// How long a server may be used by an endpoint list that is no longer confirmed.
+// How long a server may be used while the endpoint list is stale.
 //
-// While a watch is open, what it does not report has not changed. Without one a server may start draining, or
-// be removed, and this replica is not notified; yet a change counts as notified a stated time after discovery
-// had it, whether or not it arrived. Nor can a replica tell a discovery that is down, for which no such time
-// runs, from one that is too busy to answer. It does know that a server which accepts new requests is not
-// draining. So a lease runs from the last moment that the list was current, or from the sending of the last
-// request that the server answered: what discovery learns after that moment counts as notified no sooner than
-// the lease ends.
+// While a watch is open, every endpoint that it does not report is unchanged. Without a watch, a server may
+// start draining or be removed without this replica being notified. A replica counts as notified of a change
+// a fixed time after discovery learned of it, whether or not the change arrived. That time does not run while
+// discovery is down, but a replica cannot tell a discovery that is down from one that is too busy to answer.
+// It does know that a server which accepts new requests is not draining. The lease of a server therefore
+// starts when the list was last current, or when the last request that the server answered was sent,
+// whichever is later: a replica counts as notified of any change after that time no sooner than the lease
+// ends.
 //
-// Pure: times are seconds on the host's clock.
+// No clock or I/O: times are parameters, in seconds on the host's clock.
 #pragma once
 
 #include <algorithm>
@@ -18,33 +19,34 @@
 
 class EndpointLease {
  public:
-  // `duration`: s; infinite where lists need no confirmation.
+  // `duration`: s; infinite if the list needs no confirmation.
   explicit EndpointLease(double duration) : duration_(duration) {}
 
-  // A watch is open and has delivered all it had.
-  void list_is_current() {
-    current_ = true;
+  // A watch is open and all of its updates have been delivered.
+  void mark_list_current() {
+    list_is_current_ = true;
     moved_at_ = kNever;
   }
-  // The watch has ended, or is silent; the list was current until `as_of`.
-  void list_is_stale(double as_of) {
-    current_ = false;
+  // The watch has ended or has gone silent; the list was current until `as_of`.
+  void mark_list_stale(double as_of) {
+    list_is_current_ = false;
     as_of_ = std::max(as_of_, as_of);
   }
-  // Discovery has moved: changes it had by now count as notified `earlier` s sooner than others.
-  void discovery_moved(double now, double earlier) {
+  // Discovery has moved to another address: replicas count as notified of the changes that it already had
+  // `lease_reduction` s sooner than of later ones.
+  void on_discovery_moved(double now, double lease_reduction) {
     moved_at_ = now;
-    earlier_ = earlier;
+    lease_reduction_ = lease_reduction;
   }
 
-  bool is_current() const { return current_ || duration_ == kForever; }
+  bool is_current() const { return list_is_current_ || duration_ == kForever; }
 
-  // Whether a server may be used that last accepted a request sent at `accepted_at`.
+  // Whether a server may be used whose last accepted request was sent at `accepted_at`.
   bool covers(double now, double accepted_at) const {
     if (is_current()) return true;
     const double confirmed_at = std::max(as_of_, accepted_at);
     double end = confirmed_at + duration_;
-    if (confirmed_at < moved_at_) end = std::min(end, moved_at_ + duration_ - earlier_);
+    if (confirmed_at < moved_at_) end = std::min(end, moved_at_ + duration_ - lease_reduction_);
     return now < end;
   }
 
@@ -53,10 +55,10 @@
   static constexpr double kNever = -kForever;
 
   double duration_;
-  bool current_ = false;
+  bool list_is_current_ = false;
   double as_of_ = kNever;
   double moved_at_ = kNever;
-  double earlier_ = 0;
+  double lease_reduction_ = 0;
 };
 
 }  // namespace thymewood
--- a/policy/random.h
+++ b/policy/random.h
@@ -1,4 +1,4 @@
-// Deterministic random numbers and hashes: the same on every platform and with every standard library.
+// Deterministic random numbers and hashes, identical on every platform and with every standard library.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace thymewood {
 
-// splitmix64 with its own mapping to ranges, since those of <random> differ between libraries.
+// SplitMix64 with its own mapping to ranges, since the distributions of <random> differ between libraries.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
@@ -25,7 +25,8 @@
   std::uint64_t state_;
 };
 
-// FNV-1a, mixed once more: every replica orders the same addresses alike, however they were assigned.
+// FNV-1a with a SplitMix64 finalizer. Every replica orders the same addresses alike, and similar addresses
+// are spread over the whole range.
 inline std::uint64_t stable_hash(const std::string& text) {
   std::uint64_t hash = 0xCBF29CE484222325ULL;
   for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001B3ULL;
--- a/policy/retry_policy.cpp
+++ b/policy/retry_policy.cpp
@@ -5,26 +5,27 @@
 namespace thymewood {
 namespace {
 
-constexpr double kRetriesPerRequest = 0.1;  // added to the budget with each first attempt
-constexpr double kImmediate = 0.02;         // s; an attempt that fails sooner has cost no server any work
+constexpr double kBudgetPerFirstAttempt = 0.1;  // added to the retry budget for each first attempt
+// s; a connection failure, reset or rejection sooner than this has cost no server any work.
+constexpr double kImmediateFailureTime = 0.02;
 
 }  // namespace
 
-bool RetryPolicy::is_budgeted(const AttemptResult& result) {
-  return result.elapsed >= kImmediate ||
+bool RetryPolicy::consumes_budget(const AttemptResult& result) {
+  return result.elapsed >= kImmediateFailureTime ||
          (result.outcome != Outcome::kConnectFailed && result.outcome != Outcome::kReset &&
           result.outcome != Outcome::kRejected);
 }
 
-bool RetryPolicy::allows_retry(double now, const PendingRequest& request, bool budgeted) const {
+bool RetryPolicy::allows_retry(double now, const PendingRequest& request, bool consumes_budget) const {
   if (request.streaming) return false;
   if (request.attempts.size() >= static_cast<std::size_t>(settings_.max_attempts)) return false;
-  if (budgeted && budget_ < 1) return false;
-  return request.useful_until - now > latency_.mean(request.request_class) / 2;
+  if (consumes_budget && budget_ < 1) return false;
+  return request.response_deadline - now > latency_.mean(request.request_class) / 2;
 }
 
 double RetryPolicy::attempt_timeout(double now, const PendingRequest& request) const {
-  const double time_left = request.useful_until - now;
+  const double time_left = request.response_deadline - now;
   const double upper_bound = latency_.upper_bound(request.request_class);
   const bool can_retry =
       settings_.classes[request.request_class].idempotency != Idempotency::kNotIdempotent &&
@@ -33,10 +34,12 @@
                                                                                      : time_left;
 }
 
-void RetryPolicy::first_attempt_sent() { budget_ = std::min(kMaxBudget, budget_ + kRetriesPerRequest); }
+void RetryPolicy::on_first_attempt_sent() {
+  budget_ = std::min(kMaxBudget, budget_ + kBudgetPerFirstAttempt);
+}
 
-void RetryPolicy::retry_sent(bool budgeted) {
-  if (budgeted) budget_ -= 1;
+void RetryPolicy::on_retry_sent(bool consumes_budget) {
+  if (consumes_budget) budget_ -= 1;
 }
 
 }  // namespace thymewood
--- a/policy/retry_policy.h
+++ b/policy/retry_policy.h
@@ -1,7 +1,7 @@
-// Whether a request gets another attempt, and how long each attempt may take.
+// Decides whether a request is retried, and how long each attempt may take.
 //
-// Retries are limited to a part of the first attempts, so that they cannot multiply the load on servers that
-// fail. A retry after an attempt that cost no server any work is free.
+// A retry budget limits retries to a fraction of the first attempts, so that they cannot multiply the load on
+// failing servers. Retries after attempts that cost no server any work do not consume the budget.
 #pragma once
 
 #include "latency_statistics.h"
@@ -17,20 +17,21 @@
   RetryPolicy(const Settings& settings, const LatencyStatistics& latency)
       : settings_(settings), latency_(latency) {}
 
-  // Whether a retry after this result takes from the budget. Connections that are refused, or reset before
-  // any work was done, and full queues have cost a server nothing.
-  static bool is_budgeted(const AttemptResult& result);
+  // Whether a retry after this result consumes the retry budget. It does not after an immediate connection
+  // failure, reset or rejection, since none of these cost a server any work.
+  static bool consumes_budget(const AttemptResult& result);
 
-  bool allows_retry(double now, const PendingRequest& request, bool budgeted) const;
+  bool allows_retry(double now, const PendingRequest& request, bool consumes_budget) const;
 
-  // s; until the answer has lost its value, or until the attempt is clearly late and another can follow.
+  // s; the time until the response loses its value, or, if a retry is still possible, until the attempt takes
+  // clearly longer than usual.
   double attempt_timeout(double now, const PendingRequest& request) const;
 
-  void first_attempt_sent();
-  void retry_sent(bool budgeted);
+  void on_first_attempt_sent();
+  void on_retry_sent(bool consumes_budget);
 
  private:
-  static constexpr double kMaxBudget = 1;  // retries that can be saved up
+  static constexpr double kMaxBudget = 1;  // retries; maximum of the accumulated budget
 
   const Settings& settings_;
   const LatencyStatistics& latency_;
--- a/policy/settings.cpp
+++ b/policy/settings.cpp
@@ -7,11 +7,11 @@
 namespace thymewood {
 namespace {
 
-void require(bool good, const char* field, const char* requirement) {
-  if (!good) throw InvalidSettings(field, requirement);
+void require(bool condition, const char* field, const char* requirement) {
+  if (!condition) throw InvalidSettings(field, requirement);
 }
 
-void require_amount(double value, const char* field) {
+void require_finite_non_negative(double value, const char* field) {
   require(std::isfinite(value) && value >= 0, field, "must be a finite number and not negative");
 }
 
@@ -20,11 +20,11 @@
           "classes[].idempotency", "is unknown");
   require(c.dedup_scope >= DedupScope::kAll && c.dedup_scope <= DedupScope::kCell, "classes[].dedup_scope",
           "is unknown");
-  require_amount(c.latency_objective, "classes[].latency_objective");
-  require_amount(c.latency_objective_per_work, "classes[].latency_objective_per_work");
-  require_amount(c.client_timeout, "classes[].client_timeout");
-  require_amount(c.late_value, "classes[].late_value");
-  require_amount(c.dedup_window, "classes[].dedup_window");
+  require_finite_non_negative(c.latency_objective, "classes[].latency_objective");
+  require_finite_non_negative(c.latency_objective_per_work, "classes[].latency_objective_per_work");
+  require_finite_non_negative(c.client_timeout, "classes[].client_timeout");
+  require_finite_non_negative(c.late_value, "classes[].late_value");
+  require_finite_non_negative(c.dedup_window, "classes[].dedup_window");
 }
 
 }  // namespace
@@ -42,15 +42,15 @@
   require(s.max_attempts > 0, "max_attempts", "must be above 0");
   require(s.slow_start_min_capacity >= 0 && s.slow_start_min_capacity <= 1, "slow_start_min_capacity",
           "must be from 0 to 1");
-  require_amount(s.clock_granularity, "clock_granularity");
-  require_amount(s.max_retry_after, "max_retry_after");
-  require_amount(s.poll_interval, "poll_interval");
-  require_amount(s.slow_start_window, "slow_start_window");
-  require_amount(s.over_quota_weight, "over_quota_weight");
-  require_amount(s.cross_zone_cost, "cross_zone_cost");
+  require_finite_non_negative(s.clock_granularity, "clock_granularity");
+  require_finite_non_negative(s.max_retry_after, "max_retry_after");
+  require_finite_non_negative(s.poll_interval, "poll_interval");
+  require_finite_non_negative(s.slow_start_window, "slow_start_window");
+  require_finite_non_negative(s.over_quota_weight, "over_quota_weight");
+  require_finite_non_negative(s.cross_zone_cost, "cross_zone_cost");
   for (const RequestClass& c : s.classes) validate(c);
   for (const Tenant& tenant : s.tenants) {
-    if (tenant.quota) require_amount(*tenant.quota, "tenants[].quota");
+    if (tenant.quota) require_finite_non_negative(*tenant.quota, "tenants[].quota");
   }
 }
 
--- a/policy/shedding_statistics.h
+++ b/policy/shedding_statistics.h
@@ -1,4 +1,4 @@
-// Counts of rejected requests, reported at most once in a period.
+// Counts rejected requests by reason and reports the counts at most once per report period.
 #pragma once
 
 #include <optional>
@@ -11,10 +11,10 @@
 
 class SheddingStatistics {
  public:
-  // Counts a rejected request. Returns the report when one is due, and starts counting anew.
+  // Counts a rejected request. If a report is due, returns it and resets the counts.
   [[nodiscard]] std::optional<SheddingReport> record(double now, SheddingReason reason) {
     if (is_empty()) next_report_at_ = now + kReportPeriod;
-    count(reason) += 1;
+    counter(reason) += 1;
     if (now < next_report_at_) return std::nullopt;
     const SheddingReport report = counts_;
     counts_ = {};
@@ -27,7 +27,7 @@
   bool is_empty() const {
     return counts_.over_tenant_limit + counts_.no_capacity + counts_.too_little_time == 0;
   }
-  int& count(SheddingReason reason) {
+  int& counter(SheddingReason reason) {
     switch (reason) {
       case SheddingReason::kOverTenantLimit:
         return counts_.over_tenant_limit;
@@ -39,7 +39,7 @@
     return counts_.too_little_time;
   }
 
-  SheddingReport counts_;  // since the last report
+  SheddingReport counts_;  // counts since the last report
   double next_report_at_ = 0;
 };
 
