--- a/tests/policy/balancer_harness.h
+++ b/tests/policy/balancer_harness.h
@@ -1,5 +1,5 @@
-// Shared by the policy tests: settings, endpoint lists, and a replica that remembers its clock and returns
-// the actions of each event.
+// Test fixtures of the policy tests: settings, endpoint lists, and a replica that keeps its current time and
+// returns the actions of each event.
 #pragma once
 
 #include <string>
@@ -31,22 +31,22 @@
 }
 
 inline Endpoint server(int n, int zone = 0, int cell = 0) {
-  Endpoint s;
-  s.address = "s" + std::to_string(n);
-  s.zone = zone;
-  s.cell = cell;
-  return s;
+  Endpoint endpoint;
+  endpoint.address = "s" + std::to_string(n);
+  endpoint.zone = zone;
+  endpoint.cell = cell;
+  return endpoint;
 }
 
 inline EndpointUpdate endpoints(int count) {
-  EndpointUpdate m;
-  for (int i = 0; i < count; ++i) m.endpoints.push_back(server(i));
-  return m;
+  EndpointUpdate update;
+  for (int i = 0; i < count; ++i) update.endpoints.push_back(server(i));
+  return update;
 }
 
-// By the specified table of outcomes, independent of the policy's own.
-inline bool proves_not_run(Outcome o) {
-  return o == Outcome::kRejected || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
+// Follows the specified table of outcomes and shares no code with the policy's proves_not_processed().
+inline bool proves_not_run(Outcome outcome) {
+  return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
 }
 
 struct Replica {
@@ -91,25 +91,26 @@
                                         Outcome::kConnectFailed, Outcome::kReset,    Outcome::kCancelled,
                                         Outcome::kNotSent,       Outcome::kUnknown};
 
-// With a quota that no test reaches, so that the tenant limiter denies nothing.
+// The tenant's quota is higher than any test's request rate, so that the tenant limiter denies nothing.
 inline Settings settings_with_ample_quota() {
   Settings s = basic_settings();
   s.tenants = {{1000.0}};
   return s;
 }
 
-// Sends one request and ends each attempt with the outcome that `outcome_of` gives for its server, until no
-// attempt follows; returns the servers tried. A success takes 50 ms, other ends 1 ms.
+// Sends one request and ends each of its attempts with the outcome that `outcome_of` returns for its server,
+// until no attempt follows. Returns the servers of the attempts in order. Successes take 50 ms, other
+// outcomes 1 ms.
 template <typename OutcomeOf>
 std::vector<std::string> run_to_end(Replica& replica, const std::string& id, const OutcomeOf& outcome_of) {
-  std::vector<std::string> tried;
+  std::vector<std::string> servers_used;
   for (auto sends = all<Send>(replica.request(id)); !sends.empty();) {
-    tried.push_back(sends[0].server);
-    const Outcome outcome = outcome_of(tried.back());
-    sends = all<Send>(replica.end(id, outcome, static_cast<int>(tried.size()) - 1,
+    servers_used.push_back(sends[0].server);
+    const Outcome outcome = outcome_of(servers_used.back());
+    sends = all<Send>(replica.end(id, outcome, static_cast<int>(servers_used.size()) - 1,
                                   outcome == Outcome::kSuccess ? 0.05 : 0.001));
   }
-  return tried;
+  return servers_used;
 }
 
 }  // namespace thymewood
--- a/tests/policy/balancer_test.cpp
+++ b/tests/policy/balancer_test.cpp
@@ -1,4 +1,4 @@
-// The handlers of events: one final answer to each request, early rejection, the watch on discovery.
+// Event handlers of the Balancer: one final answer per request, early rejection, and the watch on discovery.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -42,7 +42,7 @@
   EXPECT_GE(replica.balancer.tenant(0, 1234).rate_limit, 0);
 }
 
-// Orders in which an outcome and the client's disconnect can meet.
+// Covers both orders of an attempt's outcome and the client's disconnect.
 TEST(FinalAnswer, IsGivenOnceInEveryOrderOfEvents) {
   for (const Outcome outcome : kFailures) {
     for (const bool abandoned_first : {false, true}) {
@@ -65,7 +65,7 @@
         EXPECT_TRUE(replica.at(1, RequestAbandoned{"r"}).empty());
       }
       EXPECT_TRUE(all<Send>(after).empty());
-      EXPECT_TRUE(replica.end("r", outcome).empty()) << "the same outcome twice";
+      EXPECT_TRUE(replica.end("r", outcome).empty()) << "a repeated outcome must have no effect";
     }
   }
 }
@@ -93,27 +93,27 @@
 }
 
 TEST(FinalAnswer, IsARejectionWithoutServers) {
-  Replica nothing_known(basic_settings());
-  EXPECT_EQ(all<Reject>(nothing_known.request("a")).size(), 1U);
+  Replica without_endpoints(basic_settings());
+  EXPECT_EQ(all<Reject>(without_endpoints.request("a")).size(), 1U);
   Replica draining(basic_settings());
-  EndpointUpdate m = endpoints(3);
-  for (Endpoint& s : m.endpoints) s.state = EndpointState::kDraining;
-  draining.at(0, m);
+  EndpointUpdate update = endpoints(3);
+  for (Endpoint& endpoint : update.endpoints) endpoint.state = EndpointState::kDraining;
+  draining.at(0, update);
   EXPECT_EQ(all<Reject>(draining.request("a")).size(), 1U);
 }
 
-// Clients whose timeout may be shorter than responses take: such requests are rejected at once, so that the
-// client may come back.
-struct ImpatientClients {
-  explicit ImpatientClients(int tier = 0, Idempotency idempotency = Idempotency::kNotIdempotent) {
+// Clients whose timeout may be shorter than the usual latency. Such requests are rejected immediately, so
+// that the client can retry them.
+struct ShortTimeoutClients {
+  explicit ShortTimeoutClients(int tier = 0, Idempotency idempotency = Idempotency::kNotIdempotent) {
     Settings s = settings_with_ample_quota();
     s.classes = {class_of(idempotency)};
     s.tier = tier;
     replica.emplace(s);
     replica->at(0, endpoints(4));
   }
-  // How many of so many requests are sent.
-  int sent(double time_left, int requests = 100) {
+  // Makes `requests` requests and returns how many of them were sent to a server.
+  int count_sent(double time_left, int requests = 100) {
     int out = 0;
     for (int i = 0; i < requests; ++i) {
       Request r;
@@ -131,26 +131,27 @@
 };
 
 TEST(TooLittleTime, IsRejectedOnceTheLatencyIsLearned) {
-  ImpatientClients clients;
-  EXPECT_EQ(clients.sent(0.05, 19), 19) << "nothing is learned yet";
-  for (int i = 0; i < 5; ++i) clients.sent(6);  // answers take 0.1 s
-  EXPECT_LT(clients.sent(0.05), 15);
-  EXPECT_EQ(clients.sent(0.2), 100);
+  ShortTimeoutClients clients;
+  EXPECT_EQ(clients.count_sent(0.05, 19), 19) << "no latency has been learned yet";
+  for (int i = 0; i < 5; ++i) clients.count_sent(6);  // responses take 0.1 s
+  EXPECT_LT(clients.count_sent(0.05), 15);
+  EXPECT_EQ(clients.count_sent(0.2), 100);
 }
 
-// A latency that was learned under load would otherwise shut out those clients for good.
+// Otherwise a latency that was learned under load would never be corrected, and these clients would always be
+// rejected.
 TEST(TooLittleTime, StillSendsASample) {
-  ImpatientClients clients;
-  for (int i = 0; i < 5; ++i) clients.sent(6);
-  int tried = 0;
-  for (int i = 0; i < 10; ++i) tried += clients.sent(0.05);
-  EXPECT_GT(tried, 20);
+  ShortTimeoutClients clients;
+  for (int i = 0; i < 5; ++i) clients.count_sent(6);
+  int sent = 0;
+  for (int i = 0; i < 10; ++i) sent += clients.count_sent(0.05);
+  EXPECT_GT(sent, 20);
 }
 
 TEST(TooLittleTime, IsSentPastTheFirstTier) {
-  ImpatientClients clients(1);
-  for (int i = 0; i < 5; ++i) clients.sent(6);
-  EXPECT_EQ(clients.sent(0.05), 100);
+  ShortTimeoutClients clients(1);
+  for (int i = 0; i < 5; ++i) clients.count_sent(6);
+  EXPECT_EQ(clients.count_sent(0.05), 100);
 }
 
 TEST(Watch, IsOpenedAtTheStartAndAgainAfterFailures) {
@@ -166,7 +167,7 @@
     const auto timers = all<SetTimer>(replica.at(now, failed));
     ASSERT_EQ(timers.size(), 1U);
     EXPECT_GT(timers[0].at, now);
-    EXPECT_LE(timers[0].at, now + 5) << "within the time after which it counts as notified";
+    EXPECT_LE(timers[0].at, now + 5) << "within the poll interval, after which changes count as notified";
     now = timers[0].at;
     EXPECT_EQ(all<WatchEndpoints>(replica.at(now, TimerFired{timers[0].token})).size(), 1U);
   }
--- a/tests/policy/idempotency_test.cpp
+++ b/tests/policy/idempotency_test.cpp
@@ -1,4 +1,4 @@
-// No request takes effect twice.
+// Tests that no request takes effect twice.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -11,22 +11,23 @@
 namespace {
 
 EndpointUpdate two_cells() {
-  EndpointUpdate m;
-  for (int i = 0; i < 8; ++i) m.endpoints.push_back(server(i, i % 2, i / 2));
-  return m;
+  EndpointUpdate update;
+  for (int i = 0; i < 8; ++i) update.endpoints.push_back(server(i, i % 2, i / 2));
+  return update;
 }
 
-// Every class and scope against every failure: what may be retried, where, and what may be rejected.
+// Combines every idempotency class and scope with every failure: whether and on which servers the request is
+// retried, and whether it may be rejected.
 TEST(Idempotency, RestrictsRetriesByClassScopeAndOutcome) {
-  const std::pair<Idempotency, DedupScope> kinds[] = {{Idempotency::kIdempotent, DedupScope::kCell},
-                                                      {Idempotency::kIdempotentWithKey, DedupScope::kAll},
-                                                      {Idempotency::kIdempotentWithKey, DedupScope::kZone},
-                                                      {Idempotency::kIdempotentWithKey, DedupScope::kCell},
-                                                      {Idempotency::kNotIdempotent, DedupScope::kCell}};
+  const std::pair<Idempotency, DedupScope> classes[] = {{Idempotency::kIdempotent, DedupScope::kCell},
+                                                        {Idempotency::kIdempotentWithKey, DedupScope::kAll},
+                                                        {Idempotency::kIdempotentWithKey, DedupScope::kZone},
+                                                        {Idempotency::kIdempotentWithKey, DedupScope::kCell},
+                                                        {Idempotency::kNotIdempotent, DedupScope::kCell}};
   std::map<std::string, Endpoint> listed;
   for (const Endpoint& s : two_cells().endpoints) listed[s.address] = s;
-  for (const auto& [idempotency, scope] : kinds) {
-    for (const Outcome first : kFailures) {
+  for (const auto& [idempotency, scope] : classes) {
+    for (const Outcome first_outcome : kFailures) {
       for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Replica replica(basic_settings(class_of(idempotency, scope)), seed);
         replica.at(0, two_cells());
@@ -53,7 +54,7 @@
               EXPECT_EQ(s.cell, may_have_run->cell);
             }
           }
-          const Outcome outcome = attempt == 0 ? first : Outcome::kConnectFailed;
+          const Outcome outcome = attempt == 0 ? first_outcome : Outcome::kConnectFailed;
           if (!may_have_run && !proves_not_run(outcome)) may_have_run = s;
           replica.now += 0.05;
           actions = replica.end(id, outcome, attempt);
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Retries: their budget, which are free, and how long an attempt may take.
+// The retry budget, the failures that do not consume it, and attempt timeouts.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -12,64 +12,65 @@
 TEST(RetryPolicy, LimitsRetriesByABudget) {
   Replica replica(basic_settings());
   replica.at(0, endpoints(4));
-  int firsts = 0;
-  int others = 0;
+  int first_attempts = 0;
+  int retries = 0;
   for (int i = 0; i < 300; ++i) {
     replica.now = i * 0.02;
     const std::string id = std::to_string(i);
     auto sends = all<Send>(replica.request(id));
-    firsts += static_cast<int>(sends.size());
+    first_attempts += static_cast<int>(sends.size());
     for (int attempt = 0; !sends.empty(); ++attempt) {
       sends = all<Send>(replica.end(id, Outcome::kError, attempt));
-      others += static_cast<int>(sends.size());
+      retries += static_cast<int>(sends.size());
     }
   }
-  EXPECT_GT(others, 0);
-  EXPECT_LT(others, firsts / 4 + 10);
+  EXPECT_GT(retries, 0);
+  EXPECT_LT(retries, first_attempts / 4 + 10);
 }
 
-// A connection that is refused, or was dropped while idle, has cost no server any work; an error has, and so
-// has a reset after a while.
-TEST(RetryPolicy, RetriesImmediateFailuresFree) {
+// A connection that was refused, or closed while idle, has cost no server any work. An error has, and so has
+// a reset or connection failure that was not immediate.
+TEST(RetryPolicy, RetriesImmediateFailuresWithoutBudget) {
   struct Case {
     Outcome outcome;
     double elapsed;
-    bool free;
+    bool is_free;
   };
   for (const Case& c : {Case{Outcome::kConnectFailed, 0.001, true}, Case{Outcome::kReset, 0.001, true},
                         Case{Outcome::kReset, 0.1, false}, Case{Outcome::kConnectFailed, 0.25, false},
                         Case{Outcome::kError, 0.001, false}}) {
     Replica replica(settings_with_ample_quota());
     replica.at(0, endpoints(4));
-    int others = 0;
+    int retries = 0;
     for (int i = 0; i < 100; ++i) {
       replica.now = i * 0.02;
       const std::string id = std::to_string(i);
       ASSERT_EQ(all<Send>(replica.request(id)).size(), 1U);
-      const auto more = all<Send>(replica.end(id, c.outcome, 0, c.elapsed));
-      others += static_cast<int>(more.size());
-      if (!more.empty()) replica.end(id, Outcome::kSuccess, 1);
+      const auto retry = all<Send>(replica.end(id, c.outcome, 0, c.elapsed));
+      retries += static_cast<int>(retry.size());
+      if (!retry.empty()) replica.end(id, Outcome::kSuccess, 1);
     }
-    if (c.free) {
-      EXPECT_EQ(others, 100);
+    if (c.is_free) {
+      EXPECT_EQ(retries, 100);
     } else {
-      EXPECT_LT(others, 15);
+      EXPECT_LT(retries, 15);
     }
   }
 }
 
-// Free retries are bounded by max_attempts all the same, and a request that is not idempotent is not retried
-// after a reset, however soon.
-TEST(RetryPolicy, KeepsTheRulesForFreeRetries) {
+// Free retries are still limited by max_attempts, and a request that is not idempotent is not retried after a
+// reset, even an immediate one.
+TEST(RetryPolicy, LimitsFreeRetriesByMaxAttemptsAndIdempotency) {
   Replica replica(settings_with_ample_quota());
   replica.at(0, endpoints(4));
-  int sent = static_cast<int>(all<Send>(replica.request("r")).size());
+  int attempts_sent = static_cast<int>(all<Send>(replica.request("r")).size());
   for (int attempt = 0; attempt < 20; ++attempt)
-    sent += static_cast<int>(all<Send>(replica.end("r", Outcome::kConnectFailed, attempt, 0.001)).size());
-  EXPECT_EQ(sent, 4) << "max_attempts";
-  Replica full(settings_with_ample_quota());
-  full.at(0, endpoints(8));
-  EXPECT_EQ(run_to_end(full, "r", [](const std::string&) { return Outcome::kRejected; }).size(), 4U)
+    attempts_sent +=
+        static_cast<int>(all<Send>(replica.end("r", Outcome::kConnectFailed, attempt, 0.001)).size());
+  EXPECT_EQ(attempts_sent, 4) << "max_attempts";
+  Replica rejecting(settings_with_ample_quota());
+  rejecting.at(0, endpoints(8));
+  EXPECT_EQ(run_to_end(rejecting, "r", [](const std::string&) { return Outcome::kRejected; }).size(), 4U)
       << "max_attempts";
   Settings s = settings_with_ample_quota();
   s.classes = {class_of(Idempotency::kNotIdempotent)};
--- a/tests/policy/server_table_test.cpp
+++ b/tests/policy/server_table_test.cpp
@@ -1,4 +1,4 @@
-// Which servers are known, and what their state in the endpoint list allows.
+// Which servers the table contains, and which of them may be used in each endpoint state.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -9,18 +9,18 @@
 namespace thymewood {
 namespace {
 
-// All servers are replaced again and again; the table must not grow with every server there ever was.
+// Replaces all servers repeatedly: the table must not grow with each server that was ever listed.
 TEST(ServerTable, ForgetsRemovedServersWithoutPendingRequests) {
   Replica replica(basic_settings());
-  constexpr int kListed = 5, kChanges = 1000;
+  constexpr int kListed = 5, kUpdates = 1000;
   replica.at(0, endpoints(kListed));
   const auto sent = all<Send>(replica.request("in_flight"));
   ASSERT_EQ(sent.size(), 1U);
-  for (int i = kListed; i < kChanges; ++i) {
+  for (int i = kListed; i < kUpdates; ++i) {
     EndpointUpdate change;
     change.form = i % 7 == 0 ? EndpointUpdate::Form::kFull : EndpointUpdate::Form::kDelta;
     if (change.form == EndpointUpdate::Form::kFull) {
-      for (int at = i - kListed + 1; at < i; ++at) change.endpoints.push_back(server(at));
+      for (int listed = i - kListed + 1; listed < i; ++listed) change.endpoints.push_back(server(listed));
     } else {
       change.endpoints.push_back(server(i - kListed));
       change.endpoints.back().state = EndpointState::kRemoved;
@@ -32,7 +32,7 @@
     replica.end(id, Outcome::kSuccess);
   }
   EXPECT_EQ(replica.balancer.known_endpoints(), kListed + 1U)
-      << "those listed, and the one that the pending request refers to";
+      << "the listed servers, and the one to which the pending request refers";
   replica.end("in_flight", Outcome::kSuccess);
   EXPECT_EQ(replica.balancer.known_endpoints(), static_cast<std::size_t>(kListed));
 }
--- a/tests/policy/settings_test.cpp
+++ b/tests/policy/settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings that no balancer can work with.
+// Rejection of invalid settings.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -12,41 +12,45 @@
 namespace {
 
 TEST(Settings, RejectsInvalidValuesByFieldName) {
-  const auto message = [](auto change) {
+  const auto error_message = [](auto change) {
     Settings s = basic_settings();
     s.tenants = {{1.0}};
     change(s);
     try {
       const Balancer b(s, 1);
-    } catch (const std::invalid_argument& problem) {
-      return std::string(problem.what());
+    } catch (const std::invalid_argument& error) {
+      return std::string(error.what());
     }
     return std::string("accepted");
   };
-  const auto names = [&](auto change, const char* field) {
-    EXPECT_NE(message(change).find(field), std::string::npos) << field << ": " << message(change);
+  const auto expect_field_in_error = [&](auto change, const char* field) {
+    EXPECT_NE(error_message(change).find(field), std::string::npos) << field << ": " << error_message(change);
   };
-  names([](Settings& s) { s.replica_count = 0; }, "replica_count");
-  names([](Settings& s) { s.replica_index = 1; }, "replica_index");
-  names([](Settings& s) { s.replica_index = -1; }, "replica_index");
-  names([](Settings& s) { s.clock_granularity = -1; }, "clock_granularity");
-  names([](Settings& s) { s.tier = -1; }, "tier");
-  names([](Settings& s) { s.max_attempts = 0; }, "max_attempts");
-  names([](Settings& s) { s.max_retry_after = -1; }, "max_retry_after");
-  names([](Settings& s) { s.poll_interval = -1; }, "poll_interval");
-  names([](Settings& s) { s.slow_start_window = -1; }, "slow_start_window");
-  names([](Settings& s) { s.over_quota_weight = -1; }, "over_quota_weight");
-  names([](Settings& s) { s.slow_start_min_capacity = 1.5; }, "slow_start_min_capacity");
-  names([](Settings& s) { s.classes[0].idempotency = static_cast<Idempotency>(9); }, "idempotency");
-  names([](Settings& s) { s.classes[0].dedup_scope = static_cast<DedupScope>(9); }, "dedup_scope");
-  names([](Settings& s) { s.classes[0].latency_objective = -1; }, "latency_objective");
-  names([](Settings& s) { s.classes[0].client_timeout = -1; }, "client_timeout");
-  names([](Settings& s) { s.classes[0].dedup_window = -1; }, "dedup_window");
-  names([](Settings& s) { s.tenants[0].quota = -1; }, "quota");
-  names([](Settings& s) { s.classes[0].latency_objective = std::numeric_limits<double>::quiet_NaN(); },
-        "latency_objective");
-  names([](Settings& s) { s.classes[0].latency_objective_per_work = -1; }, "latency_objective_per_work");
-  EXPECT_EQ(message([](Settings&) {}), "accepted");
+  expect_field_in_error([](Settings& s) { s.replica_count = 0; }, "replica_count");
+  expect_field_in_error([](Settings& s) { s.replica_index = 1; }, "replica_index");
+  expect_field_in_error([](Settings& s) { s.replica_index = -1; }, "replica_index");
+  expect_field_in_error([](Settings& s) { s.clock_granularity = -1; }, "clock_granularity");
+  expect_field_in_error([](Settings& s) { s.tier = -1; }, "tier");
+  expect_field_in_error([](Settings& s) { s.max_attempts = 0; }, "max_attempts");
+  expect_field_in_error([](Settings& s) { s.max_retry_after = -1; }, "max_retry_after");
+  expect_field_in_error([](Settings& s) { s.poll_interval = -1; }, "poll_interval");
+  expect_field_in_error([](Settings& s) { s.slow_start_window = -1; }, "slow_start_window");
+  expect_field_in_error([](Settings& s) { s.over_quota_weight = -1; }, "over_quota_weight");
+  expect_field_in_error([](Settings& s) { s.slow_start_min_capacity = 1.5; }, "slow_start_min_capacity");
+  expect_field_in_error([](Settings& s) { s.classes[0].idempotency = static_cast<Idempotency>(9); },
+                        "idempotency");
+  expect_field_in_error([](Settings& s) { s.classes[0].dedup_scope = static_cast<DedupScope>(9); },
+                        "dedup_scope");
+  expect_field_in_error([](Settings& s) { s.classes[0].latency_objective = -1; }, "latency_objective");
+  expect_field_in_error([](Settings& s) { s.classes[0].client_timeout = -1; }, "client_timeout");
+  expect_field_in_error([](Settings& s) { s.classes[0].dedup_window = -1; }, "dedup_window");
+  expect_field_in_error([](Settings& s) { s.tenants[0].quota = -1; }, "quota");
+  expect_field_in_error(
+      [](Settings& s) { s.classes[0].latency_objective = std::numeric_limits<double>::quiet_NaN(); },
+      "latency_objective");
+  expect_field_in_error([](Settings& s) { s.classes[0].latency_objective_per_work = -1; },
+                        "latency_objective_per_work");
+  EXPECT_EQ(error_message([](Settings&) {}), "accepted");
 }
 
 TEST(Settings, RejectsNonFiniteAndNegativeAmounts) {
@@ -74,8 +78,8 @@
       try {
         const Balancer b(s, 1);
         ADD_FAILURE() << name << " accepted " << value;
-      } catch (const std::invalid_argument& problem) {
-        EXPECT_NE(std::string(problem.what()).find(name), std::string::npos) << problem.what();
+      } catch (const std::invalid_argument& error) {
+        EXPECT_NE(std::string(error.what()).find(name), std::string::npos) << error.what();
       }
     }
   }
