--- a/adapter/event_reader.cpp
+++ b/adapter/event_reader.cpp
@@ -40,7 +40,7 @@
 }
 
 Request read_request(const Value& in) {
-  // Bits of `opts`.
+  // Bit flags of the field `opts`.
   constexpr int kHasWork = 1;
   constexpr int kIsClientRetry = 2;
   Request out;
@@ -65,25 +65,25 @@
 
 }  // namespace
 
-void EventReader::read_endpoint_list(const Value& item) {
+void EventReader::read_endpoint_list(const Value& event_json) {
   std::vector<Endpoint> endpoints;
-  for (const Value& entry : json::array(item, "nodesList").GetArray())
+  for (const Value& entry : json::array(event_json, "nodesList").GetArray())
     endpoints.push_back(read_endpoint(entry));
-  lists_[json::whole(item, "sheet")] = std::move(endpoints);
+  endpoint_lists_[json::integer(event_json, "sheet")] = std::move(endpoints);
 }
 
-std::optional<Event> EventReader::read_event(std::string_view kind, const Value& item) const {
-  if (kind == "QUERY") return read_request(item);
-  if (kind == "DONE") return read_attempt_result(item);
-  if (kind == "FIRED") return TimerFired{json::token(item, "keyBack")};
-  if (kind == "GONE") return RequestAbandoned{std::string(json::text(item, "txn"))};
-  if (kind == "DIRECTORY_UPDATE") return read_endpoint_update(item);
-  if (kind == "ACK_FIRST") return read_response_started(item);
+std::optional<Event> EventReader::read_event(std::string_view kind, const Value& event_json) const {
+  if (kind == "QUERY") return read_request(event_json);
+  if (kind == "DONE") return read_attempt_result(event_json);
+  if (kind == "FIRED") return TimerFired{json::token(event_json, "keyBack")};
+  if (kind == "GONE") return RequestAbandoned{std::string(json::text(event_json, "txn"))};
+  if (kind == "DIRECTORY_UPDATE") return read_endpoint_update(event_json);
+  if (kind == "ACK_FIRST") return read_response_started(event_json);
   return std::nullopt;
 }
 
-EndpointUpdate EventReader::read_endpoint_update(const Value& item) const {
-  const std::string_view form = json::text(item, "form");
+EndpointUpdate EventReader::read_endpoint_update(const Value& event_json) const {
+  const std::string_view form = json::text(event_json, "form");
   EndpointUpdate out;
   if (form == "X") {
     out.form = EndpointUpdate::Form::kFailed;
@@ -94,8 +94,8 @@
   } else if (form != "F" && form != "C") {
     json::wrong("form", "D, F, C or X");
   }
-  const auto list = lists_.find(json::whole(item, "sheet"));
-  if (list == lists_.end()) json::wrong("sheet", "the number of a list that was sent");
+  const auto list = endpoint_lists_.find(json::integer(event_json, "sheet"));
+  if (list == endpoint_lists_.end()) json::wrong("sheet", "the number of a known endpoint list");
   out.endpoints = list->second;
   return out;
 }
--- a/adapter/event_reader.h
+++ b/adapter/event_reader.h
@@ -1,4 +1,4 @@
-// Reads the simulator's events and maps them to the balancer's.
+// Parses events of the simulator's protocol into events of the balancer.
 #pragma once
 
 #include <map>
@@ -11,20 +11,20 @@
 
 namespace thymewood::adapter {
 
-// Owns the endpoint lists, which the simulator sends once and then refers to by number. All balancers of the
-// process share them.
+// Keeps the endpoint lists: the simulator sends each list once and then refers to it by number. All balancers
+// of the process share them.
 class EventReader {
  public:
-  // Stores a numbered endpoint list.
-  void read_endpoint_list(const json::Value& item);
-  // Nothing for kinds that the balancer does not ask for, such as those of later protocol versions. Throws
-  // json::FieldError.
-  [[nodiscard]] std::optional<Event> read_event(std::string_view kind, const json::Value& item) const;
+  // Stores a numbered endpoint list; a later list of the same number replaces it.
+  void read_endpoint_list(const json::Value& event_json);
+  // Returns std::nullopt for kinds that the balancer does not handle, such as those of later protocol
+  // versions. Throws json::FieldError.
+  [[nodiscard]] std::optional<Event> read_event(std::string_view kind, const json::Value& event_json) const;
 
  private:
-  [[nodiscard]] EndpointUpdate read_endpoint_update(const json::Value& item) const;
+  [[nodiscard]] EndpointUpdate read_endpoint_update(const json::Value& event_json) const;
 
-  std::map<int, std::vector<Endpoint>> lists_;
+  std::map<int, std::vector<Endpoint>> endpoint_lists_;
 };
 
 }  // namespace thymewood::adapter
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,4 +1,5 @@
-// thymewood_simulator_adapter: connects balancers with the simulator, one line of JSON in for each line out.
+// thymewood_simulator_adapter: runs balancers on behalf of the simulator. Reads batches of events from stdin
+// and writes one reply for each to stdout; both are one JSON object per line.
 #include <cstdint>
 #include <cstdio>
 #include <exception>
@@ -10,8 +11,8 @@
 
 namespace {
 
-constexpr int kOutputFailed = 1;
-constexpr int kInvalidInput = 2;
+constexpr int kExitOutputFailed = 1;
+constexpr int kExitInvalidInput = 2;
 
 bool is_blank(const std::string& line) { return line.find_first_not_of(" \t\r") == std::string::npos; }
 
@@ -37,11 +38,11 @@
       batch.ParseInsitu(line.data());
       json::require_valid(batch);
       turn = std::to_string(json::token(batch, "turn"));
-      if (!write_line(adapter.process(batch))) return kOutputFailed;
-    } catch (const std::exception& problem) {
+      if (!write_line(adapter.process(batch))) return kExitOutputFailed;
+    } catch (const std::exception& error) {
       std::fprintf(stderr, "thymewood_simulator_adapter: line %llu, turn %s: %s\n",
-                   static_cast<unsigned long long>(line_number), turn.c_str(), problem.what());
-      return kInvalidInput;
+                   static_cast<unsigned long long>(line_number), turn.c_str(), error.what());
+      return kExitInvalidInput;
     }
   }
   return 0;
--- a/adapter/reply_writer.cpp
+++ b/adapter/reply_writer.cpp
@@ -55,10 +55,10 @@
     field("noteText", describe(action));
     out_.EndObject();
   }
-  void write_fault(const std::string& fault) const {
+  void write_exception(const std::string& exception_message) const {
     begin("PANIC");
     out_.Key("noteText");
-    out_.String(fault.c_str());
+    out_.String(exception_message.c_str());
     out_.EndObject();
   }
 
@@ -92,16 +92,16 @@
   writer_.StartArray();
 }
 
-void ReplyWriter::write_node(int id, const std::vector<Action>& actions,
-                             const std::optional<std::string>& fault) {
+void ReplyWriter::write_node(int node_id, const std::vector<Action>& actions,
+                             const std::optional<std::string>& exception_message) {
   const ActionWriter action_writer(writer_);
   writer_.StartObject();
   writer_.Key("who");
-  writer_.Int(id);
+  writer_.Int(node_id);
   writer_.Key("steps");
   writer_.StartArray();
   for (const Action& action : actions) std::visit(action_writer, action);
-  if (fault) action_writer.write_fault(*fault);
+  if (exception_message) action_writer.write_exception(*exception_message);
   writer_.EndArray();
   writer_.EndObject();
 }
--- a/adapter/reply_writer.h
+++ b/adapter/reply_writer.h
@@ -1,4 +1,4 @@
-// Writes the reply to one batch of the simulator: the actions of each balancer, as one line of JSON.
+// Serializes the reply to one batch of the simulator: the actions of each balancer, as one line of JSON.
 #pragma once
 
 #include <cstdint>
@@ -14,10 +14,12 @@
 
 class ReplyWriter {
  public:
+  // `turn`: the batch's number, which the reply repeats.
   void begin(std::uint64_t turn);
-  // `fault`: the exception of the balancer, if any.
-  void write_node(int id, const std::vector<Action>& actions, const std::optional<std::string>& fault);
-  // Valid until the next begin().
+  // `exception_message`: what() of the node's first exception in this batch, if any.
+  void write_node(int node_id, const std::vector<Action>& actions,
+                  const std::optional<std::string>& exception_message);
+  // The result is valid until the next begin().
   const rapidjson::StringBuffer& finish();
 
  private:
--- a/adapter/simulator_adapter.cpp
+++ b/adapter/simulator_adapter.cpp
@@ -17,44 +17,46 @@
 }
 
 void SimulatorAdapter::process_node(double now, const Value& node) {
-  const int id = json::whole(node, "who");
-  std::unique_ptr<Balancer>& balancer = balancers_[id];
+  const int node_id = json::integer(node, "who");
+  std::unique_ptr<Balancer>& balancer = balancers_[node_id];
   actions_.clear();
-  std::optional<std::string> fault;
-  for (const Value& item : json::array(node, "news").GetArray()) {
+  std::optional<std::string> exception_message;
+  for (const Value& event_json : json::array(node, "news").GetArray()) {
     try {
-      process_item(now, item, balancer);
+      process_event(now, event_json, balancer);
     } catch (const json::MessageError&) {
       throw;
-    } catch (const std::exception& problem) {  // of the library; the simulator gets the first one
-      if (!fault) fault = problem.what();
+    } catch (const std::exception& error) {  // from the library or its settings; only the first is reported
+      if (!exception_message) exception_message = error.what();
     }
   }
-  if (actions_.empty() && !fault) return;
-  reply_.write_node(id, actions_, fault);
+  if (actions_.empty() && !exception_message) return;
+  reply_.write_node(node_id, actions_, exception_message);
 }
 
-void SimulatorAdapter::process_item(double now, const Value& item, std::unique_ptr<Balancer>& balancer) {
-  const std::string_view kind = json::text(item, "kind");
+void SimulatorAdapter::process_event(double now, const Value& event_json,
+                                     std::unique_ptr<Balancer>& balancer) {
+  const std::string_view kind = json::text(event_json, "kind");
   if (kind == "TABLE") {
-    events_.read_endpoint_list(item);
+    events_.read_endpoint_list(event_json);
   } else if (kind == "OPEN_INSTANCE") {
-    start_balancer(now, item, balancer);
+    start_balancer(now, event_json, balancer);
   } else if (kind == "POWER_OFF") {
     balancer.reset();
     actions_.clear();
-  } else if (const std::optional<Event> event = events_.read_event(kind, item); event && balancer) {
+  } else if (const std::optional<Event> event = events_.read_event(kind, event_json); event && balancer) {
     balancer->handle(now, *event, actions_);
   }
 }
 
-void SimulatorAdapter::start_balancer(double now, const Value& item, std::unique_ptr<Balancer>& balancer) {
+void SimulatorAdapter::start_balancer(double now, const Value& event_json,
+                                      std::unique_ptr<Balancer>& balancer) {
   balancer.reset();
-  const std::uint64_t seed = json::token(item, "initSeed");
-  const Settings settings = json::read_settings(json::need(item, "config"));
+  const std::uint64_t seed = json::token(event_json, "initSeed");
+  const Settings settings = json::read_settings(json::need(event_json, "config"));
   json::validate_settings(settings);
   balancer = std::make_unique<Balancer>(settings, seed);
-  actions_.clear();  // those of the previous instance, which was stopped in this batch
+  actions_.clear();  // drops those of the previous instance, which ended in this batch
   balancer->handle(now, Started{}, actions_);
 }
 
--- a/json/field_reader.cpp
+++ b/json/field_reader.cpp
@@ -6,8 +6,8 @@
 
 namespace thymewood::json {
 
-SyntaxError::SyntaxError(const std::string& problem, std::size_t offset)
-    : MessageError("not valid JSON: " + problem + " at byte " + std::to_string(offset)), offset_(offset) {}
+SyntaxError::SyntaxError(const std::string& error, std::size_t offset)
+    : MessageError("not valid JSON: " + error + " at byte " + std::to_string(offset)), offset_(offset) {}
 
 FieldError::FieldError(std::string field, std::string reason, const std::string& message)
     : MessageError(message), field_(std::move(field)), reason_(std::move(reason)) {}
@@ -20,7 +20,7 @@
 const Value* find(const Value& object, const char* field) {
   if (!object.IsObject())
     throw FieldError(field, "not an object",
-                     std::string("not an object where field '") + field + "' belongs");
+                     std::string("not an object: expected one with field '") + field + "'");
   const auto it = object.FindMember(field);
   return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
 }
@@ -31,8 +31,8 @@
   return *value;
 }
 
-void wrong(const char* field, const char* wanted) {
-  const std::string reason = std::string("is not ") + wanted;
+void wrong(const char* field, const char* expected) {
+  const std::string reason = std::string("is not ") + expected;
   throw FieldError(field, reason, std::string("field '") + field + "' " + reason);
 }
 
@@ -42,23 +42,23 @@
   return value.GetDouble();
 }
 
-double number_or(const Value& object, const char* field, double otherwise) {
-  return find(object, field) == nullptr ? otherwise : number(object, field);
+double number_or(const Value& object, const char* field, double default_value) {
+  return find(object, field) == nullptr ? default_value : number(object, field);
 }
 
-int whole(const Value& object, const char* field) {
+int integer(const Value& object, const char* field) {
   const Value& value = need(object, field);
   if (value.IsInt()) return value.GetInt();
-  wrong(field, "a whole number in range");
+  wrong(field, "an integer in range");
 }
 
-int whole_or(const Value& object, const char* field, int otherwise) {
-  return find(object, field) == nullptr ? otherwise : whole(object, field);
+int whole_or(const Value& object, const char* field, int default_value) {
+  return find(object, field) == nullptr ? default_value : integer(object, field);
 }
 
 std::size_t index_or_zero(const Value& object, const char* field) {
   const int value = whole_or(object, field, 0);
-  if (value < 0) wrong(field, "a whole number in range");
+  if (value < 0) wrong(field, "a non-negative integer");
   return static_cast<std::size_t>(value);
 }
 
@@ -77,7 +77,7 @@
 
 std::uint64_t token(const Value& object, const char* field) {
   const Value& value = need(object, field);
-  if (!value.IsUint64()) wrong(field, "a whole number from 0");
+  if (!value.IsUint64()) wrong(field, "an unsigned 64-bit integer");
   return value.GetUint64();
 }
 
--- a/json/field_reader.h
+++ b/json/field_reader.h
@@ -1,4 +1,4 @@
-// Reads typed fields of JSON objects.
+// Typed access to the fields of JSON objects.
 #pragma once
 
 #include <cstddef>
@@ -19,20 +19,20 @@
   using std::runtime_error::runtime_error;
 };
 
-// The text is no JSON.
+// The text is not valid JSON.
 class SyntaxError : public MessageError {
  public:
-  SyntaxError(const std::string& problem, std::size_t offset);
-  [[nodiscard]] std::size_t offset() const { return offset_; }  // bytes
+  SyntaxError(const std::string& error, std::size_t offset);
+  [[nodiscard]] std::size_t offset() const { return offset_; }  // of the error, in bytes
 
  private:
   std::size_t offset_;
 };
 
-// A field is missing, or its value has the wrong type or range.
+// A field is missing, or its value has the wrong type or is out of range.
 class FieldError : public MessageError {
  public:
-  // `message`: the complete text.
+  // `message`: the complete text that what() returns.
   FieldError(std::string field, std::string reason, const std::string& message);
   [[nodiscard]] const std::string& field() const { return field_; }
   [[nodiscard]] const std::string& reason() const { return reason_; }
@@ -42,21 +42,21 @@
   std::string reason_;
 };
 
-// Throws SyntaxError where the document holds one.
+// Throws SyntaxError if parsing the document failed.
 void require_valid(const rapidjson::Document& document);
 
-// Nothing where the field is absent or null. All readers throw FieldError.
+// Returns nullptr if the field is absent or null. This and all readers below throw FieldError.
 [[nodiscard]] const Value* find(const Value& object, const char* field);
 const Value& need(const Value& object, const char* field);
-// `wanted`: what the field has to be.
-[[noreturn]] void wrong(const char* field, const char* wanted);
+// Throws FieldError. `expected`: what the value must be.
+[[noreturn]] void wrong(const char* field, const char* expected);
 
 double number(const Value& object, const char* field);
-double number_or(const Value& object, const char* field, double otherwise);
-int whole(const Value& object, const char* field);
-int whole_or(const Value& object, const char* field, int otherwise);
+double number_or(const Value& object, const char* field, double default_value);
+int integer(const Value& object, const char* field);
+int whole_or(const Value& object, const char* field, int default_value);
 std::size_t index_or_zero(const Value& object, const char* field);
-bool flag(const Value& object, const char* field);  // false where it is absent
+bool flag(const Value& object, const char* field);  // false if the field is absent
 std::string_view text(const Value& object, const char* field);
 std::uint64_t token(const Value& object, const char* field);
 const Value& array(const Value& object, const char* field);
--- a/json/settings_reader.cpp
+++ b/json/settings_reader.cpp
@@ -45,10 +45,10 @@
 
 }  // namespace key
 
-// A field of Settings and where it stands on the wire.
+// Maps a field of Settings to its key on the wire.
 struct WireKey {
   std::string_view field;
-  const char* parent;  // empty: at the top
+  const char* parent;  // empty for a top-level key
   const char* key;
 };
 
@@ -85,7 +85,7 @@
   return field;
 }
 
-// A requirement may refer to the replica count.
+// A requirement may mention the field replica_count, which has another name on the wire.
 std::string wire_requirement_of(std::string requirement) {
   constexpr std::string_view kField = "replica_count";
   const std::size_t at = requirement.find(kField);
@@ -94,19 +94,19 @@
 }
 
 Idempotency read_idempotency(const Value& in) {
-  const std::string_view word = text(in, key::kIdempotency);
-  if (word == "safe") return Idempotency::kIdempotent;
-  if (word == "keyed") return Idempotency::kIdempotentWithKey;
-  if (word == "unsafe") return Idempotency::kNotIdempotent;
-  throw UnknownWord("categories[].effect", std::string(word));
+  const std::string_view value = text(in, key::kIdempotency);
+  if (value == "safe") return Idempotency::kIdempotent;
+  if (value == "keyed") return Idempotency::kIdempotentWithKey;
+  if (value == "unsafe") return Idempotency::kNotIdempotent;
+  throw UnknownEnumValue("categories[].effect", std::string(value));
 }
 
 DedupScope read_dedup_scope(const Value& in) {
-  const std::string_view word = text(in, key::kDedupScope);
-  if (word == "all") return DedupScope::kAll;
-  if (word == "zone") return DedupScope::kZone;
-  if (word == "cell") return DedupScope::kCell;
-  throw UnknownWord("categories[].group", std::string(word));
+  const std::string_view value = text(in, key::kDedupScope);
+  if (value == "all") return DedupScope::kAll;
+  if (value == "zone") return DedupScope::kZone;
+  if (value == "cell") return DedupScope::kCell;
+  throw UnknownEnumValue("categories[].group", std::string(value));
 }
 
 RequestClass read_class(const Value& in) {
@@ -144,13 +144,13 @@
 
 }  // namespace
 
-UnknownWord::UnknownWord(const std::string& key, const std::string& word)
-    : std::invalid_argument(key + ": '" + word + "' is unknown"), key_(key), word_(word) {}
+UnknownEnumValue::UnknownEnumValue(const std::string& key, const std::string& value)
+    : std::invalid_argument(key + ": '" + value + "' is unknown"), key_(key), value_(value) {}
 
 Settings read_settings(const Value& in) {
   Settings out;
-  out.replica_index = whole(in, key::kReplicaIndex);
-  out.replica_count = whole(in, key::kReplicaCount);
+  out.replica_index = integer(in, key::kReplicaIndex);
+  out.replica_count = integer(in, key::kReplicaCount);
   out.tier = whole_or(in, key::kTier, 0);
   out.zone = whole_or(in, key::kZone, 0);
   out.clock_granularity = number_or(in, key::kClockGranularity, 0);
@@ -170,8 +170,8 @@
 void validate_settings(const Settings& settings) {
   try {
     validate(settings);
-  } catch (const InvalidSettings& problem) {
-    throw InvalidSettings(wire_path_of(problem.field()), wire_requirement_of(problem.requirement()));
+  } catch (const InvalidSettings& error) {
+    throw InvalidSettings(wire_path_of(error.field()), wire_requirement_of(error.requirement()));
   }
 }
 
--- a/json/settings_reader.h
+++ b/json/settings_reader.h
@@ -1,5 +1,5 @@
-// Maps the settings' keys on the wire, which the simulator's protocol and a node's configuration share, to
-// Settings. The keys' names appear here and nowhere else.
+// Reads Settings from JSON. The simulator's protocol and the node's configuration file share this format;
+// only this file maps its keys to fields of Settings.
 #pragma once
 
 #include <stdexcept>
@@ -10,22 +10,23 @@
 
 namespace thymewood::json {
 
-// A key has a word that is not in its list.
-class UnknownWord : public std::invalid_argument {
+// The value of a key is none of the strings that are defined for it.
+class UnknownEnumValue : public std::invalid_argument {
  public:
-  UnknownWord(const std::string& key, const std::string& word);
+  UnknownEnumValue(const std::string& key, const std::string& value);
   [[nodiscard]] const std::string& key() const { return key_; }
-  [[nodiscard]] const std::string& word() const { return word_; }
+  [[nodiscard]] const std::string& value() const { return value_; }
 
  private:
   std::string key_;
-  std::string word_;
+  std::string value_;
 };
 
-// Throws FieldError or UnknownWord. Ranges are checked by validate_settings().
+// Throws FieldError or UnknownEnumValue. Does not check ranges; validate_settings() does.
 [[nodiscard]] Settings read_settings(const Value& in);
 
-// Like thymewood::validate(), but InvalidSettings names the key as it is written on the wire.
+// Like thymewood::validate(), but the InvalidSettings that it throws names the JSON key, not the field of
+// Settings.
 void validate_settings(const Settings& settings);
 
 }  // namespace thymewood::json
--- a/tests/adapter/simulator_adapter_test.cpp
+++ b/tests/adapter/simulator_adapter_test.cpp
@@ -1,4 +1,5 @@
-// The adapter as a program: batches, errors, and the independence of instances in one process.
+// Runs thymewood_simulator_adapter as a process: batches, error reports, and the independence of balancers
+// that share a process.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -14,8 +15,8 @@
 
 struct Result {
   std::vector<std::string> lines;
-  std::string errors;
-  int code = 0;
+  std::string error_output;
+  int exit_code = 0;
 };
 
 std::string read_file(const std::string& path) {
@@ -34,11 +35,11 @@
   const std::string command =
       std::string(SIMULATOR_ADAPTER) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
   Result out;
-  out.code = WEXITSTATUS(std::system(command.c_str()));
-  std::istringstream answers(read_file(base + ".out"));
-  for (std::string line; std::getline(answers, line);) out.lines.push_back(line);
-  out.errors = read_file(base + ".err");
-  for (const char* end : {".in", ".out", ".err"}) std::remove((base + end).c_str());
+  out.exit_code = WEXITSTATUS(std::system(command.c_str()));
+  std::istringstream output(read_file(base + ".out"));
+  for (std::string line; std::getline(output, line);) out.lines.push_back(line);
+  out.error_output = read_file(base + ".err");
+  for (const char* suffix : {".in", ".out", ".err"}) std::remove((base + suffix).c_str());
   return out;
 }
 
@@ -55,16 +56,19 @@
          nodes + "]}";
 }
 
-std::string open_node(int who, const std::string& more = "", const std::string& config = config_text()) {
-  return R"({"who":)" + std::to_string(who) + R"(,"news":[{"kind":"OPEN_INSTANCE","initSeed":)" +
-         std::to_string(who + 5) + R"(,"config":)" + config + R"(},)" +
+std::string open_node(int node_id, const std::string& extra_events = "",
+                      const std::string& config = config_text()) {
+  return R"({"who":)" + std::to_string(node_id) + R"(,"news":[{"kind":"OPEN_INSTANCE","initSeed":)" +
+         std::to_string(node_id + 5) + R"(,"config":)" + config + R"(},)" +
          R"({"kind":"TABLE","sheet":3,"nodesList":[{"server":"10.0.0.1:80","mode":"Ready"},)"
          R"({"server":"10.0.0.2:80","mode":"Ready","pack":1,"units":2}]},)"
          R"({"kind":"DIRECTORY_UPDATE","rev":1,"sheet":3,"form":"C"})" +
-         more + "]}";
+         extra_events + "]}";
 }
 
-bool has(const std::string& line, const std::string& part) { return line.find(part) != std::string::npos; }
+bool contains(const std::string& line, const std::string& expected) {
+  return line.find(expected) != std::string::npos;
+}
 
 TEST(SimulatorAdapter, AnswersEachBatch) {
   const Result r = run({
@@ -77,11 +81,11 @@
       batch(5, 2.2,
             R"({"who":4,"news":[{"kind":"GONE","txn":"a"},{"kind":"FIRED","keyBack":77},{"kind":"NEW"}]})"),
   });
-  EXPECT_EQ(r.code, 0) << r.errors;
+  EXPECT_EQ(r.exit_code, 0) << r.error_output;
   ASSERT_EQ(r.lines.size(), 5U);
   EXPECT_EQ(r.lines[0], R"({"turn":1,"nodes":[]})");
   EXPECT_EQ(r.lines[1], R"({"turn":2,"nodes":[{"who":4,"steps":[{"kind":"TAIL","want":true}]}]})");
-  EXPECT_TRUE(has(r.lines[2], R"("kind":"CALL_OUT","txn":"a","server":"10.0.0.)"));
+  EXPECT_TRUE(contains(r.lines[2], R"("kind":"CALL_OUT","txn":"a","server":"10.0.0.)"));
   EXPECT_EQ(r.lines[3], R"({"turn":4,"nodes":[{"who":4,"steps":[{"kind":"ERROR","txn":"a"}]}]})");
   EXPECT_EQ(r.lines[4], R"({"turn":5,"nodes":[]})");
 }
@@ -92,10 +96,10 @@
   node.insert(node.find("{\"kind\":\"OPEN"),
               R"({"kind":"QUERY","txn":"old","timeLeft":2},{"kind":"POWER_OFF"},)");
   const Result r = run({batch(1, 1, open_node(1)), batch(2, 2, node)});
-  EXPECT_EQ(r.code, 0) << r.errors;
+  EXPECT_EQ(r.exit_code, 0) << r.error_output;
   ASSERT_EQ(r.lines.size(), 2U);
-  EXPECT_FALSE(has(r.lines[1], "\"old\"")) << "the actions of the stopped instance are dropped";
-  EXPECT_TRUE(has(r.lines[1], R"("txn":"a")"));
+  EXPECT_FALSE(contains(r.lines[1], "\"old\"")) << "the actions of the stopped instance are dropped";
+  EXPECT_TRUE(contains(r.lines[1], R"("txn":"a")"));
 }
 
 TEST(SimulatorAdapter, EndpointListNumbersAreReusedWithinABatch) {
@@ -107,18 +111,20 @@
            R"({"kind":"DIRECTORY_UPDATE","sheet":3,"form":"F"},)"
            R"({"kind":"TABLE","sheet":3,"nodesList":[{"server":"c:1","mode":"Ready"}]},)"
            R"({"kind":"DIRECTORY_UPDATE","sheet":3,"form":"F"},{"kind":"QUERY","txn":"a","timeLeft":2}]})")});
-  ASSERT_EQ(r.lines.size(), 2U) << r.errors;
-  EXPECT_TRUE(has(r.lines[1], R"("server":"c:1")"));
+  ASSERT_EQ(r.lines.size(), 2U) << r.error_output;
+  EXPECT_TRUE(contains(r.lines[1], R"("server":"c:1")"));
 }
 
 TEST(SimulatorAdapter, ReportsTheLineTurnAndFieldOfAnError) {
-  const auto expect_error = [](const std::string& line, const std::string& turn, const std::string& part) {
+  const auto expect_error = [](const std::string& line, const std::string& turn,
+                               const std::string& expected) {
     const Result r = run({line});
-    EXPECT_NE(r.code, 0);
+    EXPECT_NE(r.exit_code, 0);
     EXPECT_TRUE(r.lines.empty());
-    EXPECT_TRUE(has(r.errors, "thymewood_simulator_adapter: line 1, turn " + turn + ": ")) << r.errors;
-    EXPECT_EQ(std::count(r.errors.begin(), r.errors.end(), '\n'), 1) << r.errors;
-    EXPECT_TRUE(has(r.errors, part)) << r.errors;
+    EXPECT_TRUE(contains(r.error_output, "thymewood_simulator_adapter: line 1, turn " + turn + ": "))
+        << r.error_output;
+    EXPECT_EQ(std::count(r.error_output.begin(), r.error_output.end(), '\n'), 1) << r.error_output;
+    EXPECT_TRUE(contains(r.error_output, expected)) << r.error_output;
   };
   expect_error("{\"turn\":", "unknown", "not valid JSON");
   expect_error("[1]", "unknown", "not an object");
@@ -145,35 +151,38 @@
   expect_error(R"({"turn":"7","clock":1,"nodes":[]})", "unknown", "'turn'");
 }
 
-// An attempt with an unknown outcome may have run. Events that are out of range, late or repeated are
-// ignored.
+// An attempt with an unknown outcome may have run, so a request that is not idempotent fails without a retry.
+// Events that are out of range, late or repeated are ignored.
 TEST(SimulatorAdapter, IgnoresUnknownAndRepeatedEvents) {
-  const std::string odd = R"({"kind":"DONE","txn":"a","try":9,"outcome":"delivered"},)"
-                          R"({"kind":"DONE","txn":"never","outcome":"expired"},)"
-                          R"({"kind":"QUERY","txn":"b","account":99,"profile":99,"timeLeft":2})";
-  const std::string strange = R"({"kind":"DONE","txn":"a","outcome":"from a later wire","lag":0.1})";
-  const auto news = [](const std::string& events) { return R"({"who":4,"news":[)" + events + "]}"; };
+  const std::string out_of_range_events =
+      R"({"kind":"DONE","txn":"a","try":9,"outcome":"delivered"},)"
+      R"({"kind":"DONE","txn":"never","outcome":"expired"},)"
+      R"({"kind":"QUERY","txn":"b","account":99,"profile":99,"timeLeft":2})";
+  const std::string unknown_outcome_event =
+      R"({"kind":"DONE","txn":"a","outcome":"from a later protocol version","lag":0.1})";
+  const auto node_with = [](const std::string& events) { return R"({"who":4,"news":[)" + events + "]}"; };
   const Result r =
-      run({batch(1, 1, open_node(4)), batch(2, 2, news(R"({"kind":"QUERY","txn":"a","timeLeft":2})")),
-           batch(3, 2.1, news(odd)), batch(4, 2.2, news(strange)), batch(5, 2.3, news(strange))});
-  EXPECT_EQ(r.code, 0) << r.errors;
+      run({batch(1, 1, open_node(4)), batch(2, 2, node_with(R"({"kind":"QUERY","txn":"a","timeLeft":2})")),
+           batch(3, 2.1, node_with(out_of_range_events)), batch(4, 2.2, node_with(unknown_outcome_event)),
+           batch(5, 2.3, node_with(unknown_outcome_event))});
+  EXPECT_EQ(r.exit_code, 0) << r.error_output;
   ASSERT_EQ(r.lines.size(), 5U);
-  EXPECT_TRUE(has(r.lines[2], R"("kind":"CALL_OUT","txn":"b")"));
+  EXPECT_TRUE(contains(r.lines[2], R"("kind":"CALL_OUT","txn":"b")"));
   EXPECT_EQ(r.lines[3], R"({"turn":4,"nodes":[{"who":4,"steps":[{"kind":"ERROR","txn":"a"}]}]})");
   EXPECT_EQ(r.lines[4], R"({"turn":5,"nodes":[]})");
 }
 
-TEST(SimulatorAdapter, ExitsAtEndOfInput) { EXPECT_EQ(run({}).code, 0); }
+TEST(SimulatorAdapter, ExitsAtEndOfInput) { EXPECT_EQ(run({}).exit_code, 0); }
 
 TEST(SimulatorAdapter, ReportsInvalidSettingsByTheirWireKey) {
-  const auto expect_panic = [](const std::string& from, const std::string& to, const std::string& part) {
+  const auto expect_panic = [](const std::string& from, const std::string& to, const std::string& expected) {
     std::string config = config_text();
     config.replace(config.find(from), from.size(), to);
     const Result r = run({batch(1, 1, open_node(2, "", config))});
-    EXPECT_EQ(r.code, 0);
+    EXPECT_EQ(r.exit_code, 0);
     ASSERT_EQ(r.lines.size(), 1U);
-    EXPECT_TRUE(has(r.lines[0], R"("kind":"PANIC")")) << r.lines[0];
-    EXPECT_TRUE(has(r.lines[0], part)) << r.lines[0];
+    EXPECT_TRUE(contains(r.lines[0], R"("kind":"PANIC")")) << r.lines[0];
+    EXPECT_TRUE(contains(r.lines[0], expected)) << r.lines[0];
   };
   expect_panic(R"("peersTotal":1)", R"("peersTotal":0)", "thymewood settings: peersTotal must be above 0");
   expect_panic(R"("position":0)", R"("position":1)",
@@ -186,40 +195,40 @@
   expect_panic(R"("effect":"unsafe")", R"("effect":"odd")", "categories[].effect: 'odd' is unknown");
 }
 
-// The actions of an instance do not depend on the other instances in its process.
+// The actions of a balancer instance do not depend on the other instances in its process.
 TEST(SimulatorAdapter, InstancesOfOneProcessAreIndependent) {
-  const auto lines_for = [](const std::vector<int>& whos) {
+  const auto lines_for = [](const std::vector<int>& node_ids) {
     std::vector<std::string> lines;
     std::string nodes;
-    for (const int who : whos) nodes.append(nodes.empty() ? "" : ",").append(open_node(who));
+    for (const int node_id : node_ids) nodes.append(nodes.empty() ? "" : ",").append(open_node(node_id));
     lines.push_back(batch(1, 1, nodes));
     for (int turn = 2; turn < 60; ++turn) {
       nodes.clear();
-      for (const int who : whos) {
-        const std::string id = std::to_string(who) + "-" + std::to_string(turn);
-        const std::string old = std::to_string(who) + "-" + std::to_string(turn - 2);
+      for (const int node_id : node_ids) {
+        const std::string txn = std::to_string(node_id) + "-" + std::to_string(turn);
+        const std::string previous_txn = std::to_string(node_id) + "-" + std::to_string(turn - 2);
         nodes += (nodes.empty() ? "" : ",");
-        nodes += R"({"who":)" + std::to_string(who) + R"(,"news":[{"kind":"QUERY","txn":")" + id +
-                 R"(","timeLeft":2},{"kind":"DONE","txn":")" + old + R"(","outcome":")" +
+        nodes += R"({"who":)" + std::to_string(node_id) + R"(,"news":[{"kind":"QUERY","txn":")" + txn +
+                 R"(","timeLeft":2},{"kind":"DONE","txn":")" + previous_txn + R"(","outcome":")" +
                  (turn % 3 == 0 ? "shed" : "app_error") + R"(","lag":0.2}]})";
       }
       lines.push_back(batch(turn, 1 + turn * 0.1, nodes));
     }
     return lines;
   };
-  const Result together = run(lines_for({0, 1, 2}));
-  ASSERT_EQ(together.code, 0) << together.errors;
-  std::vector<Result> apart;
-  for (const int who : {0, 1, 2}) apart.push_back(run(lines_for({who})));
-  for (std::size_t i = 0; i < together.lines.size(); ++i) {
+  const Result combined = run(lines_for({0, 1, 2}));
+  ASSERT_EQ(combined.exit_code, 0) << combined.error_output;
+  std::vector<Result> separate;
+  for (const int node_id : {0, 1, 2}) separate.push_back(run(lines_for({node_id})));
+  for (std::size_t i = 0; i < combined.lines.size(); ++i) {
     std::string joined;
-    for (const Result& one : apart) {
-      const std::string& line = one.lines.at(i);
+    for (const Result& result : separate) {
+      const std::string& line = result.lines.at(i);
       const std::size_t start = line.find('[') + 1;
       const std::string inner = line.substr(start, line.rfind(']') - start);
       if (!inner.empty()) joined += (joined.empty() ? "" : ",") + inner;
     }
-    const std::string& line = together.lines[i];
+    const std::string& line = combined.lines[i];
     const std::size_t start = line.find('[') + 1;
     EXPECT_EQ(line.substr(start, line.rfind(']') - start), joined);
   }
