--- a/operators/operators_file.cpp
+++ b/operators/operators_file.cpp
@@ -21,13 +21,13 @@
   return out.str();
 }
 
-// Below 20 ms a node that is merely busy would be suspected.
+// With intervals below 20 ms, a node that is merely busy would be suspected.
 constexpr double kMinIntervalMs = 20;
 constexpr double kMaxIntervalMs = 60'000;
 constexpr double kMaxSettleMs = 600'000;
 constexpr double kMaxFlapDecayMs = 86'400'000;
 
-// Defaults in probe intervals.
+// Default times, in probe intervals.
 constexpr double kSettleIntervals = 5;
 constexpr double kMinChangeIntervals = 10;
 constexpr double kFlapDecayIntervals = 60;
@@ -37,7 +37,7 @@
     out.probe_interval = *interval;
   const double default_timeout = out.ack_timeout_fraction * out.probe_interval;
   const double ack_timeout = table.milliseconds("answer_ms", 1, kMaxIntervalMs).value_or(default_timeout);
-  if (ack_timeout >= out.probe_interval) table.reject("answer_ms", "has to be below 'period_ms'");
+  if (ack_timeout >= out.probe_interval) table.reject("answer_ms", "must be below 'period_ms'");
   out.ack_timeout_fraction = ack_timeout / out.probe_interval;
   out.indirect_probe_count = table.integer("helpers", 0, 10).value_or(out.indirect_probe_count);
   out.suspicion_multiplier = table.integer("suspicion_periods", 1, 100).value_or(out.suspicion_multiplier);
@@ -46,7 +46,7 @@
 ReplicaSetOptions read_replica_set(TomlTable table) {
   ReplicaSetOptions out;
   out.enabled = table.boolean("enabled").value_or(out.enabled);
-  out.name = table.text("name").value_or(out.name);
+  out.name = table.string("name").value_or(out.name);
   read_detector(table, out.detector);
   const double interval = out.detector.probe_interval;
   out.view.settle_time = table.milliseconds("hold_ms", 0, kMaxSettleMs).value_or(kSettleIntervals * interval);
@@ -78,8 +78,8 @@
       out.replica_set = read_replica_set(*table);
     root.reject_unknown_keys();
     return out;
-  } catch (const toml::parse_error& problem) {
-    throw InvalidOperatorsFile(name, problem.source().begin.line, "", std::string(problem.description()));
+  } catch (const toml::parse_error& error) {
+    throw InvalidOperatorsFile(name, error.source().begin.line, "", std::string(error.description()));
   }
 }
 
@@ -90,7 +90,7 @@
   std::ostringstream text;
   text << in.rdbuf();
   if (!in || std::filesystem::is_directory(path, ignored))
-    throw InvalidOperatorsFile(path, 0, "", "can't be read");
+    throw InvalidOperatorsFile(path, 0, "", "cannot be read");
   return parse_operators_file(text.str(), path);
 }
 
--- a/operators/operators_file.h
+++ b/operators/operators_file.h
@@ -1,5 +1,6 @@
-// The operators' file: what they set for a node beside the platform's configuration. It is read and checked
-// completely before any of it is used; deploy/operators.toml is a commented example.
+// The operator configuration file: settings that operators choose, in addition to the platform's
+// configuration of the node. It is parsed and validated completely before any of it is used;
+// deploy/operators.toml is a commented example.
 #pragma once
 
 #include <cstdint>
@@ -13,21 +14,21 @@
 
 // Table [fleet]: communication between the nodes of a replica set.
 struct ReplicaSetOptions {
-  bool enabled = false;  // takes effect only where the platform permits it as well
+  bool enabled = false;  // takes effect only if the platform permits it as well
   std::string name = "thymewood";
   membership::DetectorConfig detector;
   membership::ReplicaSetViewConfig view;
-  bool rejects_when_isolated = false;  // key refuse_when_cut_off: cut off from nodes and servers alike
+  bool rejects_when_isolated = false;  // key refuse_when_cut_off: isolated from most nodes and most servers
 };
 
 struct OperatorsFile {
   ReplicaSetOptions replica_set;
 };
 
-// The message is one line: file, line, key and reason.
+// what() is one line: file, line, key and reason.
 class InvalidOperatorsFile : public std::runtime_error {
  public:
-  // `line` 0: the file as a whole; `key` empty: not about one key.
+  // `line`: 0 if the error concerns the file as a whole. `key`: empty if it concerns no single key.
   InvalidOperatorsFile(const std::string& file, std::uint32_t line, const std::string& key,
                        const std::string& reason);
   [[nodiscard]] const std::string& file() const { return file_; }
@@ -42,8 +43,8 @@
   std::string reason_;
 };
 
-// Throws InvalidOperatorsFile. Without a file everything is off; a file that exists and can't be read is an
-// error.
+// Throws InvalidOperatorsFile. A missing file leaves everything off; a file that exists but cannot be read is
+// an error.
 [[nodiscard]] OperatorsFile read_operators_file(const std::string& path);
 [[nodiscard]] OperatorsFile parse_operators_file(const std::string& text, const std::string& name);
 
--- a/operators/toml_table.cpp
+++ b/operators/toml_table.cpp
@@ -29,7 +29,7 @@
   const std::optional<double> value = node->is_number() ? node->value<double>() : std::nullopt;
   if (!value || !std::isfinite(*value) || *value < min || *value > max) {
     std::ostringstream reason;
-    reason << "has to be a number from " << min << " to " << max;
+    reason << "must be a number from " << min << " to " << max;
     reject(key, reason.str());
   }
   return value;
@@ -44,36 +44,36 @@
 std::optional<int> TomlTable::integer(const char* key, int min, int max) {
   const std::optional<double> value = number(key, min, max);
   if (!value) return std::nullopt;
-  if (*value != std::floor(*value)) reject(key, "has to be whole");
+  if (*value != std::floor(*value)) reject(key, "must be an integer");
   return static_cast<int>(*value);
 }
 
 std::optional<bool> TomlTable::boolean(const char* key) {
   const toml::node* node = find(key);
   if (node == nullptr) return std::nullopt;
-  if (!node->is_boolean()) reject(key, "has to be true or false");
+  if (!node->is_boolean()) reject(key, "must be true or false");
   return node->value<bool>();
 }
 
-std::optional<std::string> TomlTable::text(const char* key) {
+std::optional<std::string> TomlTable::string(const char* key) {
   const toml::node* node = find(key);
   if (node == nullptr) return std::nullopt;
   std::optional<std::string> value = node->is_string() ? node->value<std::string>() : std::nullopt;
-  if (!value || value->empty()) reject(key, "has to be text, and not empty");
+  if (!value || value->empty()) reject(key, "must be a non-empty string");
   return value;
 }
 
 std::optional<TomlTable> TomlTable::table(const char* key) {
   const toml::node* node = find(key);
   if (node == nullptr) return std::nullopt;
-  if (!node->is_table()) reject(key, "has to be a table");
+  if (!node->is_table()) reject(key, "must be a table");
   return TomlTable(file_, *node->as_table());
 }
 
 void TomlTable::reject_unknown_keys() const {
   for (const auto& [name, node] : table_) {
     const std::string key(name.str());
-    if (!read_keys_.contains(key)) reject(key.c_str(), "is not a key here");
+    if (!read_keys_.contains(key)) reject(key.c_str(), "is not a known key");
   }
 }
 
--- a/operators/toml_table.h
+++ b/operators/toml_table.h
@@ -1,5 +1,5 @@
-// A strict reader of one TOML table: values are checked against a range, and keys that nobody reads are
-// errors.
+// A strict reader of one TOML table: it checks each value's type and range, and reports keys that were not
+// read as errors.
 #pragma once
 
 #include <toml++/toml.h>
@@ -10,22 +10,22 @@
 
 namespace thymewood::operators {
 
-// Throws InvalidOperatorsFile with the line of the key.
+// All errors are thrown as InvalidOperatorsFile with the line of the key.
 class TomlTable {
  public:
-  // Both outlive the reader.
+  // Both arguments must outlive the reader.
   TomlTable(const std::string& file, const toml::table& table) : file_(file), table_(table) {}
 
-  // Each returns nothing where the key is absent.
+  // Each of these returns std::nullopt if the key is absent.
   [[nodiscard]] std::optional<double> number(const char* key, double min, double max);
-  // Given in ms; returns s.
+  // The value and its bounds are in ms, the result is in seconds.
   [[nodiscard]] std::optional<double> milliseconds(const char* key, double min, double max);
   [[nodiscard]] std::optional<int> integer(const char* key, int min, int max);
   [[nodiscard]] std::optional<bool> boolean(const char* key);
-  [[nodiscard]] std::optional<std::string> text(const char* key);
+  [[nodiscard]] std::optional<std::string> string(const char* key);
   [[nodiscard]] std::optional<TomlTable> table(const char* key);
 
-  // Throws where the table has a key that was not read.
+  // Throws if the table has a key that was not read.
   void reject_unknown_keys() const;
   [[noreturn]] void reject(const char* key, const std::string& reason) const;
 
--- a/tests/operators/operators_file_test.cpp
+++ b/tests/operators/operators_file_test.cpp
@@ -1,4 +1,5 @@
-// The operators' file: errors name file, line and key, and the example in deploy/ loads.
+// Operator configuration file: errors name the file, line and key, and deploy/operators.toml states the
+// defaults.
 #include "operators_file.h"
 
 #include <gtest/gtest.h>
@@ -14,8 +15,8 @@
   try {
     static_cast<void>(parse_operators_file(text, "o.toml"));
     return "";
-  } catch (const InvalidOperatorsFile& problem) {
-    return problem.what();
+  } catch (const InvalidOperatorsFile& error) {
+    return error.what();
   }
 }
 
@@ -40,45 +41,45 @@
 }
 
 TEST(OperatorsFile, DefaultTimesScaleWithTheProbeInterval) {
-  const ReplicaSetOptions f =
+  const ReplicaSetOptions options =
       parse_operators_file("[fleet]\nenabled = true\nperiod_ms = 200\nname = \"x\"\n", "o").replica_set;
-  EXPECT_TRUE(f.enabled);
-  EXPECT_EQ(f.name, "x");
-  EXPECT_DOUBLE_EQ(f.detector.probe_interval, 0.2);
-  EXPECT_DOUBLE_EQ(f.detector.ack_timeout_fraction, 0.3);
-  EXPECT_DOUBLE_EQ(f.view.settle_time, 1);
-  EXPECT_DOUBLE_EQ(f.view.min_change_interval, 2);
+  EXPECT_TRUE(options.enabled);
+  EXPECT_EQ(options.name, "x");
+  EXPECT_DOUBLE_EQ(options.detector.probe_interval, 0.2);
+  EXPECT_DOUBLE_EQ(options.detector.ack_timeout_fraction, 0.3);
+  EXPECT_DOUBLE_EQ(options.view.settle_time, 1);
+  EXPECT_DOUBLE_EQ(options.view.min_change_interval, 2);
 }
 
 TEST(OperatorsFile, ErrorsNameTheLineAndTheKey) {
-  const std::pair<const char*, const char*> wrong[] = {
-      {"[fleet]\nenabled = 1\n", "o.toml:2: 'enabled' has to be true or false"},
-      {"[fleet]\n\nenable = true\n", "o.toml:3: 'enable' is not a key here"},
-      {"[flet]\n", "'flet' is not a key here"},
-      {"fleet = 3\n", "o.toml:1: 'fleet' has to be a table"},
-      {"[fleet]\nname = \"\"\n", "o.toml:2: 'name' has to be text"},
-      {"[fleet]\nperiod_ms = 5\n", "o.toml:2: 'period_ms' has to be a number from 20 to 60000"},
-      {"[fleet]\nperiod_ms = \"1s\"\n", "o.toml:2: 'period_ms' has to be a number"},
-      {"[fleet]\nperiod_ms = nan\n", "o.toml:2: 'period_ms' has to be a number"},
-      {"[fleet]\nperiod_ms = 100\nanswer_ms = 100\n", "o.toml:3: 'answer_ms' has to be below 'period_ms'"},
-      {"[fleet]\nhelpers = 2.5\n", "o.toml:2: 'helpers' has to be whole"},
+  const std::pair<const char*, const char*> invalid_files[] = {
+      {"[fleet]\nenabled = 1\n", "o.toml:2: 'enabled' must be true or false"},
+      {"[fleet]\n\nenable = true\n", "o.toml:3: 'enable' is not a known key"},
+      {"[flet]\n", "'flet' is not a known key"},
+      {"fleet = 3\n", "o.toml:1: 'fleet' must be a table"},
+      {"[fleet]\nname = \"\"\n", "o.toml:2: 'name' must be a non-empty string"},
+      {"[fleet]\nperiod_ms = 5\n", "o.toml:2: 'period_ms' must be a number from 20 to 60000"},
+      {"[fleet]\nperiod_ms = \"1s\"\n", "o.toml:2: 'period_ms' must be a number"},
+      {"[fleet]\nperiod_ms = nan\n", "o.toml:2: 'period_ms' must be a number"},
+      {"[fleet]\nperiod_ms = 100\nanswer_ms = 100\n", "o.toml:3: 'answer_ms' must be below 'period_ms'"},
+      {"[fleet]\nhelpers = 2.5\n", "o.toml:2: 'helpers' must be an integer"},
       {"[fleet]\nhelpers = 11\n", "o.toml:2: 'helpers'"},
       {"[fleet]\nhold_ms = -1\n", "o.toml:2: 'hold_ms'"},
       {"[fleet]\nenabled = true\nenabled = false\n", "o.toml:3:"},
       {"[fleet\n", "o.toml:1:"}};
-  for (const auto& [text, what] : wrong) {
+  for (const auto& [text, expected_error] : invalid_files) {
     const std::string error = error_of(text);
-    EXPECT_NE(error.find(what), std::string::npos) << text << "\n" << error;
+    EXPECT_NE(error.find(expected_error), std::string::npos) << text << "\n" << error;
     EXPECT_EQ(error.find("o.toml:"), 0u) << error;
-    EXPECT_EQ(error.find('\n'), std::string::npos) << "one line: " << error;
+    EXPECT_EQ(error.find('\n'), std::string::npos) << "more than one line: " << error;
   }
 }
 
 TEST(OperatorsFile, AnUnreadableFileIsAnError) {
-  const std::string folder = testing::TempDir() + "/operators_" + std::to_string(::getpid());
-  std::filesystem::create_directories(folder);
-  EXPECT_THROW(static_cast<void>(read_operators_file(folder)), InvalidOperatorsFile);
-  std::filesystem::remove_all(folder);
+  const std::string directory = testing::TempDir() + "/operators_" + std::to_string(::getpid());
+  std::filesystem::create_directories(directory);
+  EXPECT_THROW(static_cast<void>(read_operators_file(directory)), InvalidOperatorsFile);
+  std::filesystem::remove_all(directory);
 }
 
 }  // namespace
