--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,4 +1,5 @@
-// The shortest use of the installed library: one server, one request, one answer.
+// Minimal program that uses the installed library: it fails unless the balancer sends one request to the only
+// server.
 #include <iostream>
 #include <variant>
 #include <vector>
@@ -16,16 +17,16 @@
 
   thymewood::Balancer balancer(settings, 42);
   std::vector<thymewood::Action> actions;
-  thymewood::EndpointUpdate members;
-  members.endpoints.push_back({.address = "10.0.0.1:80"});
-  balancer.handle(0.0, members, actions);
+  thymewood::EndpointUpdate update;
+  update.endpoints.push_back({.address = "10.0.0.1:80"});
+  balancer.handle(0.0, update, actions);
   balancer.handle(0.1, thymewood::Request{.id = "r1", .time_left = 2}, actions);
   for (const thymewood::Action& action : actions) {
     if (const auto* send = std::get_if<thymewood::Send>(&action)) {
-      std::cout << send->id << " -> " << send->server << ", time-out " << send->timeout << " s\n";
+      std::cout << send->id << " -> " << send->server << ", timeout " << send->timeout << " s\n";
       return 0;
     }
   }
-  std::cerr << "no send\n";
+  std::cerr << "the balancer returned no Send\n";
   return 1;
 }
