--- a/fleet_rig/mutations.py
+++ b/fleet_rig/mutations.py
@@ -141,7 +141,7 @@
     NodeMutation(
         name='closed_without_response',
         file='node/client_listener.cpp',
-        original='admission_.admit_on_reserve(std::move(socket));',
+        original='callbacks_.on_accept_on_reserve(std::move(socket));',
         replacement='socket.close(error);',
         scenario='scarce',
         expected='one-final-answer',
--- a/node/client_listener.cpp
+++ b/node/client_listener.cpp
@@ -20,7 +20,7 @@
 constexpr double kAcceptRetryDelay = 0.02;  // s
 constexpr int kBacklog = 1024;              // connections
 
-// Whether accept(2) failed for one connection only, so that the next may be accepted at once.
+// Returns whether accept(2) failed because of a single connection, so that the next accept can start at once.
 bool is_connection_specific(error_code error) {
   return error == asio::error::connection_aborted || error.value() == EPROTO ||
          error == asio::error::interrupted;
@@ -46,37 +46,38 @@
   return true;
 }
 
-ClientListener::ClientListener(asio::io_context& io, ConnectionAdmission& admission)
-    : io_(io), admission_(admission), acceptor_(io), retry_timer_(io) {}
+ClientListener::ClientListener(asio::io_context& io, ListenerCallbacks& callbacks)
+    : io_(io), callbacks_(callbacks), acceptor_(io), retry_timer_(io) {}
 
 void ClientListener::listen(const tcp::endpoint& endpoint) {
   acceptor_.open(endpoint.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
-  // Without it, Asio waits for another connection after ECONNABORTED instead of reporting it.
+  // Without this option, Asio handles ECONNABORTED internally by waiting for another connection.
   acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
   acceptor_.bind(endpoint);
   acceptor_.listen(kBacklog);
 }
 
 void ClientListener::accept() {
-  if (is_accepting_ || is_retry_pending_ || !acceptor_.is_open() || !admission_.can_accept()) return;
-  acceptor_.async_accept([this, number = accept_number_](error_code error, tcp::socket socket) {
-    if (number != accept_number_) {  // replaced by recover()
-      if (!error) admission_.admit(std::move(socket));
+  if (is_accepting_ || is_retry_pending_ || !acceptor_.is_open() || !callbacks_.can_accept()) return;
+  acceptor_.async_accept([this, generation = accept_generation_](error_code error, tcp::socket socket) {
+    if (generation != accept_generation_) {  // replaced by recover()
+      if (!error) callbacks_.on_accept(std::move(socket));
       return;
     }
     is_accepting_ = false;
     if (error == asio::error::operation_aborted) return;
     if (is_connection_specific(error)) return accept();
     if (error) return on_accept_failed(error);
-    admission_.admit(std::move(socket));
+    callbacks_.on_accept(std::move(socket));
     accept();
   });
   is_accepting_ = true;
 }
 
-// Without descriptors, the listener stays readable with nothing accepted, which would busy-loop, and clients
-// in its queue would wait in vain. They are accepted one at a time on the reserve descriptor and rejected.
+// When the process runs out of descriptors, the listening socket stays readable but accept fails, which would
+// cause a busy loop, and queued clients would never get a response. They are accepted one at a time on the
+// reserve descriptor and rejected.
 void ClientListener::on_accept_failed(error_code error) {
   log_warning("accept_failed").with("error", error.message());
   static_cast<void>(accept_on_reserve());
@@ -89,7 +90,7 @@
 }
 
 bool ClientListener::accept_on_reserve() {
-  admission_.free_descriptor();
+  callbacks_.free_descriptor();
   if (!reserve_.release()) return false;
   error_code error;
   tcp::socket socket(io_);
@@ -99,13 +100,13 @@
     reserve_.acquire();
     return false;
   }
-  admission_.admit_on_reserve(std::move(socket));
+  callbacks_.on_accept_on_reserve(std::move(socket));
   return true;
 }
 
 void ClientListener::recover() {
   if (!acceptor_.is_open() || !is_accepting_) return accept();
-  ++accept_number_;
+  ++accept_generation_;
   is_accepting_ = false;
   error_code ignored;
   acceptor_.cancel(ignored);
@@ -115,12 +116,12 @@
 bool ClientListener::accept_queued() {
   error_code error;
   acceptor_.non_blocking(true, error);
-  while (admission_.can_accept()) {
+  while (callbacks_.can_accept()) {
     tcp::socket socket(io_);
     acceptor_.accept(socket, error);
     if (is_queue_empty(error)) return true;
     if (!error) {
-      admission_.admit(std::move(socket));
+      callbacks_.on_accept(std::move(socket));
     } else if (!accept_on_reserve()) {
       return false;
     }
--- a/node/client_listener.h
+++ b/node/client_listener.h
@@ -1,4 +1,4 @@
-// Accepts the connections of clients, and copes with accepts that fail.
+// Accepts client connections and recovers when accept(2) fails.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -8,27 +8,28 @@
 
 namespace thymewood::node {
 
-// Receives the connections of a ClientListener.
-class ConnectionAdmission {
+// Receives the connections that a ClientListener accepts.
+class ListenerCallbacks {
  public:
-  ConnectionAdmission() = default;
-  ConnectionAdmission(const ConnectionAdmission&) = delete;
-  ConnectionAdmission& operator=(const ConnectionAdmission&) = delete;
+  ListenerCallbacks() = default;
+  ListenerCallbacks(const ListenerCallbacks&) = delete;
+  ListenerCallbacks& operator=(const ListenerCallbacks&) = delete;
 
-  // Whether one more connection may be accepted.
+  // Returns whether another connection may be accepted.
   [[nodiscard]] virtual bool can_accept() const = 0;
-  virtual void admit(boost::asio::ip::tcp::socket socket) = 0;
-  // The connection occupies the reserve descriptor, which the next client waits for: it is to be rejected
-  // soon.
-  virtual void admit_on_reserve(boost::asio::ip::tcp::socket socket) = 0;
-  // Closes an idle connection, if there is one, so that its descriptor becomes free.
+  virtual void on_accept(boost::asio::ip::tcp::socket socket) = 0;
+  // The connection uses the reserve descriptor, which is needed to accept the next client, so it must be
+  // rejected soon.
+  virtual void on_accept_on_reserve(boost::asio::ip::tcp::socket socket) = 0;
+  // Closes an idle connection, if any, to free its descriptor.
   virtual void free_descriptor() = 0;
 
  protected:
-  ~ConnectionAdmission() = default;
+  ~ListenerCallbacks() = default;
 };
 
-// A descriptor that is kept open only to be closed: it makes one accept possible when all others are in use.
+// A file descriptor held in reserve: closing it allows one more accept when the process has reached its
+// descriptor limit.
 class ReserveDescriptor {
  public:
   ReserveDescriptor() { acquire(); }
@@ -36,9 +37,9 @@
   ReserveDescriptor(const ReserveDescriptor&) = delete;
   ReserveDescriptor& operator=(const ReserveDescriptor&) = delete;
 
-  // Opens it again, where it was released and a descriptor is free.
+  // Reopens the descriptor if it was released. Does nothing while none is available.
   void acquire();
-  // Closes it; false where it is not open.
+  // Closes the descriptor. Returns false if it is not open.
   [[nodiscard]] bool release();
 
  private:
@@ -47,37 +48,39 @@
 
 class ClientListener {
  public:
-  ClientListener(boost::asio::io_context& io, ConnectionAdmission& admission);
+  ClientListener(boost::asio::io_context& io, ListenerCallbacks& callbacks);
 
-  // Throws boost::system::system_error when the address cannot be listened on.
+  // Throws boost::system::system_error if the address cannot be bound or listened on.
   void listen(const boost::asio::ip::tcp::endpoint& endpoint);
   [[nodiscard]] boost::asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
   [[nodiscard]] bool is_open() const { return acceptor_.is_open(); }
 
-  // Accepts connections from now on, as far as the admission allows; to be called again when it allows more.
+  // Starts accepting connections while can_accept() allows it. Call again when it may have become true.
   void accept();
 
-  // A connection has ended, and its descriptor is free.
+  // Called when a connection has ended and its descriptor is free.
   void on_descriptor_freed() { reserve_.acquire(); }
 
-  // Accepts again after an exception that left a handler; Asio drops an accept that fails within it.
+  // Resumes accepting after an exception escaped from a handler, in which case Asio drops an accept that
+  // fails inside that handler.
   void recover();
 
-  // Accepts all queued connections that the admission allows, without waiting; whether the queue is empty.
+  // Accepts the connections in the listen queue without blocking, while can_accept() allows it. Returns
+  // whether the queue is empty.
   [[nodiscard]] bool accept_queued();
   void close();
 
  private:
   void on_accept_failed(boost::system::error_code error);
-  // Whether a connection was accepted.
+  // Returns whether a connection was accepted.
   [[nodiscard]] bool accept_on_reserve();
 
   boost::asio::io_context& io_;
-  ConnectionAdmission& admission_;
+  ListenerCallbacks& callbacks_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer retry_timer_;
   ReserveDescriptor reserve_;
-  std::uint64_t accept_number_ = 0;  // tells the pending accept from one that recover() has replaced
+  std::uint64_t accept_generation_ = 0;  // identifies accepts that recover() has replaced
   bool is_accepting_ = false;
   bool is_retry_pending_ = false;
 };
--- a/node/client_session.cpp
+++ b/node/client_session.cpp
@@ -18,16 +18,16 @@
 
 namespace {
 
-constexpr double kRequestTimeout = 2.5;   // s; from the first byte of a request after the first to its last
-constexpr double kKeepAliveTimeout = 10;  // s; between requests
-constexpr double kWriteTimeout = 5;       // s; for a client to receive a response
-constexpr double kErrorPause = 0.1;       // s; between an invalid request and the next read
-constexpr double kLingerTimeout = 0.5;    // s; for a client to read the last response before the close
+constexpr double kRequestTimeout = 2.5;       // s; from first to last byte of any but the first request
+constexpr double kKeepAliveTimeout = 10;      // s; between requests
+constexpr double kWriteTimeout = 5;           // s; for writing a response
+constexpr double kInvalidRequestDelay = 0.1;  // s; from an invalid request to the next read
+constexpr double kLingerTimeout = 0.5;        // s; before the close, for the client to read the last response
 constexpr std::size_t kMaxLingerBytes = std::size_t{256} * 1024;  // discarded after the last response
-constexpr std::size_t kRequestHeadSize = 1024;  // bytes; estimate of what a request holds besides its body
+constexpr std::size_t kRequestHeadSize = 1024;  // bytes; estimated size of a request without its body
 constexpr unsigned kHttp11 = 11;
 
-// A request in flight, with its part of the memory budget.
+// A request in flight and its reservation in the memory budget.
 struct RequestInFlight {
   explicit RequestInFlight(MemoryBudget& budget) : memory(budget) {}
   HttpRequest request;
@@ -71,15 +71,15 @@
   });
 }
 
-// An exception, for want of memory, must leave neither a pending read nor a timer behind, nor a client
-// without a response.
+// Runs `work` and handles exceptions such as std::bad_alloc: no read or timer may stay pending, and the
+// client still gets a response.
 template <class Work>
 void ClientSession::run_guarded(const Work& work) {
   try {
     work();
-  } catch (const std::exception& problem) {
-    log_warning("client_failed").with("problem", problem.what());
-    if (state_ == State::kClosed || state_ == State::kWaiting) return;  // the dispatcher answers it
+  } catch (const std::exception& error) {
+    log_warning("client_failed").with("problem", error.what());
+    if (state_ == State::kClosed || state_ == State::kWaiting) return;  // the dispatcher responds
     if (state_ != State::kWriting) send_overload_response(socket_);
     close(SessionEnd::kOutOfMemory);
   }
@@ -107,9 +107,9 @@
   context_ = nullptr;
 }
 
-void ClientSession::wind_up() {
+void ClientSession::close_gracefully() {
   if (is_idle() && !has_unread()) return close(SessionEnd::kShutdown);
-  if (state_ != State::kReading && state_ != State::kPausing) return;
+  if (state_ != State::kReading && state_ != State::kDelaying) return;
   set_timeout(std::clamp(context_->shutdown.time_to_response_deadline(), 0.0, kLingerTimeout));
 }
 
@@ -133,7 +133,7 @@
 
 void ClientSession::on_timeout() {
   if (context_ == nullptr) return;
-  if (state_ == State::kPausing && !context_->shutdown.is_closing_sessions()) {
+  if (state_ == State::kDelaying && !context_->shutdown.is_closing_sessions()) {
     set_timeout(kKeepAliveTimeout);
     return read_request();
   }
@@ -150,23 +150,23 @@
   reader_.start_request();
   parse();
   if (state_ != State::kReading) return;
-  if (is_proven_ && !reader_.has_begun()) {
+  if (has_sent_valid_request_ && !reader_.has_begun()) {
     context_->sessions.add_idle(*this, SessionTable::IdleKind::kBetweenRequests);
-  } else if (!is_proven_ && table_entry_.idle_list == nullptr) {
-    context_->sessions.add_idle(*this, SessionTable::IdleKind::kUnproven);
+  } else if (!has_sent_valid_request_ && table_entry_.idle_list == nullptr) {
+    context_->sessions.add_idle(*this, SessionTable::IdleKind::kNoValidRequest);
   }
   if (!reader_.has_begun()) {
     reader_.shrink_buffer();
     memory_.resize(reader_.buffer_capacity());
   }
   read();
-  if (context_->shutdown.is_closing_sessions()) wind_up();
+  if (context_->shutdown.is_closing_sessions()) close_gracefully();
 }
 
 void ClientSession::read() {
-  // During the pause after an invalid request, backpressure applies; any other client may disconnect
-  // meanwhile.
-  const bool is_backpressure_due = reader_.is_full() && state_ == State::kPausing;
+  // Backpressure applies only during the delay after an invalid request. In every other state reading
+  // continues, to detect that the client disconnects.
+  const bool is_backpressure_due = reader_.is_full() && state_ == State::kDelaying;
   if (is_read_pending_ || state_ == State::kClosed || is_backpressure_due) return;
   socket_.async_read_some(reader_.receive_buffer(),
                           [self = shared_from_this()](error_code error, std::size_t size) {
@@ -201,7 +201,7 @@
 }
 
 void ClientSession::parse() {
-  if (!reader_.has_begun() && reader_.buffered() > 0 && is_proven_) {
+  if (!reader_.has_begun() && reader_.buffered() > 0 && has_sent_valid_request_) {
     context_->sessions.remove_idle(*this);
     set_timeout(kRequestTimeout);
   }
@@ -219,21 +219,21 @@
 
 bool ClientSession::read_available() {
   const bool was_closed = reader_.is_peer_closed();
-  const bool is_present = reader_.read_available();
+  const bool is_client_waiting = reader_.read_available();
   if (!was_closed && reader_.is_peer_closed()) {
-    // Posted, since the caller may be in the middle of processing this very request.
+    // Posted because the request being processed may be on the call stack.
     asio::post(socket_.get_executor(), [self = shared_from_this()] {
       if (self->state_ != State::kWriting) self->close(SessionEnd::kClientClosed);
     });
   }
-  return is_present;
+  return is_client_waiting;
 }
 
 // ---------------------------------------------------------------- requests
 
 void ClientSession::handle_request(HttpRequest&& request) {
   keep_alive_ = request.keep_alive();
-  if (path_of(request) == "/_health") return handle_health_check(request);
+  if (path_without_query(request) == "/_health") return handle_health_check(request);
   handle_forwarded_request(std::move(request));
 }
 
@@ -241,7 +241,7 @@
   if (request.method() != http::verb::get && request.method() != http::verb::head) {
     return reject({http::status::method_not_allowed, "GET only"}, Framing::kLost);
   }
-  is_proven_ = true;
+  has_sent_valid_request_ = true;
   if (!context_->dispatcher.is_awaiting_first_list()) return respond_to_health_check();
   begin_waiting();
   context_->dispatcher.notify_on_first_list([weak = weak_from_this()] {
@@ -258,38 +258,39 @@
 
 void ClientSession::handle_forwarded_request(HttpRequest&& request) {
   Request event;
-  if (const auto rejection = read_request_event(request, context_->catalog, event)) {
+  if (const auto rejection = parse_request_event(request, context_->catalog, event)) {
     return reject(*rejection, Framing::kIntact);
   }
   if (context_->dispatcher.is_pending(event.id)) {
     return reject({http::status::bad_request, "X-Request-ID is that of an open request"}, Framing::kIntact);
   }
-  is_proven_ = true;
-  // The timeout includes the time since the request arrived. It may have been unread while this process was
-  // suspended or the connection was in the listener's queue, and the client may have disconnected.
+  has_sent_valid_request_ = true;
+  // The timeout counts from the arrival of the request. The request may have been unread while this process
+  // was suspended or while the connection was in the listen queue, and the client may have disconnected
+  // since.
   const SocketArrival arrival = read_socket_arrival(socket_.native_handle());
   const bool may_have_closed = !arrival.known || arrival.age >= kLateRead || reader_.buffered() > 0;
   if (may_have_closed && !read_available()) {
     return reader_.is_peer_closed() ? close(SessionEnd::kClientClosed) : shed();
   }
-  // Shorter delays are covered by the dispatcher's margin.
+  // The dispatcher's deadline margin covers shorter delays.
   event.time_left -= std::max(0.0, arrival.age - kLateRead);
   dispatch(std::move(event), std::move(request));
 }
 
 void ClientSession::dispatch(Request&& event, HttpRequest&& request) {
-  const auto pending = std::make_shared<RequestInFlight>(context_->memory_budget);
-  memory_.resize(reader_.buffer_capacity());  // the body's part goes with the request
-  if (!pending->memory.try_resize(kRequestHeadSize + request.body().capacity())) return shed();
+  const auto in_flight = std::make_shared<RequestInFlight>(context_->memory_budget);
+  memory_.resize(reader_.buffer_capacity());  // the body is accounted to the request
+  if (!in_flight->memory.try_resize(kRequestHeadSize + request.body().capacity())) return shed();
   if (mode_ == Mode::kRejecting || event.time_left <= 0) return shed();
   request_id_ = event.id;
   remove_hop_by_hop_fields(request);
   request.erase("X-Timeout-Ms");
   request.prepare_payload();
   request.version(kHttp11);
-  pending->request = std::move(request);
+  in_flight->request = std::move(request);
   begin_waiting();
-  hand_over(std::move(event), {pending, &pending->request});
+  submit(std::move(event), {in_flight, &in_flight->request});
 }
 
 void ClientSession::begin_waiting() {
@@ -298,8 +299,8 @@
   halt(timer_);
 }
 
-// Where memory is short this may fail halfway; the request is answered all the same.
-void ClientSession::hand_over(Request&& event, std::shared_ptr<const HttpRequest> request) {
+// Dispatcher::submit() may throw halfway when out of memory; the client gets a response in any case.
+void ClientSession::submit(Request&& event, std::shared_ptr<const HttpRequest> request) {
   const auto weak = weak_from_this();
   try {
     context_->dispatcher.submit(std::move(event), std::move(request),
@@ -311,8 +312,8 @@
                                    const auto self = weak.lock();
                                    return self && self->state_ == State::kWaiting && self->read_available();
                                  }});
-  } catch (const std::exception& problem) {
-    log_warning("request_not_taken").with("id", request_id_).with("problem", problem.what());
+  } catch (const std::exception& error) {
+    log_warning("request_not_taken").with("id", request_id_).with("problem", error.what());
     if (context_ != nullptr && state_ == State::kWaiting) shed();
   }
 }
@@ -334,14 +335,14 @@
 
 void ClientSession::reject(const Rejection& rejection, Framing framing) {
   if (framing == Framing::kLost) keep_alive_ = false;
-  is_pause_due_ = true;
+  is_delay_due_ = true;
   respond(make_text_response(rejection.status, std::string(rejection.text) + "\n"));
 }
 
 void ClientSession::shed() { respond(make_overload_response(context_->overload_retry_after)); }
 
 void ClientSession::respond(HttpResponse&& response) {
-  if (is_proven_) context_->sessions.remove_idle(*this);
+  if (has_sent_valid_request_) context_->sessions.remove_idle(*this);
   state_ = State::kWriting;
   memory_.resize(reader_.buffer_capacity() + response.body().size());
   if (context_->shutdown.is_closing_sessions() || mode_ == Mode::kRejecting) keep_alive_ = false;
@@ -360,22 +361,22 @@
   if (error) return close(SessionEnd::kWriteFailed);
   response_ = {};
   memory_.resize(reader_.buffer_capacity());
-  // The requests that it sent ahead are abandoned.
+  // Pipelined requests that are still buffered are abandoned.
   if (reader_.is_peer_closed()) return close(SessionEnd::kClientClosed);
   if (!keep_alive_) return linger();
-  if (std::exchange(is_pause_due_, false)) {
-    // Limits the rate of a client that repeats an invalid request in a closed loop.
-    state_ = State::kPausing;
-    return set_timeout(kErrorPause);
+  if (std::exchange(is_delay_due_, false)) {
+    // Limits the request rate of a client that keeps repeating an invalid request.
+    state_ = State::kDelaying;
+    return set_timeout(kInvalidRequestDelay);
   }
   set_timeout(kKeepAliveTimeout);
   read_request();
 }
 
-// Closing with unread bytes would reset the connection, and the client might lose the response.
+// Closing a socket with unread data would send an RST, and the client might lose the response.
 void ClientSession::linger() {
   state_ = State::kLingering;
-  reader_.discard_buffer();  // with a full buffer nothing more would be read
+  reader_.discard_buffer();  // a full buffer would prevent further reads
   error_code error;
   socket_.shutdown(tcp::socket::shutdown_send, error);
   if (error) return close(SessionEnd::kAnswered);
--- a/node/client_session.h
+++ b/node/client_session.h
@@ -1,4 +1,4 @@
-// One client's connection: its requests, one after the other, and their responses.
+// A client connection, which carries a sequence of requests and their responses.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -17,7 +17,7 @@
 
 namespace thymewood::node {
 
-// Why a session ended; the log names it.
+// Why a session ended, for the log.
 enum class SessionEnd {
   kAnswered,
   kClientClosed,
@@ -42,7 +42,7 @@
   ~SessionOwner() = default;
 };
 
-// What the sessions of one Frontend share.
+// State shared by the sessions of one Frontend.
 struct SessionContext {
   SessionOwner& owner;
   SessionTable& sessions;
@@ -53,29 +53,28 @@
   double overload_retry_after;  // s
 };
 
-// A read is always pending, so that a client's close is noticed. Requests that are sent ahead are buffered up
-// to a limit; beyond it, bytes are read and discarded while a request is in flight, since the client's close
-// may follow them: the buffered requests are answered, then the client is rejected and the connection closed.
+// Keeps a read pending at all times to detect that the client disconnects. Pipelined requests are buffered up
+// to a limit. Beyond it, data is read and discarded while a request is in flight, since a FIN may follow it.
+// In that case the buffered requests are answered, then the client is rejected and the connection is closed.
 //
-// A client that ends its sending has disconnected, with all of its requests: TCP does not tell a close from a
-// half-close, and by the protocol it is a close. A response that is being written is completed; nothing else
-// is.
+// A FIN from the client aborts all of its requests: TCP cannot distinguish a close from a half-close, and the
+// protocol defines it as a close. Only a response that is already being written is completed.
 class ClientSession : public std::enable_shared_from_this<ClientSession> {
  public:
-  // How the session treats requests: `kRejecting` sheds each, since the node has too many connections.
+  // `kRejecting`: every request is shed because the node has too many connections.
   enum class Mode { kServing, kRejecting };
 
   ClientSession(SessionContext& context, boost::asio::ip::tcp::socket socket, Mode mode);
 
-  // The first request has to arrive within `first_request_timeout` seconds.
+  // The first request must be received within `first_request_timeout` seconds.
   void start(double first_request_timeout);
 
-  // Closes the connection without a further response.
+  // Closes the connection without sending a further response.
   void close(SessionEnd reason);
-  // Ends an idle connection, and leaves a short time to one on which a request is arriving: after the
-  // shutdown, no connection may be open on which a client could send.
-  void wind_up();
-  // The owner is destroyed.
+  // Closes an idle connection, or sets a short timeout if a request is arriving. No connection on which a
+  // client could send may stay open after the shutdown.
+  void close_gracefully();
+  // Called when the owner is being destroyed.
   void detach();
 
   [[nodiscard]] bool has_unread();
@@ -83,8 +82,8 @@
   [[nodiscard]] SessionTable::Entry& table_entry() { return table_entry_; }
 
  private:
-  enum class State { kReading, kWaiting, kWriting, kPausing, kLingering, kClosed };
-  enum class Framing { kIntact, kLost };  // whether the start of the next request is known
+  enum class State { kReading, kWaiting, kWriting, kDelaying, kLingering, kClosed };
+  enum class Framing { kIntact, kLost };  // whether the start of the next request can be located
 
   template <class Work>
   void run_guarded(const Work& work);
@@ -104,7 +103,7 @@
   void respond_to_health_check();
   void handle_forwarded_request(HttpRequest&& request);
   void dispatch(Request&& event, HttpRequest&& request);
-  void hand_over(Request&& event, std::shared_ptr<const HttpRequest> request);
+  void submit(Request&& event, std::shared_ptr<const HttpRequest> request);
   void begin_waiting();
 
   void on_final_response(FinalResponse&& final_response);
@@ -114,7 +113,7 @@
   void on_written(boost::system::error_code error);
   void linger();
 
-  SessionContext* context_;  // null: the session has ended, or its owner has
+  SessionContext* context_;  // null once the session has ended or its owner is destroyed
   boost::asio::ip::tcp::socket socket_;
   boost::asio::steady_timer timer_;
   Mode mode_;
@@ -124,13 +123,13 @@
 
   RequestReader reader_;
   bool is_read_pending_ = false;
-  bool is_proven_ = false;     // has sent a valid request
-  bool is_pause_due_ = false;  // after this response
+  bool has_sent_valid_request_ = false;
+  bool is_delay_due_ = false;  // delay the next request once this response is written
   bool keep_alive_ = true;
-  std::size_t discarded_ = 0;  // bytes; after the last response
+  std::size_t discarded_ = 0;  // bytes received after the last response
   std::string request_id_;
   HttpResponse response_;
-  MemoryBudget::Reservation memory_;  // of the reader, and of the response that is being written
+  MemoryBudget::Reservation memory_;  // for the read buffer and the response being written
 };
 
 }  // namespace thymewood::node
--- a/node/frontend.cpp
+++ b/node/frontend.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-// From the connection to the last byte of its first request. A client that is slower is rejected or closed
-// within the 3 s of the protocol.
+// From accept to the last byte of the first request. Slower clients are rejected or closed within the 3 s
+// that the protocol allows.
 constexpr double kFirstRequestTimeout = 2.5;         // s
-constexpr double kReserveFirstRequestTimeout = 0.3;  // s; on the reserve descriptor, which others wait for
-// A new connection is not evicted while its first request may be under way, which would be lost.
+constexpr double kReserveFirstRequestTimeout = 0.3;  // s; shorter, since others wait for the descriptor
+// A younger connection is not evicted, since its first request may be in transit and would be lost.
 constexpr double kMinEvictionAge = 0.1;  // s
 
 }  // namespace
@@ -40,13 +40,13 @@
   return sessions_.size() < limits_.max_connections + limits_.max_rejected;
 }
 
-void Frontend::admit(tcp::socket socket) {
+void Frontend::on_accept(tcp::socket socket) {
   const bool is_full = sessions_.size() >= limits_.max_connections && !sessions_.evict(0);
   start_session(std::move(socket), is_full ? ClientSession::Mode::kRejecting : ClientSession::Mode::kServing,
                 kFirstRequestTimeout);
 }
 
-void Frontend::admit_on_reserve(tcp::socket socket) {
+void Frontend::on_accept_on_reserve(tcp::socket socket) {
   start_session(std::move(socket), ClientSession::Mode::kRejecting, kReserveFirstRequestTimeout);
 }
 
@@ -59,8 +59,8 @@
   try {
     sessions_.reserve();
     session = std::make_shared<ClientSession>(session_context_, std::move(socket), mode);
-  } catch (const std::exception& problem) {
-    log_warning("client_not_admitted").with("problem", problem.what());
+  } catch (const std::exception& error) {
+    log_warning("client_not_admitted").with("problem", error.what());
     if (!session) sessions_.cancel_reservation();
     return send_overload_response(socket);
   }
--- a/node/frontend.h
+++ b/node/frontend.h
@@ -1,5 +1,5 @@
-// The HTTP server side of a node: accepts the connections of clients, limits how many are open, and ends them
-// in a graceful shutdown.
+// The HTTP server side of a node: accepts client connections, limits their number, and closes them in a
+// graceful shutdown.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,11 +20,11 @@
 namespace thymewood::node {
 
 // Owns the listener and the sessions.
-class Frontend final : private ConnectionAdmission, private SessionOwner {
+class Frontend final : private ListenerCallbacks, private SessionOwner {
  public:
   struct Limits {
-    std::size_t max_connections = 0;  // beyond it, idle ones are closed, and new ones are rejected
-    std::size_t max_rejected = 0;     // connections open for rejection; beyond it, none are accepted
+    std::size_t max_connections = 0;  // beyond it, idle ones are closed or new ones rejected
+    std::size_t max_rejected = 0;     // additional connections to reject; beyond it, none are accepted
     double overload_retry_after = 0;  // s
   };
 
@@ -34,21 +34,22 @@
   Frontend(const Frontend&) = delete;
   Frontend& operator=(const Frontend&) = delete;
 
-  // Throws boost::system::system_error when the address cannot be listened on.
+  // Throws boost::system::system_error if the address cannot be bound or listened on.
   void listen(const boost::asio::ip::tcp::endpoint& endpoint) { listener_.listen(endpoint); }
   void start() { listener_.accept(); }
   [[nodiscard]] boost::asio::ip::tcp::endpoint local() const { return listener_.local_endpoint(); }
 
-  // After an exception that left a handler: resumes what that handler may have left undone.
+  // Called after an exception escaped from a handler: resumes the accept that the handler may have left
+  // incomplete.
   void recover() { listener_.recover(); }
 
-  // Begins the graceful shutdown; calls `done` when no connection is left.
+  // Starts the graceful shutdown; calls `done` when no connection is left.
   void drain(std::function<void()> done) { shutdown_.start(catalog_.classes, std::move(done)); }
 
  private:
   [[nodiscard]] bool can_accept() const override;
-  void admit(boost::asio::ip::tcp::socket socket) override;
-  void admit_on_reserve(boost::asio::ip::tcp::socket socket) override;
+  void on_accept(boost::asio::ip::tcp::socket socket) override;
+  void on_accept_on_reserve(boost::asio::ip::tcp::socket socket) override;
   void free_descriptor() override;
   void on_session_ended(ClientSession& session) override;
 
--- a/node/graceful_shutdown.h
+++ b/node/graceful_shutdown.h
@@ -1,5 +1,5 @@
-// The end of a node: it goes on accepting for a while and serving for a while longer, and answers every
-// request that it has accepted before the platform kills the process.
+// Graceful shutdown of a node: it keeps accepting connections for a short period and serving requests for
+// somewhat longer. Every accepted request is answered before the platform kills the process.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,22 +20,22 @@
                    SessionTable& sessions, Dispatcher& dispatcher)
       : io_(io), clock_(clock), listener_(listener), sessions_(sessions), dispatcher_(dispatcher) {}
 
-  // Calls `on_complete` when no connection is left. A second call does nothing.
+  // Calls `on_complete` when no connection is left. Further calls have no effect.
   void start(const std::vector<RequestClass>& classes, std::function<void()> on_complete);
 
   [[nodiscard]] bool has_started() const { return phase_ != Phase::kServing; }
-  // Whether sessions end with their current request.
+  // Returns whether sessions close after their current request.
   [[nodiscard]] bool is_closing_sessions() const { return phase_ == Phase::kClosingSessions; }
-  // s until the last response is due; negative afterwards.
+  // Seconds until the last response is due; negative after that.
   [[nodiscard]] double time_to_response_deadline() const;
 
-  // To be called after a session has ended.
+  // Must be called after a session has ended.
   void complete_if_drained();
 
  private:
   enum class Phase { kServing, kServingUntilDeadline, kClosingSessions };
 
-  void call_after(double seconds, void (GracefulShutdown::*step)());
+  void schedule(double seconds, void (GracefulShutdown::*step)());
   void stop_accepting();
   void close_idle_sessions();
 
@@ -46,7 +46,7 @@
   Dispatcher& dispatcher_;
   Phase phase_ = Phase::kServing;
   Clock::Steady::time_point response_deadline_;
-  Clock::Steady::time_point accept_deadline_;  // while the listener's queue is not empty
+  Clock::Steady::time_point accept_deadline_;  // applies while the listen queue is not empty
   std::function<void()> on_complete_;
 };
 
--- a/node/local_response.cpp
+++ b/node/local_response.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-std::string decimal_seconds(double seconds) {
+std::string format_seconds(double seconds) {
   std::array<char, 32> text{};
   std::snprintf(text.data(), text.size(), "%.3f", seconds);
   return text.data();
@@ -32,12 +32,12 @@
 
 HttpResponse make_overload_response(double retry_after) {
   HttpResponse response = make_text_response(http::status::service_unavailable, "refused\n");
-  if (retry_after > 0) response.set(http::field::retry_after, decimal_seconds(retry_after));
+  if (retry_after > 0) response.set(http::field::retry_after, format_seconds(retry_after));
   return response;
 }
 
-// What has arrived is read first: a close with unread bytes would reset the connection and discard the
-// response.
+// Reads the received data first: closing a socket with unread data would send an RST, and the client might
+// lose the response.
 void send_overload_response(boost::asio::ip::tcp::socket& socket) {
   static constexpr std::string_view kResponse =
       "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
--- a/node/memory_budget.h
+++ b/node/memory_budget.h
@@ -1,4 +1,4 @@
-// Limits the bytes of messages that a node buffers, over all of its connections.
+// Limits the memory for buffered messages over all connections of a node.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +15,7 @@
   void set_limit(std::size_t bytes) { limit_ = bytes; }
   [[nodiscard]] std::size_t used() const { return used_; }
 
-  // The bytes that one message or connection has reserved; released with it.
+  // The bytes reserved for one message or connection; released on destruction.
   class Reservation {
    public:
     explicit Reservation(MemoryBudget& budget) : budget_(budget) {}
@@ -23,7 +23,7 @@
     Reservation(const Reservation&) = delete;
     Reservation& operator=(const Reservation&) = delete;
 
-    // Resizes the reservation; false, and nothing has changed, where it would exceed the limit.
+    // Resizes the reservation. Returns false and changes nothing if it would exceed the limit.
     [[nodiscard]] bool try_resize(std::size_t bytes) {
       const std::size_t available = budget_.limit_ - std::min(budget_.used_, budget_.limit_);
       if (bytes > bytes_ && bytes - bytes_ > available) return false;
@@ -31,8 +31,8 @@
       return true;
     }
 
-    // Resizes it whatever the limit is: for memory that is allocated already, such as that of a response
-    // which moves from the server's connection to the client's.
+    // Resizes the reservation regardless of the limit: for memory that is already allocated, such as a
+    // response that moves from the upstream connection to the client connection.
     void resize(std::size_t bytes) {
       budget_.used_ = budget_.used_ - bytes_ + bytes;
       bytes_ = bytes;
--- a/node/message.h
+++ b/node/message.h
@@ -1,4 +1,4 @@
-// The HTTP messages of a node, and the limits that its client side and its server side share.
+// HTTP message types and the size limits shared by the client side and the server side of a node.
 #pragma once
 
 #include <boost/beast/http.hpp>
@@ -11,14 +11,14 @@
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
 constexpr std::uint32_t kHeaderLimit = 16 * 1024;  // bytes
-// Bytes. Above the 64 KiB of the protocol, which some clients exceed: a request that is rejected for its
-// length has failed without an attempt.
+// Bytes. Higher than the protocol's limit of 64 KiB, which some clients exceed: a request rejected for its
+// size fails without an attempt.
 constexpr std::uint64_t kRequestBodyLimit = std::uint64_t{256} * 1024;
-// Bytes. Above the limit of requests, since a response that is not read has been processed all the same, and
-// a request that is not idempotent is lost with it. The memory budget limits all of them together.
+// Bytes. Higher than the limit for requests, since a request whose response is not read has been processed
+// nevertheless, and cannot be retried if it is not idempotent. The memory budget limits the total.
 constexpr std::uint64_t kResponseBodyLimit = std::uint64_t{1024} * 1024;
 
-// Removes the fields that belong to one connection and not to the message (RFC 9110, 7.6.1).
+// Removes the hop-by-hop fields, which apply to a single connection (RFC 9110, 7.6.1).
 template <typename Fields>
 void remove_hop_by_hop_fields(Fields& fields) {
   namespace http = boost::beast::http;
--- a/node/request_reader.cpp
+++ b/node/request_reader.cpp
@@ -23,7 +23,7 @@
   parser_.emplace();
   parser_->header_limit(kHeaderLimit);
   parser_->body_limit(kRequestBodyLimit);
-  // An eager parser exceeds its body limit where the head and a part of the body arrive together.
+  // An eager parser does not enforce its body limit if the head and part of the body arrive together.
   parser_->eager(false);
   is_continue_sent_ = false;
 }
@@ -49,14 +49,14 @@
     if (parser_->is_done()) return Status::kComplete;
     if (used == 0) break;
   }
-  // The bytes that were discarded are missing from this request.
-  if (has_overrun_) return reject(http::status::payload_too_large, "too much sent ahead");
+  // The discarded bytes belong to this request.
+  if (has_read_ahead_overflowed_) return reject(http::status::payload_too_large, "too much sent ahead");
   return Status::kIncomplete;
 }
 
 RequestReader::Status RequestReader::check_framing() {
   const HttpRequest& request = parser_->get();
-  // Two statements of the length could hide a second request in the body.
+  // Conflicting lengths allow request smuggling: a second request could be hidden in the body.
   if (is_length_ambiguous(request)) return reject(http::status::bad_request, "ambiguous length");
   if (!is_continue_sent_ && boost::beast::iequals(request[http::field::expect], "100-continue")) {
     is_continue_sent_ = true;
@@ -65,8 +65,9 @@
   return Status::kIncomplete;
 }
 
-// Written at once or not at all: an asynchronous write could interleave with that of the response. Nothing
-// else is being written now, so that these few bytes fit into the socket's buffer.
+// Written synchronously and completely or not at all, since an asynchronous write could interleave with the
+// response. Nothing else is being written at this point, so these few bytes fit into the socket's send
+// buffer.
 bool RequestReader::send_continue() {
   static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
   ssize_t sent = 0;
@@ -82,12 +83,12 @@
 }
 
 bool RequestReader::read_available() {
-  std::array<char, kReadSize> piece{};
+  std::array<char, kReadSize> bytes{};
   for (std::size_t total = 0; !is_peer_closed_;) {
     if (total > kMaxReadAvailable) return false;
-    const ssize_t n = ::recv(socket_.native_handle(), piece.data(), piece.size(), MSG_DONTWAIT);
+    const ssize_t n = ::recv(socket_.native_handle(), bytes.data(), bytes.size(), MSG_DONTWAIT);
     if (n > 0) {
-      buffer(piece.data(), static_cast<std::size_t>(n));
+      buffer(bytes.data(), static_cast<std::size_t>(n));
       total += static_cast<std::size_t>(n);
     } else if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
       break;
@@ -98,12 +99,12 @@
   return !is_peer_closed_;
 }
 
-// Buffers as much as the limit allows; after the first discarded byte, nothing.
+// Buffers data up to the limit. Once a byte has been discarded, discards everything.
 void RequestReader::buffer(const char* bytes, std::size_t size) {
   const std::size_t available =
-      has_overrun_ ? 0 : kMaxReadAhead - std::min(kMaxReadAhead, read_ahead_.size());
+      has_read_ahead_overflowed_ ? 0 : kMaxReadAhead - std::min(kMaxReadAhead, read_ahead_.size());
   const std::size_t buffered = std::min(available, size);
-  if (buffered < size) has_overrun_ = true;
+  if (buffered < size) has_read_ahead_overflowed_ = true;
   if (buffered == 0) return;
   std::copy_n(bytes, buffered, static_cast<char*>(read_ahead_.prepare(buffered).data()));
   read_ahead_.commit(buffered);
--- a/node/request_reader.h
+++ b/node/request_reader.h
@@ -1,5 +1,5 @@
-// Reads the requests of one connection: buffers what has arrived, parses one request at a time, and bounds
-// what a client may send ahead.
+// Reads the requests of one connection: buffers received data, parses one request at a time, and limits how
+// much pipelined data a client may send.
 #pragma once
 
 #include <array>
@@ -26,43 +26,43 @@
 
   explicit RequestReader(boost::asio::ip::tcp::socket& socket) : socket_(socket) {}
 
-  // Prepares for the next request, of which buffered bytes may be a part.
+  // Prepares for the next request, part of which may already be buffered.
   void start_request();
-  // Whether a byte of the request has arrived and been parsed.
+  // Returns whether any byte of the request has been received and parsed.
   [[nodiscard]] bool has_begun() const { return has_begun_; }
-  // Parses what is buffered, up to the end of one request.
+  // Parses buffered data up to the end of one request.
   [[nodiscard]] Status parse();
   [[nodiscard]] const Rejection& rejection() const { return rejection_; }
   [[nodiscard]] HttpRequest release() { return parser_->release(); }
 
-  // For an asynchronous read: its buffer, and what it has read.
+  // The target buffer of an asynchronous read, and the handler of its result.
   [[nodiscard]] boost::asio::mutable_buffer receive_buffer() { return boost::asio::buffer(received_); }
   void on_received(std::size_t size) { buffer(received_.data(), size); }
-  // The peer has ended its sending, or reset the connection.
+  // Called when the peer has sent a FIN or reset the connection.
   void on_peer_closed() { is_peer_closed_ = true; }
   [[nodiscard]] bool is_peer_closed() const { return is_peer_closed_; }
 
-  // Buffers what has arrived without waiting. False: the peer has closed, or has sent so much ahead that its
-  // close may follow unread. A read is exact, where TCP_INFO may be unavailable and reports no close that has
-  // not arrived yet.
+  // Buffers the received data without blocking. Returns false if the peer has closed the connection, or has
+  // sent so much data that its FIN may be unread behind it. A read is accurate, whereas TCP_INFO may be
+  // unavailable and does not report a FIN that has not arrived.
   [[nodiscard]] bool read_available();
 
-  // Whether the buffer could not take the result of another read.
+  // Returns whether the buffer has no space for the result of another read.
   [[nodiscard]] bool is_full() const { return read_ahead_.size() > kMaxReadAhead - kReadSize; }
   [[nodiscard]] std::size_t buffered() const { return read_ahead_.size(); }
   [[nodiscard]] std::size_t buffer_capacity() const { return read_ahead_.capacity(); }
   [[nodiscard]] std::size_t body_capacity() const { return parser_->get().body().capacity(); }
-  // Returns the memory that the largest request needed.
+  // Frees the memory that a large request needed.
   void shrink_buffer();
   void discard_buffer();
 
  private:
   static constexpr std::size_t kReadSize = 4096;  // bytes
-  // Bytes that may wait to be parsed: a whole head, or as many of requests that were sent ahead.
+  // Limit in bytes for data that is not parsed yet: a complete head or the same amount of pipelined requests.
   static constexpr std::size_t kMaxReadAhead = kHeaderLimit + kReadSize;
 
   void buffer(const char* bytes, std::size_t size);
-  // Checks what the head says of the body, before the body is there.
+  // Checks the framing fields of the head before the body is received.
   [[nodiscard]] Status check_framing();
   [[nodiscard]] bool send_continue();
   [[nodiscard]] Status reject(boost::beast::http::status status, const char* text);
@@ -75,7 +75,7 @@
   bool has_begun_ = false;
   bool is_continue_sent_ = false;
   bool is_peer_closed_ = false;
-  bool has_overrun_ = false;  // more was sent ahead than is buffered
+  bool has_read_ahead_overflowed_ = false;  // pipelined data exceeded the buffer and was discarded
 };
 
 }  // namespace thymewood::node
--- a/node/session_table.cpp
+++ b/node/session_table.cpp
@@ -17,7 +17,7 @@
 
 void SessionTable::add_idle(ClientSession& session, IdleKind kind) {
   remove_idle(session);
-  std::list<ClientSession*>& list = kind == IdleKind::kUnproven ? unproven_ : between_requests_;
+  std::list<ClientSession*>& list = kind == IdleKind::kNoValidRequest ? no_valid_request_ : between_requests_;
   Entry& entry = session.table_entry();
   entry.idle_list = &list;
   entry.idle_position = list.insert(list.end(), &session);
@@ -29,11 +29,11 @@
 }
 
 bool SessionTable::evict(double min_age) {
-  const Clock::Steady::time_point latest = Clock::Steady::now() - Clock::span(min_age);
-  for (const std::list<ClientSession*>* list : {&unproven_, &between_requests_}) {
+  const Clock::Steady::time_point max_accepted_at = Clock::Steady::now() - Clock::span(min_age);
+  for (const std::list<ClientSession*>* list : {&no_valid_request_, &between_requests_}) {
     for (ClientSession* session : *list) {
-      // All behind it were accepted later.
-      if (list == &unproven_ && session->accepted_at() > latest) break;
+      // The sessions behind this one were accepted later.
+      if (list == &no_valid_request_ && session->accepted_at() > max_accepted_at) break;
       if (session->has_unread()) continue;
       session->close(SessionEnd::kEvicted);
       return true;
--- a/node/session_table.h
+++ b/node/session_table.h
@@ -1,4 +1,4 @@
-// The open client sessions, and the order in which idle ones are closed to free descriptors.
+// The open client sessions, and the order in which idle ones are evicted to free descriptors.
 #pragma once
 
 #include <cstddef>
@@ -12,11 +12,11 @@
 
 class SessionTable {
  public:
-  // Why a session may be evicted. Clients that have sent no valid request go first: by idle time alone,
-  // silent connections would push out the clients between two requests.
-  enum class IdleKind { kUnproven, kBetweenRequests };
+  // Classes of evictable sessions. Sessions without a valid request are evicted first: if only idle time
+  // counted, silent connections would displace clients that are between two requests.
+  enum class IdleKind { kNoValidRequest, kBetweenRequests };
 
-  // What the table keeps in each session.
+  // Bookkeeping that the table stores in each session.
   struct Entry {
     std::list<std::shared_ptr<ClientSession>>::iterator position;
     std::list<ClientSession*>* idle_list = nullptr;
@@ -29,23 +29,23 @@
     return {sessions_.begin(), sessions_.end()};
   }
 
-  // Allocates the place of a session ahead of the session itself, so that insert() cannot fail.
+  // Allocates the list node before the session is created, so that insert() cannot fail.
   void reserve() { sessions_.emplace_back(); }
   void cancel_reservation() { sessions_.pop_back(); }
   void insert(const std::shared_ptr<ClientSession>& session);
   void erase(ClientSession& session);
 
-  // Makes a session the last to be evicted of its kind.
+  // Adds a session at the end of the eviction order of its kind.
   void add_idle(ClientSession& session, IdleKind kind);
   void remove_idle(ClientSession& session);
 
-  // Closes the session that has been idle the longest; not one that was accepted within the last `min_age`
-  // seconds and has sent no valid request. False where there is none.
+  // Closes the session that has been idle the longest, except sessions accepted within the last `min_age`
+  // seconds that have not sent a valid request. Returns false if there is none.
   bool evict(double min_age);
 
  private:
   std::list<std::shared_ptr<ClientSession>> sessions_;
-  std::list<ClientSession*> unproven_, between_requests_;  // the longest idle first
+  std::list<ClientSession*> no_valid_request_, between_requests_;  // longest idle first
 };
 
 }  // namespace thymewood::node
--- a/node/validation.cpp
+++ b/node/validation.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr std::size_t kMaxIdLength = 128;  // bytes
-constexpr double kMaxTimeout = 3600;       // s; whatever the settings say, and within the range of a timer
+constexpr double kMaxTimeout = 3600;  // s; regardless of the settings, to stay within the range of a timer
 
-std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
+std::string_view to_string_view(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
 std::optional<std::uint64_t> parse_number(std::string_view digits) {
   constexpr std::size_t kMaxDigits = 9;
@@ -25,35 +25,36 @@
   return number;
 }
 
-// The value of a field that occurs exactly once.
+// Returns the value of a field that occurs exactly once.
 std::optional<std::string_view> single_value(const HttpRequest& request, boost::beast::string_view name) {
   const auto [first, last] = request.equal_range(name);
   if (first == last || std::next(first) != last) return std::nullopt;
-  return view(first->value());
+  return to_string_view(first->value());
 }
 
 Rejection bad_request(const char* text) { return {http::status::bad_request, text}; }
 
-std::optional<Rejection> read_class(const HttpRequest& request, const Catalog& catalog, Request& event) {
+std::optional<Rejection> parse_request_class(const HttpRequest& request, const Catalog& catalog,
+                                             Request& event) {
   const std::vector<std::string>& names = catalog.class_names;
-  const std::string_view path = path_of(request);
+  const std::string_view path = path_without_query(request);
   if (path.empty() || path.front() != '/') return bad_request("not a path");
   const std::string_view first_segment = path.substr(1, path.find('/', 1) - 1);
-  const auto of_path = std::find(names.begin(), names.end(), first_segment);
+  const auto path_class = std::find(names.begin(), names.end(), first_segment);
   if (request.count("X-Priority-Class") == 0) {
-    if (of_path == names.end()) return Rejection{http::status::not_found, "no such path"};
+    if (path_class == names.end()) return Rejection{http::status::not_found, "no such path"};
     return bad_request("X-Priority-Class is missing");
   }
-  const auto of_field = single_value(request, "X-Priority-Class");
-  if (!of_field || std::find(names.begin(), names.end(), *of_field) == names.end()) {
+  const auto field_class = single_value(request, "X-Priority-Class");
+  if (!field_class || std::find(names.begin(), names.end(), *field_class) == names.end()) {
     return bad_request("X-Priority-Class is unknown");
   }
-  if (first_segment != *of_field) return bad_request("X-Priority-Class is not that of the path");
-  event.request_class = static_cast<std::size_t>(of_path - names.begin());
+  if (first_segment != *field_class) return bad_request("X-Priority-Class is not that of the path");
+  event.request_class = static_cast<std::size_t>(path_class - names.begin());
   return std::nullopt;
 }
 
-std::optional<Rejection> read_id(const HttpRequest& request, Request& event) {
+std::optional<Rejection> parse_request_id(const HttpRequest& request, Request& event) {
   const auto id = single_value(request, "X-Request-ID");
   if (!id || id->empty() || id->size() > kMaxIdLength) {
     return bad_request("X-Request-ID is missing or unfit");
@@ -62,10 +63,10 @@
   return std::nullopt;
 }
 
-// Limited to the client timeout of the class: a longer one would occupy its place for as long. 0 is valid,
-// and such a request is shed at once.
-std::optional<Rejection> read_timeout(const HttpRequest& request, const RequestClass& request_class,
-                                      Request& event) {
+// Limited to the client timeout of the class: a longer timeout would occupy resources for that time. 0 is
+// valid; such a request is shed at once.
+std::optional<Rejection> parse_timeout(const HttpRequest& request, const RequestClass& request_class,
+                                       Request& event) {
   event.time_left = std::min(request_class.client_timeout, kMaxTimeout);
   if (request.count("X-Timeout-Ms") == 0) return std::nullopt;
   const auto text = single_value(request, "X-Timeout-Ms");
@@ -93,29 +94,29 @@
   return std::nullopt;
 }
 
-// Fields that are optional, and ignored where they are invalid.
-void read_hints(const HttpRequest& request, const Catalog& catalog, Request& event) {
+// Reads optional fields; invalid ones are ignored.
+void parse_optional_fields(const HttpRequest& request, const Catalog& catalog, Request& event) {
   const std::vector<std::string>& tenants = catalog.tenant_names;
-  const auto tenant = std::find(tenants.begin(), tenants.end(), view(request["X-Tenant-Id"]));
+  const auto tenant = std::find(tenants.begin(), tenants.end(), to_string_view(request["X-Tenant-Id"]));
   event.tenant = static_cast<std::size_t>(tenant - tenants.begin());  // past the end: an unknown tenant
   event.is_client_retry = request["X-Retried"] == "1";
   constexpr double kSecondsPerMicrosecond = 1e-6;
-  if (const auto cost = parse_number(view(request["X-Cost"]))) {
+  if (const auto cost = parse_number(to_string_view(request["X-Cost"]))) {
     event.work = static_cast<double>(*cost) * kSecondsPerMicrosecond;
   }
 }
 
 }  // namespace
 
-std::string_view path_of(const HttpRequest& request) {
-  return view(request.target()).substr(0, request.target().find('?'));
+std::string_view path_without_query(const HttpRequest& request) {
+  return to_string_view(request.target()).substr(0, request.target().find('?'));
 }
 
 bool is_length_ambiguous(const HttpRequest& request) {
   const auto [first, last] = request.equal_range(http::field::transfer_encoding);
   if (first == last) {
-    // Several lengths are invalid even where they are equal.
-    const std::string_view length = view(request[http::field::content_length]);
+    // Repeated Content-Length fields are invalid even if their values are equal.
+    const std::string_view length = to_string_view(request[http::field::content_length]);
     return request.count(http::field::content_length) > 1 ||
            length.find_first_not_of("0123456789") != std::string_view::npos;
   }
@@ -123,14 +124,14 @@
          !boost::beast::iequals(first->value(), "chunked") || request.version() < 11;
 }
 
-std::optional<Rejection> read_request_event(const HttpRequest& request, const Catalog& catalog,
-                                            Request& event) {
-  if (auto rejection = read_class(request, catalog, event)) return rejection;
-  if (auto rejection = read_id(request, event)) return rejection;
+std::optional<Rejection> parse_request_event(const HttpRequest& request, const Catalog& catalog,
+                                             Request& event) {
+  if (auto rejection = parse_request_class(request, catalog, event)) return rejection;
+  if (auto rejection = parse_request_id(request, event)) return rejection;
   const RequestClass& request_class = catalog.classes[event.request_class];
-  if (auto rejection = read_timeout(request, request_class, event)) return rejection;
+  if (auto rejection = parse_timeout(request, request_class, event)) return rejection;
   if (auto rejection = check_idempotency(request, request_class.idempotency)) return rejection;
-  read_hints(request, catalog, event);
+  parse_optional_fields(request, catalog, event);
   return std::nullopt;
 }
 
--- a/node/validation.h
+++ b/node/validation.h
@@ -1,4 +1,4 @@
-// Validates requests of clients against the protocol and the settings: pure functions on one request.
+// Validates client requests against the protocol and the settings. Pure functions on a single request.
 #pragma once
 
 #include <optional>
@@ -11,7 +11,7 @@
 
 namespace thymewood::node {
 
-// The classes and tenants that a request may name, from the settings.
+// The request classes and tenants defined in the settings.
 struct Catalog {
   std::vector<std::string> class_names, tenant_names;
   std::vector<RequestClass> classes;
@@ -23,14 +23,14 @@
   const char* text;
 };
 
-// The path without its query.
-[[nodiscard]] std::string_view path_of(const HttpRequest& request);
+// Returns the request target without its query.
+[[nodiscard]] std::string_view path_without_query(const HttpRequest& request);
 
-// Whether the head does not define the end of the body, or defines it twice.
+// Returns whether the head leaves the length of the body undefined or defines it more than once.
 [[nodiscard]] bool is_length_ambiguous(const HttpRequest& request);
 
-// Fills in `event` from a valid request; else says what is wrong with the request.
-[[nodiscard]] std::optional<Rejection> read_request_event(const HttpRequest& request, const Catalog& catalog,
-                                                          Request& event);
+// Fills in `event` from a valid request; otherwise returns the reason for the rejection.
+[[nodiscard]] std::optional<Rejection> parse_request_event(const HttpRequest& request, const Catalog& catalog,
+                                                           Request& event);
 
 }  // namespace thymewood::node
