--- a/node/connection_pool.cpp
+++ b/node/connection_pool.cpp
@@ -16,15 +16,15 @@
 
 namespace {
 
-// A connection is closed at this part of the idle timeout. A request that is written as the server closes the
-// connection ends in a reset, and one that is not idempotent cannot be retried.
+// Connections are closed after this fraction of the idle timeout. A request written while the server closes
+// the connection ends in a reset, and a request that is not idempotent cannot be retried.
 constexpr double kIdleTimeoutFactor = 0.85;
 
-// A connection carries no request for this long after a response. Some servers send surplus bytes behind a
-// response, such as a duplicate of it, which may arrive later and would be taken for the next response.
+// A connection is not reused for this long after a response. Some servers send surplus bytes after a
+// response, such as a duplicate of it, which may arrive later and would be parsed as the next response.
 constexpr double kCoolDown = 0.004;  // s
 
-constexpr std::size_t kMaxIdleBuffer = 4096;  // bytes of buffer that an idle connection retains
+constexpr std::size_t kMaxIdleBuffer = 4096;  // bytes of buffer retained by an idle connection
 
 }  // namespace
 
@@ -45,10 +45,11 @@
   is_usable_ = false;
   close_idle();
   end_partly_written();
-  // Another server may be reachable at the address by now and must not receive the requests of this one. They
-  // end after the calling function has processed the removal.
+  // Another server may use this address by now and must not receive requests for the removed one. The
+  // attempts end asynchronously, after the caller has processed the removal.
   const std::deque<std::shared_ptr<UpstreamAttempt>> waiting = std::exchange(waiting_, {});
-  for (const std::shared_ptr<UpstreamAttempt>& attempt : waiting) attempt->end_later(Outcome::kConnectFailed);
+  for (const std::shared_ptr<UpstreamAttempt>& attempt : waiting)
+    attempt->finish_later(Outcome::kConnectFailed);
 }
 
 void ConnectionPool::shut_down() {
@@ -57,11 +58,11 @@
   partly_written_.clear();
 }
 
-// The server could read the rest at any later time and would then process the request. Without its last byte,
-// it has not been processed.
+// The server could read the rest at any later time and would then process the request. A request whose last
+// byte is not written has not been processed.
 void ConnectionPool::end_partly_written() {
   const std::vector<std::shared_ptr<UpstreamAttempt>> attempts = std::exchange(partly_written_, {});
-  for (const std::shared_ptr<UpstreamAttempt>& attempt : attempts) attempt->end_later(Outcome::kNotSent);
+  for (const std::shared_ptr<UpstreamAttempt>& attempt : attempts) attempt->finish_later(Outcome::kNotSent);
 }
 
 // ---------------------------------------------------------------- attempts
@@ -71,7 +72,8 @@
   if (std::shared_ptr<UpstreamConnection> connection = take_idle(attempt->is_retryable())) {
     attempt->send_on(std::move(connection));
   } else if (has_spare_cooling_down()) {
-    // The cool-down of a connection often ends before a new one is connected; the first that is free is used.
+    // A cool-down often ends before a new connection is established; the attempt uses whichever is available
+    // first.
     waiting_.push_back(attempt);
     const UpstreamContext& context = *context_;
     if (context.connection_count < context.limits.max_connections && preconnect_.try_preconnect()) connect();
@@ -80,7 +82,7 @@
     waiting_.push_back(attempt);
     connect();
   } else {
-    attempt->end_later(Outcome::kNotSent);
+    attempt->finish_later(Outcome::kNotSent);
   }
 }
 
@@ -114,7 +116,7 @@
   });
 }
 
-// The connections may turn out to be unusable, so that new ones are needed after all.
+// The connections may have become unusable, in which case new ones are needed.
 void ConnectionPool::on_cool_down_ended() {
   cool_down_waits_ -= 1;
   serve_waiting();
@@ -130,8 +132,8 @@
   }
 }
 
-// Each waiting attempt has a connect under way. Where one of these has come to nothing, an attempt ends;
-// unless a connection that became free has served its attempt, which leaves a connect over.
+// A connection could not be established or is unusable. Each waiting attempt has a connect in progress, so
+// one attempt fails, unless a released connection has already served an attempt and left a connect in excess.
 void ConnectionPool::fail_unserved_attempt() {
   if (cool_down_waits_ > 0 || waiting_.size() <= connecting_count_) return;
   const std::shared_ptr<UpstreamAttempt> attempt = waiting_.front();
@@ -158,7 +160,7 @@
 
 void ConnectionPool::on_connect_ended(const std::shared_ptr<UpstreamConnection>& connection,
                                       bool is_connected) {
-  // Both the timeout and the connect may be reported.
+  // Both the timeout and the completion of the connect may be reported.
   if (connection->state != UpstreamConnection::State::kConnecting) return;
   connection->state = UpstreamConnection::State::kInUse;
   halt(connection->timer);
@@ -168,7 +170,8 @@
     preconnect_.on_connect_failed();
     return fail_unserved_attempt();
   }
-  // A process that was announced meanwhile is the one that accepted, unless the address has changed.
+  // If the server restarted during the connect, the new process accepted the connection, unless the address
+  // has changed.
   if (connection->endpoint == endpoint_) connection->server_incarnation = server_incarnation_;
   error_code ignored;
   connection->socket.set_option(tcp::no_delay(true), ignored);
@@ -187,17 +190,17 @@
   make_available(connection, Origin::kReleased, idle_since);
 }
 
-// Serves a waiting attempt, even while a connect is under way for it. A connection that has just carried a
-// response has its cool-down first.
+// Serves a waiting attempt, even while a connect for it is in progress. A connection that has just received a
+// response cools down first.
 void ConnectionPool::make_available(const std::shared_ptr<UpstreamConnection>& connection, Origin origin,
                                     Clock::Steady::time_point idle_since) {
-  // Unexpected bytes would be taken for the response to the next request.
+  // Unexpected bytes would be parsed as the response to the next request.
   if (!is_usable(*connection) || connection->buffer.size() > 0 || connection->is_readable()) {
     close(connection, close_reason(*connection));
     return fail_unserved_attempt();
   }
-  // Not by way of the idle connections, where the idle lifetime estimate could reject it for the attempt that
-  // it was connected for.
+  // Bypasses the idle list, where the idle lifetime estimate could refuse this connection to the attempt that
+  // it was opened for.
   if (origin == Origin::kConnected && !waiting_.empty()) {
     const std::shared_ptr<UpstreamAttempt> attempt = waiting_.front();
     waiting_.pop_front();
@@ -230,8 +233,8 @@
       if (!cancelled && pool.context_->is_alive && is_same_period) pool.close(connection, reason);
     };
   };
-  // The server's idle timeout starts with its response, which may have been unread while this process was
-  // suspended.
+  // The server's idle timeout starts when it sends its response, which may have been unread while this
+  // process was suspended.
   connection->timer.expires_at(idle_since + Clock::span(context_->limits.idle_timeout * kIdleTimeoutFactor));
   connection->timer.async_wait(close_for(CloseReason::kIdleTimeout));
   connection->socket.async_wait(tcp::socket::wait_read, close_for(CloseReason::kClosedByServer));
@@ -240,33 +243,33 @@
 std::shared_ptr<UpstreamConnection> ConnectionPool::take_idle(bool is_retryable) {
   const Clock::Steady::time_point now = Clock::Steady::now();
   const double max_idle = is_retryable ? std::numeric_limits<double>::infinity()
-                                       : context_->idle_lifetime.max_idle(seconds_of(now));
+                                       : context_->idle_lifetime.max_idle(to_seconds(now));
   std::size_t index = idle_.size();
   while (index-- > 0) {
     const std::shared_ptr<UpstreamConnection> connection = idle_[index];
     if (connection->cool_down_until > now) continue;
-    // All before it have been idle for even longer.
-    if (seconds_of(now - connection->cool_down_until) > max_idle) return nullptr;
-    // Neither the idle timeout nor the server's close may have been reported yet by a busy event loop.
+    // All connections before this one have been idle for longer.
+    if (to_seconds(now - connection->cool_down_until) > max_idle) return nullptr;
+    // A busy event loop may not have reported the idle timeout or the server's close yet.
     const bool is_expired = connection->timer.expiry() <= now;
-    if (!is_expired && !connection->is_readable()) return take_from_idle(index);
+    if (!is_expired && !connection->is_readable()) return take_idle_at(index);
     close(connection, is_expired ? CloseReason::kIdleTimeout : CloseReason::kClosedByServer);
   }
   return nullptr;
 }
 
-std::shared_ptr<UpstreamConnection> ConnectionPool::take_from_idle(std::size_t index) {
+std::shared_ptr<UpstreamConnection> ConnectionPool::take_idle_at(std::size_t index) {
   std::shared_ptr<UpstreamConnection> connection = std::move(idle_[index]);
   idle_.erase(idle_.begin() + static_cast<std::ptrdiff_t>(index));
   connection->state = UpstreamConnection::State::kInUse;
   connection->idle_period += 1;
   halt(connection->timer);
   error_code ignored;
-  connection->socket.cancel(ignored);  // the wait for the server's close
+  connection->socket.cancel(ignored);  // cancels the wait for the server's close
   return connection;
 }
 
-// Whether the cool-down of some connection will end that no waiting attempt needs.
+// Returns whether more connections are cooling down than attempts are waiting.
 bool ConnectionPool::has_spare_cooling_down() const {
   const Clock::Steady::time_point now = Clock::Steady::now();
   const auto cooling_down = std::count_if(idle_.begin(), idle_.end(), [now](const auto& connection) {
--- a/node/socket_arrival.h
+++ b/node/socket_arrival.h
@@ -1,9 +1,10 @@
-// Reads from the kernel when data last arrived on a TCP connection. A process may be suspended or starved of
-// CPU time at any point, and what it reads afterwards is older than the read. The process's own clock cannot
-// measure that delay, which lies between two of its readings; the kernel records when data arrived.
+// Queries the kernel for the time at which data last arrived on a TCP connection. A process may be suspended
+// or starved of CPU time at any point, so data can be much older than the read that returns it. The process
+// cannot measure this delay with its own clock, because the delay lies between two of its clock readings; the
+// kernel records the arrival time.
 //
 // tcp(7), TCP_INFO: tcpi_last_data_recv is the time in ms since data last arrived (in steps of a kernel tick,
-// 1 to 10 ms); tcpi_state is past ESTABLISHED once the peer has closed, whatever is still unread.
+// 1 to 10 ms); tcpi_state is past ESTABLISHED once the peer has closed, even if data is still unread.
 #pragma once
 
 #include <netinet/in.h>
@@ -13,21 +14,21 @@
 namespace thymewood::node {
 
 struct SocketArrival {
-  double age = 0;            // s since data last arrived; 0 where the kernel does not report it
+  double age = 0;            // s since data last arrived; 0 if the kernel does not report it
   bool peer_closed = false;  // the peer has closed or reset the connection
-  bool known = false;        // false: the kernel does not report it, and the two above say nothing
+  bool known = false;        // false: the kernel does not report it, and the other fields are not valid
 };
 
-// A request that has waited for longer may have been abandoned by its client, which is checked before it is
-// forwarded. Shorter delays are those of a busy event loop.
+// The client of a request that was unread for longer may have disconnected, which is checked before
+// forwarding. Shorter delays are attributed to a busy event loop.
 constexpr double kLateRead = 0.020;  // s
 
-// A response that was unread for longer was read by a process that had been suspended, and the delay is not
-// counted as the server's. Shorter delays count: a node that is short of CPU time has to include its own
-// stalls in the response times that its timeouts derive from.
-constexpr double kSuspendedProcess = 0.25;  // s
+// If a response was unread for longer, this process had been suspended, and the delay is excluded from the
+// server's response time. Shorter delays are included: a node that is short of CPU time must include its own
+// stalls in the response times from which it derives its timeouts.
+constexpr double kSuspensionThreshold = 0.25;  // s
 
-// One system call. For data that arrived in several segments, the age is that of the last.
+// Makes one system call. If the data arrived in several segments, the age is that of the last one.
 [[nodiscard]] inline SocketArrival read_socket_arrival(int socket) {
   SocketArrival arrival;
   tcp_info info{};
@@ -35,7 +36,7 @@
   if (::getsockopt(socket, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return arrival;
   constexpr socklen_t kNeededSize = offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv;
   if (size < kNeededSize) return arrival;
-  if (info.tcpi_state == 0) return arrival;  // not a state of tcp(7)
+  if (info.tcpi_state == 0) return arrival;  // no valid TCP state
   arrival.known = true;
   constexpr double kSecondsPerMillisecond = 1e-3;
   arrival.age = kSecondsPerMillisecond * static_cast<double>(info.tcpi_last_data_recv);
--- a/node/upstream.cpp
+++ b/node/upstream.cpp
@@ -22,23 +22,23 @@
   pool->update_endpoint(endpoint, started_at, is_usable);
 }
 
-// The attempts and connections in use own the pool from here on. Endpoint names are not reused.
+// After removal, only the active attempts and their connections own the pool. Endpoint names are not reused.
 void Upstream::remove_endpoint(const std::string& server) {
-  const auto at = pools_.find(server);
-  if (at == pools_.end()) return;
-  const std::shared_ptr<ConnectionPool> pool = at->second;
-  pools_.erase(at);
+  const auto it = pools_.find(server);
+  if (it == pools_.end()) return;
+  const std::shared_ptr<ConnectionPool> pool = it->second;
+  pools_.erase(it);
   pool->remove_endpoint();
 }
 
 Upstream::Handle Upstream::start(const std::string& server, const std::shared_ptr<const HttpRequest>& request,
-                                 AttemptTime time, bool is_retryable, AttemptCallbacks callbacks) {
+                                 AttemptTimeouts timeouts, bool is_retryable, AttemptCallbacks callbacks) {
   const auto attempt = std::make_shared<UpstreamAttempt>(context_, std::move(callbacks));
-  const auto at = pools_.find(server);
-  if (at == pools_.end() || !(time.timeout > 0) || !(time.send_by > 0)) {
-    attempt->end_later(Outcome::kNotSent);
+  const auto it = pools_.find(server);
+  if (it == pools_.end() || !(timeouts.timeout > 0) || !(timeouts.send_timeout > 0)) {
+    attempt->finish_later(Outcome::kNotSent);
   } else {
-    attempt->start(at->second, request, time, is_retryable);
+    attempt->start(it->second, request, timeouts, is_retryable);
   }
   return attempt;
 }
@@ -53,7 +53,7 @@
 
 void Upstream::cancel(const Handle& handle) {
   if (const std::shared_ptr<UpstreamAttempt> attempt = handle.lock()) {
-    attempt->end_later(Outcome::kCancelled);
+    attempt->finish_later(Outcome::kCancelled);
   }
 }
 
--- a/node/upstream.h
+++ b/node/upstream.h
@@ -1,4 +1,4 @@
-// The HTTP client side of a node: its connections to servers, and the attempts of requests on them.
+// The HTTP client side of a node: connections to servers and the request attempts on them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,7 +22,7 @@
 class Upstream final : private ConnectionEvictor {
  public:
   using Limits = UpstreamLimits;
-  using End = AttemptEnd;
+  using End = UpstreamAttemptResult;
   using Handle = std::weak_ptr<UpstreamAttempt>;
 
   Upstream(boost::asio::io_context& io, const Limits& limits, MemoryBudget& memory_budget);
@@ -30,27 +30,28 @@
   Upstream(const Upstream&) = delete;
   Upstream& operator=(const Upstream&) = delete;
 
-  // Adds or updates an endpoint: where the server listens, and whether it accepts new requests. `started_at`
-  // tells one of its processes from the next, whose connections are not those of the last.
+  // Adds or updates an endpoint: the server's address and whether it accepts new requests. A change of
+  // `started_at` means that the server has restarted, so that its earlier connections must not be reused.
   void update_endpoint(const std::string& server, const boost::asio::ip::tcp::endpoint& endpoint,
                        double started_at, bool is_usable);
 
-  // Removes an endpoint: requests that are written completely go on, all others end.
+  // Removes an endpoint: requests that are completely written continue, all other attempts end.
   void remove_endpoint(const std::string& server);
 
-  // Sends a request, once, and reports its end exactly once, never from within this call. A request that is
-  // not `is_retryable` is kept off connections that may have been dropped while idle. One whose time has
-  // passed before its first byte, or that may not be sent by then, ends as kNotSent.
-  Handle start(const std::string& server, const std::shared_ptr<const HttpRequest>& request, AttemptTime time,
-               bool is_retryable, AttemptCallbacks callbacks);
+  // Sends a request at most once and reports its result exactly once, never from within this call. A request
+  // that is not `is_retryable` avoids connections that may have been dropped while idle. An attempt that has
+  // timed out before its first byte is written, or that cannot be sent in time, ends as kNotSent.
+  Handle start(const std::string& server, const std::shared_ptr<const HttpRequest>& request,
+               AttemptTimeouts timeouts, bool is_retryable, AttemptCallbacks callbacks);
 
-  // The attempt ends by the deadline, if not sooner.
+  // Moves the attempt's deadline to an earlier time; a later one has no effect.
   void shorten_deadline(const Handle& attempt, Clock::Steady::time_point deadline);
 
-  // Ends an attempt as kNotSent, unless its last byte is written: then it goes on.
+  // Ends an attempt as kNotSent unless its last byte is written, in which case it continues.
   void withdraw(const Handle& attempt);
 
-  // Closes the attempt's connection; it is reported as kCancelled, unless its end is about to be reported.
+  // Closes the attempt's connection. The attempt is reported as kCancelled unless another result is already
+  // pending.
   void cancel(const Handle& attempt);
 
   [[nodiscard]] std::size_t connection_count() const { return context_->connection_count; }
@@ -59,7 +60,7 @@
   [[nodiscard]] bool evict_longest_idle() override;
 
   std::shared_ptr<UpstreamContext> context_;
-  std::map<std::string, std::shared_ptr<ConnectionPool>> pools_;  // by endpoint
+  std::map<std::string, std::shared_ptr<ConnectionPool>> pools_;  // by server name
 };
 
 }  // namespace thymewood::node
--- a/node/upstream_attempt.cpp
+++ b/node/upstream_attempt.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-constexpr int kMaxInterimResponses = 8;  // 1xx ahead of a response
+constexpr int kMaxInterimResponses = 8;  // 1xx responses before the final one
 
 Outcome outcome_of(const HttpResponse& response) {
   switch (response.result_int()) {
@@ -30,22 +30,22 @@
       return Outcome::kSuccess;
     case 503:
     case 504:
-      // Without the mark it may be the response of a tier behind the server, and the request may have been
-      // processed.
+      // Without the header field, the response may come from a tier behind the server, and the request may
+      // have been processed.
       return response["X-Not-Processed"] == "1" ? Outcome::kRejected : Outcome::kError;
     default:
       return Outcome::kError;
   }
 }
 
-// Whether the connection ended, in contrast to a response that is malformed.
+// Returns whether the connection was closed or failed, as opposed to a malformed response.
 bool is_connection_error(error_code error) {
   return error == http::error::end_of_stream || error == http::error::partial_message ||
          error.category() == boost::system::system_category() ||
          error.category() == asio::error::get_misc_category();
 }
 
-// A response that ends with its connection may be truncated, unless the server announced the close.
+// A response delimited by the end of the connection may be truncated, unless the server announced the close.
 bool may_be_truncated(const http::response_parser<http::string_body>& parser) {
   const HttpResponse& response = parser.get();
   return response.need_eof() && !response.has_content_length() && !response.chunked() &&
@@ -61,21 +61,21 @@
       memory_(context_->memory_budget) {}
 
 void UpstreamAttempt::start(const std::shared_ptr<ConnectionPool>& pool,
-                            const std::shared_ptr<const HttpRequest>& request, AttemptTime time,
+                            const std::shared_ptr<const HttpRequest>& request, AttemptTimeouts timeouts,
                             bool is_retryable) {
   pool_ = pool;
   request_ = request;
   is_retryable_ = is_retryable;
   const Clock::Steady::time_point now = Clock::Steady::now();
-  deadline_ = now + Clock::span(time.timeout);
-  send_by_ = now + Clock::span(std::min(time.timeout, time.send_by));
+  deadline_ = now + Clock::span(timeouts.timeout);
+  send_by_ = now + Clock::span(std::min(timeouts.timeout, timeouts.send_timeout));
   arm_timer();
   pool_->assign_connection(shared_from_this());
 }
 
 // ---------------------------------------------------------------- time
 
-// One timer: first for the sending, where that has less time, then for the response.
+// A single timer covers sending, if that has the earlier deadline, and then the response.
 void UpstreamAttempt::arm_timer() {
   timer_.expires_at(is_sent_ ? deadline_ : send_by_);
   timer_.async_wait([self = shared_from_this()](error_code cancelled) {
@@ -86,9 +86,9 @@
 void UpstreamAttempt::on_timer() {
   if (is_sent_ && Clock::Steady::now() < deadline_) return arm_timer();
   if (is_sent_) return finish(Outcome::kTimedOut, ConnectionReuse::kClose);
-  // That a retry may not be sent any more is not the server's fault.
-  const bool is_only_send_time_over = send_by_ < deadline_;
-  finish(is_only_send_time_over ? Outcome::kNotSent : Outcome::kConnectFailed, ConnectionReuse::kClose);
+  // An expired send deadline of a retry is not a failure of the server.
+  const bool is_only_send_deadline_over = send_by_ < deadline_;
+  finish(is_only_send_deadline_over ? Outcome::kNotSent : Outcome::kConnectFailed, ConnectionReuse::kClose);
 }
 
 void UpstreamAttempt::shorten_deadline(Clock::Steady::time_point deadline) {
@@ -99,25 +99,26 @@
 }
 
 void UpstreamAttempt::withdraw() {
-  if (!is_sent_) end_later(Outcome::kNotSent);
+  if (!is_sent_) finish_later(Outcome::kNotSent);
 }
 
 // ---------------------------------------------------------------- request
 
 void UpstreamAttempt::send_on(std::shared_ptr<UpstreamConnection> connection) {
   connection_ = std::move(connection);
-  // The connection may have become available while this process was suspended. By now the deadline may have
-  // passed, the client may be gone or the server draining, and the handlers that report it may run later.
+  // This process may have been suspended before the connection became available. By now the deadline may have
+  // passed, the client may have disconnected, or the server may be draining, and the handlers that report it
+  // may run later.
   const bool may_send = may_continue();
-  write_began_at_ = Clock::Steady::now();
+  write_started_at_ = Clock::Steady::now();
   if (state_ != State::kActive) return;
-  if (!may_send) return end_later(Outcome::kNotSent);
+  if (!may_send) return finish_later(Outcome::kNotSent);
   if (std::exchange(connection_->has_carried_request, true)) {
-    connection_idle_ = seconds_of(write_began_at_ - connection_->cool_down_until);
+    connection_idle_time_ = to_seconds(write_started_at_ - connection_->cool_down_until);
   }
   serialized_ = serialize_request();
   request_.reset();
-  if (!memory_.try_resize(serialized_.size())) return end_later(Outcome::kNotSent);
+  if (!memory_.try_resize(serialized_.size())) return finish_later(Outcome::kNotSent);
   write();
 }
 
@@ -126,10 +127,10 @@
   head.base() = request_->base();
   const tcp::endpoint& server = pool_->endpoint();
   head.set(http::field::host, server.address().to_string() + ":" + std::to_string(server.port()));
-  // The time left now: the wait for the connection has taken a part of it.
+  // Forwards the remaining time: waiting for the connection has used part of the timeout.
   constexpr double kMillisecondsPerSecond = 1000;
-  const double left = seconds_of(deadline_ - Clock::Steady::now());
-  const double milliseconds = std::max(1.0, std::floor(left * kMillisecondsPerSecond));
+  const double remaining = to_seconds(deadline_ - Clock::Steady::now());
+  const double milliseconds = std::max(1.0, std::floor(remaining * kMillisecondsPerSecond));
   head.set("X-Timeout-Ms", std::to_string(static_cast<long long>(milliseconds)));
   std::ostringstream text;
   text << head.base();
@@ -142,11 +143,12 @@
   return may_send && pool_->is_usable(*connection_) && Clock::Steady::now() < send_by_;
 }
 
-// Nothing that arrives before the last byte is written can be the response: it is a surplus response to the
-// previous request, and the connection is closed. Without its last byte, the request has not been processed.
+// Data received before the last byte is written cannot be the response. It is a surplus response to the
+// previous request, so the connection is closed. A request whose last byte is not written has not been
+// processed.
 void UpstreamAttempt::write() {
   while (written_ < serialized_.size()) {
-    if (connection_->is_readable()) return end_later(Outcome::kConnectFailed);
+    if (connection_->is_readable()) return finish_later(Outcome::kConnectFailed);
     const ssize_t n = ::send(connection_->socket.native_handle(), serialized_.data() + written_,
                              serialized_.size() - written_, MSG_DONTWAIT | MSG_NOSIGNAL);
     if (n > 0) {
@@ -154,7 +156,7 @@
     } else if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
       return wait_until_writable();
     } else if (n == 0 || errno != EINTR) {
-      return end_later(Outcome::kConnectFailed);
+      return finish_later(Outcome::kConnectFailed);
     }
   }
   is_sent_ = true;
@@ -177,11 +179,11 @@
                                  });
 }
 
-// This may run before the client's close or a change of the endpoint list is read.
+// May run before the client's FIN or an endpoint update is read.
 void UpstreamAttempt::on_writable() {
   const bool may_send = may_continue();
   if (state_ != State::kActive) return;
-  if (!may_send) return end_later(Outcome::kNotSent);
+  if (!may_send) return finish_later(Outcome::kNotSent);
   write();
 }
 
@@ -191,13 +193,13 @@
   parser_.emplace();
   parser_->header_limit(kHeaderLimit);
   parser_->body_limit(kResponseBodyLimit);
-  // An eager parser exceeds its body limit where the head and a part of the body arrive together.
+  // An eager parser does not enforce its body limit if the head and part of the body arrive together.
   parser_->eager(false);
   read_some();
 }
 
-// The handler owns the connection, whose buffer it uses: an attempt that ends gives up its connection before
-// the read is cancelled.
+// The handler holds a reference to the connection because it uses the connection's buffer: an attempt that
+// ends releases its connection before the read is cancelled.
 void UpstreamAttempt::read_some() {
   http::async_read_some(connection_->socket, connection_->buffer, *parser_,
                         [self = shared_from_this(), connection = connection_](error_code error, std::size_t) {
@@ -208,7 +210,7 @@
 
 void UpstreamAttempt::on_read(error_code error) {
   if (error && !parser_->is_done()) {
-    // The server has received the request and may have processed it, also where its response is malformed.
+    // The server has received the request and may have processed it, even if its response is malformed.
     return finish(is_connection_error(error) ? Outcome::kReset : Outcome::kUnknown, ConnectionReuse::kClose);
   }
   const std::size_t body_size = parser_->get().body().size();
@@ -235,10 +237,10 @@
 
 // ---------------------------------------------------------------- end
 
-void UpstreamAttempt::end_later(Outcome outcome) {
+void UpstreamAttempt::finish_later(Outcome outcome) {
   if (state_ != State::kActive) return;
   state_ = State::kEnding;
-  // A connection that becomes free in the meantime goes to another attempt.
+  // A connection that becomes available in the meantime must serve another attempt.
   if (pool_) pool_->remove_waiting(shared_from_this());
   asio::post(context_->io, [self = shared_from_this(), outcome] {
     if (self->context_->is_alive) self->finish(outcome, ConnectionReuse::kClose);
@@ -253,31 +255,31 @@
     pool_->remove_waiting(shared_from_this());
     pool_->remove_partly_written(shared_from_this());
   }
-  AttemptEnd end;
-  end.outcome = outcome;
+  UpstreamAttemptResult result;
+  result.outcome = outcome;
   if (const std::shared_ptr<UpstreamConnection> connection = std::exchange(connection_, nullptr)) {
-    end.unread = free_connection(connection, reuse);
+    result.unread = free_connection(connection, reuse);
   }
-  if (outcome == Outcome::kSuccess) end.response = parser_->release();
+  if (outcome == Outcome::kSuccess) result.response = parser_->release();
   const AttemptCallbacks callbacks = std::move(callbacks_);
-  callbacks.report(std::move(end));
+  callbacks.report(std::move(result));
 }
 
 void UpstreamAttempt::record_idle_lifetime(Outcome outcome) {
-  if (!is_sent_ || !connection_idle_) return;
+  if (!is_sent_ || !connection_idle_time_) return;
   const Clock::Steady::time_point now = Clock::Steady::now();
-  const bool was_reset =
-      outcome == Outcome::kReset && seconds_of(now - write_began_at_) < IdleLifetimeEstimate::kMaxResetDelay;
-  context_->idle_lifetime.record_use(seconds_of(now), *connection_idle_, was_reset);
+  const bool was_reset = outcome == Outcome::kReset &&
+                         to_seconds(now - write_started_at_) < IdleLifetimeEstimate::kMaxResetDelay;
+  context_->idle_lifetime.record_use(to_seconds(now), *connection_idle_time_, was_reset);
 }
 
 double UpstreamAttempt::free_connection(const std::shared_ptr<UpstreamConnection>& connection,
                                         ConnectionReuse reuse) {
   const Clock::Steady::time_point now = Clock::Steady::now();
   const bool is_complete = parser_ && parser_->is_done();
-  // A response that came soon cannot have been unread for long: most are spared the system call.
+  // A quick response cannot have been unread for long, which saves most attempts the system call.
   double age = 0;
-  if (seconds_of(now - write_began_at_) >= kLateRead && is_complete) {
+  if (to_seconds(now - write_started_at_) >= kLateRead && is_complete) {
     age = read_socket_arrival(connection->socket.native_handle()).age;
   }
   if (reuse == ConnectionReuse::kReuse) {
@@ -285,7 +287,7 @@
   } else {
     pool_->close(connection, CloseReason::kNotReusable);
   }
-  return age >= kSuspendedProcess ? age : 0;
+  return age >= kSuspensionThreshold ? age : 0;
 }
 
 }  // namespace thymewood::node
