--- a/tests/node/drain_test.cpp
+++ b/tests/node/drain_test.cpp
@@ -1,5 +1,5 @@
-// The graceful shutdown. The platform kills the node 0.7 s after the longest client timeout, or after 3.7 s,
-// whichever is sooner: every accepted request is answered by then.
+// Graceful shutdown. The platform kills the node 0.7 s after the longest client timeout, or after 3.7 s,
+// whichever is sooner: every accepted request must be answered by then.
 #include "node_harness.h"
 
 namespace thymewood::node {
@@ -9,33 +9,34 @@
   return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
 }
 
-constexpr double kKill = 3.7;  // s after SIGTERM, for client timeouts of 3 s or more
+constexpr double kKillTime = 3.7;  // s after SIGTERM, for client timeouts of 3 s or more
 
-// Their own timeout is 15 s.
+// The requests' own timeout is 15 s, long after the kill.
 TEST(Drain, AcceptedRequestsAreAnsweredBeforeTheKill) {
   for (const char* cancel : {"true", "false"}) {
-    FakeServer hangs([](RawConnection&, const std::string&) { return true; });
+    FakeServer hanging_server([](RawConnection&, const std::string&) { return true; });
     ConfigText config;
     config.bounds = std::string(R"("cancel":)") + cancel +
                     R"(,"maxAttempts":3,"maxRetryAfter":2.0,"retryAfter":true,"secondCopies":true,)"
                     R"("dialTimeout":0.5,"idleClose":60.0)";
-    Deployment d({&hangs}, config);
-    RawConnection unsafe = d.client(), safe = d.client();
-    unsafe.write(ClientRequest{.id = "unsafe"}.text());
-    safe.write(ClientRequest{.request_class = "look", .id = "safe", .method = "GET", .body = ""}.text());
-    ASSERT_TRUE(eventually([&] { return hangs.requests().size() == 2; }));
+    Deployment d({&hanging_server}, config);
+    RawConnection non_idempotent = d.client(), idempotent = d.client();
+    non_idempotent.write(ClientRequest{.id = "unsafe"}.text());
+    idempotent.write(
+        ClientRequest{.request_class = "look", .id = "safe", .method = "GET", .body = ""}.text());
+    ASSERT_TRUE(eventually([&] { return hanging_server.requests().size() == 2; }));
     const auto start = std::chrono::steady_clock::now();
     d.program->signal(SIGTERM);
-    EXPECT_EQ(status_of(unsafe.read_message()), 502) << "it may have been processed";
-    EXPECT_LT(seconds_since(start), kKill);
-    EXPECT_EQ(status_of(safe.read_message()), 503) << "it may be retried";
-    EXPECT_LT(seconds_since(start), kKill);
+    EXPECT_EQ(status_of(non_idempotent.read_message()), 502) << "the request may have been processed";
+    EXPECT_LT(seconds_since(start), kKillTime);
+    EXPECT_EQ(status_of(idempotent.read_message()), 503) << "the client may retry the request";
+    EXPECT_LT(seconds_since(start), kKillTime);
     EXPECT_EQ(d.program->exit_status(), 0);
-    EXPECT_LT(seconds_since(start), kKill + 1);
+    EXPECT_LT(seconds_since(start), kKillTime + 1);
   }
 }
 
-// Their connection is not established.
+// The connection to the server is never established.
 TEST(Drain, RequestsWaitingForAConnectionAreAnsweredBeforeTheKill) {
   FullListener full;
   full.fill();
@@ -51,29 +52,30 @@
   ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }));
   const auto start = std::chrono::steady_clock::now();
   program.signal(SIGTERM);
-  EXPECT_EQ(status_of(client.read_message()), 503) << "it was not processed";
-  EXPECT_LT(seconds_since(start), kKill);
+  EXPECT_EQ(status_of(client.read_message()), 503) << "the request was not processed";
+  EXPECT_LT(seconds_since(start), kKillTime);
   EXPECT_EQ(program.exit_status(), 0);
 }
 
-// The kill comes 0.7 s after the client timeout of 0.5 s.
+// With a client timeout of 0.5 s, the kill comes 0.7 s after it.
 TEST(Drain, FollowsTheLongestClientTimeout) {
-  FakeServer hangs([](RawConnection&, const std::string&) { return true; });
+  FakeServer hanging_server([](RawConnection&, const std::string&) { return true; });
   ConfigText config;
   config.categories = R"({"name":"close","aim":0.2,"giveUp":0.5,"effect":"unsafe","lateWorth":0.5})";
-  Deployment d({&hangs}, config);
+  Deployment d({&hanging_server}, config);
   RawConnection client = d.client(), idle = d.client();
   client.write(ClientRequest{.timeout = "500"}.text());
-  ASSERT_TRUE(eventually([&] { return hangs.requests().size() == 1; }));
+  ASSERT_TRUE(eventually([&] { return hanging_server.requests().size() == 1; }));
   const auto start = std::chrono::steady_clock::now();
   d.program->signal(SIGTERM);
   EXPECT_EQ(status_of(client.read_message()), 502);
   EXPECT_EQ(idle.read_until_close(), "");
-  EXPECT_LT(seconds_since(start), 1.2) << "no connection is open when the kill comes";
+  EXPECT_LT(seconds_since(start), 1.2) << "all connections must be closed before the kill";
   EXPECT_EQ(d.program->exit_status(), 0);
 }
 
-// A client sends on every connection that is open.
+// Clients may send on any open connection, so a session whose response is still being written when idle
+// connections are closed must close once it is complete.
 TEST(Drain, ResponseThatEndsAfterIdleConnectionsWereClosedEndsItsConnection) {
   FakeServer server(replies(200, std::string(std::size_t{1} << 20, 'a')));
   Deployment d({&server});
@@ -81,20 +83,23 @@
   idle.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
   ASSERT_EQ(status_of(idle.read_message()), 200);
   slow.write(ClientRequest{}.text());
-  ASSERT_TRUE(slow.wait_readable()) << "its response has begun and exceeds the buffers";
+  ASSERT_TRUE(slow.wait_readable()) << "the response has started and exceeds the socket buffers";
   const auto start = std::chrono::steady_clock::now();
   d.program->signal(SIGTERM);
-  ASSERT_EQ(idle.read_until_close(), "") << "idle connections are closed now";
+  ASSERT_EQ(idle.read_until_close(), "") << "idle connections must be closed by now";
   EXPECT_EQ(body_of(slow.read_message()).size(), std::size_t{1} << 20);
   EXPECT_EQ(slow.read_until_close(), "");
-  EXPECT_LT(seconds_since(start), kKill + 1) << "it stayed open for 10 s";
+  EXPECT_LT(seconds_since(start), kKillTime + 1)
+      << "connection was kept open, as for the keep-alive timeout of 10 s";
   EXPECT_EQ(d.program->exit_status(), 0);
 }
 
-// A connection in the listener's queue has been established: its client gets a response.
+// Connections in the listen queue are established, so their clients must get a response, even if the node has
+// run out of descriptors.
 TEST(Drain, ListenersQueueIsAnsweredWithoutFreeDescriptors) {
 #ifdef __SANITIZE_ADDRESS__
-  GTEST_SKIP() << "the sanitizer's check of vptrs opens a pipe; see Descriptors";
+  GTEST_SKIP()
+      << "the sanitizer's vptr check opens a pipe, which needs descriptors; see the Descriptors tests";
 #endif
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
@@ -103,7 +108,7 @@
   ASSERT_EQ(status_of(known.read_message()), 200);
   d.program->signal(SIGSTOP);
   ASSERT_TRUE(eventually([&] { return d.program->state() == 'T'; }));
-  known.write(ClientRequest{.id = "again"}.text());  // so that it is not evicted
+  known.write(ClientRequest{.id = "again"}.text());  // keeps this session from being evicted
   std::vector<RawConnection> clients;
   for (int i = 0; i < 80; ++i) {
     clients.push_back(d.client());
@@ -122,26 +127,27 @@
   EXPECT_EQ(d.program->exit_status(), 0);
 }
 
-// A second SIGTERM, SIGINT, a reload before it and one during it: the accepted requests are answered.
+// Sends a second SIGTERM, SIGINT, and a reload before and during the shutdown. Accepted requests are still
+// answered.
 TEST(Drain, FurtherSignalsAreIgnored) {
   Gate gate;
   FakeServer server([&](RawConnection& connection, const std::string&) {
     return gate.wait() && connection.write(http_response(200, "ok"));
   });
   Deployment d({&server});
-  FakeDiscovery moved;
+  FakeDiscovery new_discovery;
   RawConnection client = d.client();
   client.write(ClientRequest{}.text());
   ASSERT_TRUE(eventually([&] { return server.requests().size() == 1; }));
-  // All of them are pending before the node handles the first.
+  // All signals are pending before the node handles the first one.
   d.program->signal(SIGSTOP);
   ASSERT_TRUE(eventually([&] { return d.program->state() == 'T'; }));
   ConfigText config = d.config;
-  config.discovery = moved.address();
+  config.discovery = new_discovery.address();
   d.program->reload(config.text());
   for (const int number : {SIGTERM, SIGINT}) d.program->signal(number);
   d.program->signal(SIGCONT);
-  ASSERT_TRUE(eventually([&] { return moved.calls().size() == 1; }));
+  ASSERT_TRUE(eventually([&] { return new_discovery.calls().size() == 1; }));
   d.program->signal(SIGTERM);
   d.program->reload("{}");
   ASSERT_TRUE(eventually([&] { return d.program->logged("event=reload_failed") == 1; }));
@@ -150,7 +156,7 @@
   EXPECT_EQ(d.program->exit_status(), 0);
 }
 
-TEST(Drain, MayBeginBeforeTheStartIsComplete) {
+TEST(Drain, SignalsDuringStartupEndTheNodeCleanly) {
   FakeServer server(replies(200, "ok"));
   for (int i = 0; i < 5; ++i) {
     FakeDiscovery discovery;
--- a/tests/node/idle_lifetime_test.cpp
+++ b/tests/node/idle_lifetime_test.cpp
@@ -1,4 +1,5 @@
-// The idle lifetime estimate, and requests on connections that may have been dropped while idle.
+// The idle lifetime estimate, and its effect on requests over connections that may have been dropped while
+// idle.
 #include "idle_lifetime.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +23,8 @@
   for (int i = 0; i < 200; ++i)
     estimate.record_use(i * 0.01, i % 10 == 0 ? 0.2 + i * 0.01 : 0.01, i % 10 == 0);
   EXPECT_GT(estimate.max_idle(2), 0.09);
-  EXPECT_LT(estimate.max_idle(2), 0.13) << "half of it, increased a little by time";
+  EXPECT_LT(estimate.max_idle(2), 0.13)
+      << "half of the shortest idle time that was reset, slightly increased since";
 }
 
 TEST(IdleLifetime, RecoversByTimeAndByUse) {
@@ -35,15 +37,14 @@
   EXPECT_TRUE(std::isinf(estimate.max_idle(10)));
 }
 
-// A server that resets each connection at its second request, as one does behind a middlebox that drops the
-// state of idle connections.
+// Resets each connection at its second request, like a middlebox that drops the state of idle connections.
 FakeServer::Reply resets_second_requests() {
   return [requests = std::make_shared<std::map<int, int>>()](RawConnection& connection, const std::string&) {
-    static std::mutex guard;
-    const std::lock_guard lock(guard);
+    static std::mutex mutex;
+    const std::lock_guard lock(mutex);
     if ((*requests)[connection.fd()]++ % 2 == 1) {
-      const linger hard{1, 0};
-      ::setsockopt(connection.fd(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+      const linger reset_on_close{1, 0};
+      ::setsockopt(connection.fd(), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
       return false;
     }
     return connection.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
@@ -61,7 +62,7 @@
     std::this_thread::sleep_for(10ms);  // the idle time under test
   }
   EXPECT_GE(failed, 1);
-  EXPECT_LE(failed, 8) << "without the estimate every second one is lost";
+  EXPECT_LE(failed, 8) << "without the estimate every second request fails";
 }
 
 TEST(IdleLifetime, NewConnectionIsUsedHoweverShortTheEstimateIs) {
@@ -71,7 +72,7 @@
   for (int i = 0; i < 200; ++i) {
     client.write(ClientRequest{.id = "r" + std::to_string(i), .timeout = "3000"}.text());
     const int status = status_of(client.read_message());
-    ASSERT_TRUE(status == 200 || status == 502) << status << " to request " << i;
+    ASSERT_TRUE(status == 200 || status == 502) << status << " for request " << i;
   }
 }
 
--- a/tests/node/invalid_request_test.cpp
+++ b/tests/node/invalid_request_test.cpp
@@ -1,4 +1,4 @@
-// Requests that the protocol forbids: rejected by their status, and never forwarded.
+// Requests that violate the protocol are rejected with the right status and never forwarded.
 #include "node_harness.h"
 
 namespace thymewood::node {
@@ -9,8 +9,8 @@
   Deployment d({&server});
   RawConnection client = d.client();
   client.write(request);
-  const std::string answer = client.read_message();
-  EXPECT_EQ(status_of(answer), status) << answer;
+  const std::string response = client.read_message();
+  EXPECT_EQ(status_of(response), status) << response;
   EXPECT_TRUE(server.requests().empty()) << "never forwarded";
   EXPECT_TRUE(d.program->running());
 }
--- a/tests/node/pause_test.cpp
+++ b/tests/node/pause_test.cpp
@@ -1,5 +1,5 @@
-// A node that was suspended or starved of CPU time: what it reads afterwards is as old as the kernel reports,
-// not as new as the read.
+// A node that was suspended or starved of CPU time: the age of received data counts from its arrival in the
+// kernel, not from the read.
 #include <optional>
 
 #include "memory_budget.h"
@@ -9,20 +9,20 @@
 namespace thymewood::node {
 namespace {
 
-// Returns once the process is suspended; the signal may take effect later.
-void stop(const Program& program) {
+// Suspends the process and waits until the signal has taken effect.
+void suspend(const Program& program) {
   program.signal(SIGSTOP);
   ASSERT_TRUE(eventually([&] { return program.state() == 'T'; }));
 }
 
-int requests_named(FakeServer& server, const std::string& prefix) {
+int count_requests(FakeServer& server, const std::string& prefix) {
   int out = 0;
   for (const std::string& request : server.requests())
     out += field_of(request, "X-Request-ID").starts_with(prefix) ? 1 : 0;
   return out;
 }
 
-// Once this request is answered, the node has processed all that was in its sockets before.
+// Once this request is answered, the node has processed all data that was in its sockets before.
 void request_and_wait(Deployment& d, const std::string& id) {
   RawConnection client = d.client();
   client.write(ClientRequest{.id = id}.text());
@@ -33,7 +33,7 @@
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   request_and_wait(d, "before");
-  stop(*d.program);
+  suspend(*d.program);
   std::vector<RawConnection> clients;
   for (int i = 0; i < 20; ++i) {
     clients.push_back(d.client());
@@ -44,10 +44,10 @@
   sleep_for(900ms);
   d.program->signal(SIGCONT);
   request_and_wait(d, "after");
-  EXPECT_EQ(requests_named(server, "late"), 0);
+  EXPECT_EQ(count_requests(server, "late"), 0);
 }
 
-// On open connections and within the timeout, only the close shows that they have disconnected.
+// On open connections and before the timeout, only the FIN shows that the clients have disconnected.
 TEST(PausedNode, ForwardsNothingForClientsThatClosedBeforeTheirTimeout) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
@@ -57,7 +57,7 @@
     clients.back().write(ClientRequest{.id = "early" + std::to_string(i)}.text());
     ASSERT_EQ(status_of(clients.back().read_message()), 200);
   }
-  stop(*d.program);
+  suspend(*d.program);
   for (int i = 0; i < 20; ++i) {
     clients[static_cast<std::size_t>(i)].write(ClientRequest{.id = "late" + std::to_string(i)}.text());
   }
@@ -65,8 +65,8 @@
   for (RawConnection& client : clients) client.close();
   d.program->signal(SIGCONT);
   request_and_wait(d, "after");
-  EXPECT_EQ(requests_named(server, "late"), 0);
-  EXPECT_EQ(requests_named(server, "early"), 20);
+  EXPECT_EQ(count_requests(server, "late"), 0);
+  EXPECT_EQ(count_requests(server, "early"), 20);
 }
 
 // The timeout counts from the arrival of the request's last byte.
@@ -74,35 +74,36 @@
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   request_and_wait(d, "before");
-  stop(*d.program);
+  suspend(*d.program);
   RawConnection expired = d.client(), unexpired = d.client();
   expired.write(ClientRequest{.id = "expired", .timeout = "500"}.text());
   unexpired.write(ClientRequest{.id = "unexpired", .timeout = "9000"}.text());
   sleep_for(1500ms);
   d.program->signal(SIGCONT);
-  EXPECT_EQ(status_of(expired.read_message()), 503) << "not forwarded, so that it may be retried";
+  EXPECT_EQ(status_of(expired.read_message()), 503)
+      << "the request was not forwarded, so the client may retry it";
   EXPECT_EQ(status_of(unexpired.read_message()), 200);
-  EXPECT_EQ(requests_named(server, "expired"), 0);
+  EXPECT_EQ(count_requests(server, "expired"), 0);
   const std::vector<std::string> requests = server.requests();
-  const int left = std::stoi(field_of(requests.back(), "X-Timeout-Ms"));
-  EXPECT_LE(left, 7500) << "1.5 s of its 9 s have passed";
-  EXPECT_GT(left, 3000);
+  const int remaining_ms = std::stoi(field_of(requests.back(), "X-Timeout-Ms"));
+  EXPECT_LE(remaining_ms, 7500) << "1.5 s of the timeout of 9 s have passed";
+  EXPECT_GT(remaining_ms, 3000);
 }
 
-// An expired timeout does not win over data that arrived before it.
+// Data that arrived before a timeout expired takes precedence over the timeout.
 TEST(PausedNode, ServesAFirstRequestThatArrivedInTimeButWasReadLate) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   RawConnection client = d.client();
-  request_and_wait(d, "before");  // by then the connection above has been accepted too
-  stop(*d.program);
+  request_and_wait(d, "before");  // by then the first connection has been accepted too
+  suspend(*d.program);
   client.write(ClientRequest{.id = "first"}.text());
-  sleep_for(2800ms);  // more than the 2.5 s that a first request may take
+  sleep_for(2800ms);  // longer than the first-request timeout of 2.5 s
   d.program->signal(SIGCONT);
   EXPECT_EQ(status_of(client.read_message()), 200);
 }
 
-// The change of the list is unread in the watch's socket, but a client's request may be read before it.
+// The endpoint update is unread in the socket of the watch, and client requests may be read before it.
 TEST(PausedNode, ReadsTheEndpointListBeforeItForwards) {
   FakeServer drained(replies(200, "drained")), other(replies(200, "other"));
   Deployment d({&drained, &other});
@@ -113,19 +114,19 @@
     clients.back().write(ClientRequest{.id = "early" + std::to_string(i)}.text());
     ASSERT_EQ(status_of(clients.back().read_message()), 200);
   }
-  ASSERT_GT(requests_named(drained, "early"), 0);
-  stop(*d.program);
+  ASSERT_GT(count_requests(drained, "early"), 0);
+  suspend(*d.program);
   for (int i = 0; i < 40; ++i) {
     clients[static_cast<std::size_t>(i)].write(ClientRequest{.id = "late" + std::to_string(i)}.text());
   }
   d.discovery.push(endpoint_list_json(8, false, endpoint_json("s0", drained.address(), "draining")));
   sleep_for(1200ms);
   d.program->signal(SIGCONT);
-  // Together they may exceed the server's concurrency limit.
+  // All requests together may exceed the server's concurrency limit.
   int served = 0;
   for (RawConnection& client : clients) served += status_of(client.read_message()) == 200 ? 1 : 0;
-  EXPECT_EQ(requests_named(drained, "late"), 0);
-  EXPECT_EQ(requests_named(other, "late"), served);
+  EXPECT_EQ(count_requests(drained, "late"), 0);
+  EXPECT_EQ(count_requests(other, "late"), served);
   EXPECT_GT(served, 0);
 }
 
@@ -142,17 +143,17 @@
   RawConnection client = RawConnection::connect_to(program.port());
   client.write(ClientRequest{.id = "late"}.text());
   ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }));
-  stop(program);
+  suspend(program);
   Fd connected = full.accept();
   ASSERT_GE(connected.get(), 0);
   client.close();
   sleep_for(100ms);
   program.signal(SIGCONT);
   RawConnection server(std::move(connected));
-  EXPECT_EQ(server.read_until_close(), "") << "its client has disconnected";
+  EXPECT_EQ(server.read_until_close(), "") << "the request was sent although its client has disconnected";
 }
 
-// The time in which a response was unread is not the server's.
+// The time for which a response was unread is not part of the server's response time.
 TEST(StarvedLoop, MeasuresAResponseUntilItsArrival) {
   FakeServer server(replies(200, "ok"));
   boost::asio::io_context io(1);
@@ -170,7 +171,7 @@
   std::optional<Upstream::End> end;
   const Upstream::Handle attempt = upstream.start(
       "s0", request, {10}, true, {[] { return true; }, [&](Upstream::End&& e) { end = std::move(e); }});
-  // Until the request is sent; then the loop is not run.
+  // Runs the loop until the request is sent, and not after that.
   while (server.requests().empty()) io.run_one_for(2ms);
   EXPECT_FALSE(end);
   sleep_for(400ms);
@@ -183,23 +184,23 @@
   EXPECT_LT(end->unread, 10);
 }
 
-// The permission is checked again once the connection is established.
-TEST(StarvedLoop, DoesNotSendWhatMayNoLongerBeSent) {
+// Whether a request may be sent is checked again once the connection is established.
+TEST(StarvedLoop, ChecksPermissionAndDeadlineBeforeSending) {
   FakeServer server(replies(200, "ok"));
   boost::asio::io_context io(1);
   MemoryBudget budget;
   budget.set_limit(1 << 20);
   Upstream upstream(io, {0.5, 60, 10}, budget);
-  const boost::asio::ip::tcp::endpoint where{boost::asio::ip::address_v4::loopback(),
-                                             static_cast<unsigned short>(server.listener().port())};
-  upstream.update_endpoint("s0", where, 0, true);
+  const boost::asio::ip::tcp::endpoint address{boost::asio::ip::address_v4::loopback(),
+                                               static_cast<unsigned short>(server.listener().port())};
+  upstream.update_endpoint("s0", address, 0, true);
   const auto request = std::make_shared<HttpRequest>();
   std::vector<Outcome> ends;
-  const auto start = [&](double timeout, std::function<bool()> may) {
+  const auto start = [&](double timeout, std::function<bool()> may_send) {
     const std::size_t before = ends.size();
     const Upstream::Handle attempt =
         upstream.start("s0", request, {timeout}, true,
-                       {std::move(may), [&](Upstream::End&& e) { ends.push_back(e.outcome); }});
+                       {std::move(may_send), [&](Upstream::End&& e) { ends.push_back(e.outcome); }});
     sleep_for(30ms);
     io.restart();
     ASSERT_TRUE(eventually([&] {
@@ -210,28 +211,28 @@
   start(10, [] { return false; });
   start(0.02, [] { return true; });
   start(10, [&] {
-    upstream.update_endpoint("s0", where, 0, false);  // the server begins to drain
+    upstream.update_endpoint("s0", address, 0, false);  // the server begins to drain
     return true;
   });
-  upstream.update_endpoint("s0", where, 0, true);
+  upstream.update_endpoint("s0", address, 0, true);
   start(10, [&] {
-    upstream.update_endpoint("s0", where, 12, true);  // the server has restarted
+    upstream.update_endpoint("s0", address, 12, true);  // the server has restarted
     return true;
   });
   ASSERT_EQ(ends.size(), 4U);
   for (const std::size_t i : {0U, 2U, 3U}) EXPECT_EQ(ends[i], Outcome::kNotSent) << i;
   EXPECT_TRUE(ends[1] == Outcome::kNotSent || ends[1] == Outcome::kConnectFailed)
-      << "whichever of the timer and the connect is first";
+      << "depends on whether the timer or the connect completes first";
   EXPECT_TRUE(server.requests().empty());
 }
 
-// The node gets CPU time for a moment now and then.
+// The node gets short slices of CPU time between suspensions.
 TEST(StarvedNode, ForwardsNothingForClientsThatDisconnected) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   request_and_wait(d, "before");
   for (int round = 0; round < 8; ++round) {
-    stop(*d.program);
+    suspend(*d.program);
     std::vector<RawConnection> clients;
     for (int i = 0; i < 4; ++i) {
       clients.push_back(d.client());
@@ -245,7 +246,7 @@
     sleep_for(2ms);
   }
   request_and_wait(d, "after");
-  EXPECT_EQ(requests_named(server, "late"), 0);
+  EXPECT_EQ(count_requests(server, "late"), 0);
 }
 
 }  // namespace
--- a/tests/node/preconnect_test.cpp
+++ b/tests/node/preconnect_test.cpp
@@ -1,4 +1,4 @@
-// The pre-connect policy, and the connections that it opens.
+// The preconnect policy and the connections opened by it.
 #include "preconnect.h"
 
 #include <gtest/gtest.h>
@@ -40,13 +40,13 @@
   EXPECT_LE(requests, 16 * 9 + 1);
 }
 
-// A client in a closed loop is not limited to one request per cool-down.
+// A closed-loop client must not be limited to one request per cool-down.
 TEST(Preconnect, ClientThatSendsItsNextRequestAtOnceGetsMoreConnections) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   RawConnection client = d.client();
   int requests = 0;
-  // A slow machine sends the next one at once only now and then.
+  // On a slow machine, the client rarely sends the next request within the cool-down.
   while (requests < 5000 && server.listener().accepted() < 3) {
     client.write(ClientRequest{.id = "r" + std::to_string(++requests)}.text());
     ASSERT_EQ(status_of(client.read_message()), 200);
