--- a/tests/fleet_rig/membership_test.cpp
+++ b/tests/fleet_rig/membership_test.cpp
@@ -1,5 +1,5 @@
-// Nodes that know each other, as processes with faults between them: judged on how they see the fleet and on
-// the rules alike. Their times are a fifth of the defaults, so that a run is short.
+// Runs nodes that are peers of each other as processes, with faults between them, and checks both their views
+// of the replica set and the rules. The protocol's times are a fifth of the defaults to keep the runs short.
 #include <algorithm>
 
 #include "scenario_fixture.h"
@@ -8,7 +8,7 @@
 namespace thymewood::fleet {
 namespace {
 
-const std::string kHead = std::string(R"(
+const std::string kBaseScenario = std::string(R"(
 seconds = 15
 settle = 0
 max_attempts = 4
@@ -60,56 +60,58 @@
 rate = 60
 )";
 
-struct Played : CheckedRun {
-  // How a node saw the fleet at the end.
-  ObservedView last(int number) const {
+struct MembershipResult : CheckedRun {
+  // The last view of the replica set that a node recorded.
+  ObservedView last_view(int number) const {
     ObservedView out;
     for (const Record& r : history.records) {
       if (r.by == Actor{ActorKind::kNode, number}) {
-        if (const auto seen = parse_view(r)) out = *seen;
+        if (const auto view = parse_view(r)) out = *view;
       }
     }
     return out;
   }
-  bool ever(int number, const std::string& confidence, double from = 0) const {
+  bool ever_had(int number, const std::string& connectivity, double from = 0) const {
     return std::any_of(history.records.begin(), history.records.end(), [&](const Record& r) {
-      const auto seen = parse_view(r);
-      return seen && r.t >= from && r.by == Actor{ActorKind::kNode, number} &&
-             seen->connectivity == confidence;
+      const auto view = parse_view(r);
+      return view && r.t >= from && r.by == Actor{ActorKind::kNode, number} &&
+             view->connectivity == connectivity;
     });
   }
 };
 
-Played play(const std::string& name, const std::string& faults) {
-  return {run_and_check(kHead + faults, "views_" + name)};
+MembershipResult run_with_faults(const std::string& name, const std::string& faults) {
+  return {run_and_check(kBaseScenario + faults, "views_" + name)};
 }
 
 TEST(FleetMembership, SurvivorsOfAMassFailureKnowTheyArePartitionedUntilTheOthersReturn) {
-  const Played p = play("killed", "[[fault]]\nat = 2\nlasts = 5\nwhat = \"kill\"\nwho = \"node:0-2\"\n");
-  for (const int survivor : {3, 4}) EXPECT_TRUE(p.ever(survivor, "partitioned", 2));
+  const MembershipResult result =
+      run_with_faults("killed", "[[fault]]\nat = 2\nlasts = 5\nwhat = \"kill\"\nwho = \"node:0-2\"\n");
+  for (const int survivor : {3, 4}) EXPECT_TRUE(result.ever_had(survivor, "partitioned", 2));
   for (int i = 0; i < 5; ++i) {
-    EXPECT_EQ(p.last(i).connectivity, "complete") << i;
-    EXPECT_EQ(p.last(i).max_count, 5) << i;
-    EXPECT_EQ(p.last(i).live_count, 5) << i;
-    EXPECT_EQ(p.last(i).rank, i) << i;
+    EXPECT_EQ(result.last_view(i).connectivity, "complete") << i;
+    EXPECT_EQ(result.last_view(i).max_count, 5) << i;
+    EXPECT_EQ(result.last_view(i).live_count, 5) << i;
+    EXPECT_EQ(result.last_view(i).rank, i) << i;
   }
 }
 
 TEST(FleetMembership, PausedAndOneWayPartitionedNodesAreNotTakenForAMassFailure) {
-  const Played p =
-      play("paused",
-           "[[fault]]\nat = 2\nlasts = 4\nwhat = \"pause\"\nwho = \"node:1\"\n"
-           "[[fault]]\nat = 1\nlasts = 6\nwhat = \"cut_to\"\nwho = \"node:3\"\nto = \"node:4\"\n");
-  for (int i = 0; i < 5; ++i) EXPECT_EQ(p.last(i).connectivity, "complete") << i;
-  for (const int i : {0, 2, 3, 4}) EXPECT_FALSE(p.ever(i, "partitioned", 2)) << i << ": a way round is found";
+  const MembershipResult result =
+      run_with_faults("paused",
+                      "[[fault]]\nat = 2\nlasts = 4\nwhat = \"pause\"\nwho = \"node:1\"\n"
+                      "[[fault]]\nat = 1\nlasts = 6\nwhat = \"cut_to\"\nwho = \"node:3\"\nto = \"node:4\"\n");
+  for (int i = 0; i < 5; ++i) EXPECT_EQ(result.last_view(i).connectivity, "complete") << i;
+  for (const int i : {0, 2, 3, 4})
+    EXPECT_FALSE(result.ever_had(i, "partitioned", 2)) << i << ": other nodes still reach it";
 }
 
 TEST(FleetMembership, FlappingZonePartitionHealsAndAPlannedRestartIsNoFailure) {
-  const Played p = play(
+  const MembershipResult result = run_with_faults(
       "cut",
       "[[fault]]\nat = 1\nlasts = 2.4\nflap = 0.4\nwhat = \"cut\"\nwho = \"node:3-4\"\nto = \"node:0-2\"\n"
       "[[fault]]\nat = 4\nlasts = 0.5\nwhat = \"restart\"\nwho = \"node:0\"\n");
-  for (int i = 0; i < 5; ++i) EXPECT_EQ(p.last(i).connectivity, "complete") << i;
+  for (int i = 0; i < 5; ++i) EXPECT_EQ(result.last_view(i).connectivity, "complete") << i;
 }
 
 }  // namespace
--- a/tests/fleet_rig/scenario_fixture.h
+++ b/tests/fleet_rig/scenario_fixture.h
@@ -1,5 +1,5 @@
-// Runs a short scenario with the node that was built, and holds what every run has to keep: the rules,
-// checkers that could see, and a rig that was in time. What is peculiar to a run is for its test.
+// Runs a short scenario with the node of this build and checks what holds for every run: no rule is
+// violated, every checker had its input, and the rig did not run late. The tests check the rest.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -13,10 +13,10 @@
 
 namespace thymewood::fleet {
 
-// s; of a machine that others use too. Violations that this looks for are seconds long.
+// s; allows for other load on the machine. The violations that these tests look for last seconds.
 constexpr double kTestSlack = 0.5;
 
-// A class that is keyed and one that must not run twice.
+// One class is idempotent with a key, the other must not be executed twice.
 constexpr const char* kTestClasses = R"([[class]]
 name = "note"
 share = 55
@@ -36,29 +36,29 @@
 )";
 
 struct CheckedRun {
-  ScenarioRun day;
+  ScenarioRun run;
   History history;
 };
 
-// `text` is the scenario.
-inline CheckedRun run_and_check(const std::string& text, const std::string& name) {
-  const bench::Scenario scenario = bench::parse_scenario(text, name);
+// `toml`: the scenario.
+inline CheckedRun run_and_check(const std::string& toml, const std::string& name) {
+  const bench::Scenario scenario = bench::parse_scenario(toml, name);
   ScenarioRunOptions options;
   options.program = NODE_PROGRAM;
   options.folder = testing::TempDir() + "/fleet_" + std::to_string(::getpid()) + "_" + name;
   options.slack = kTestSlack;
   options.max_runs = 3;
   CheckedRun out;
-  out.day = run_scenario(scenario, options);
-  out.history = History::read(out.day.history);
-  for (const Finding& f : out.day.verdict.broken) ADD_FAILURE() << f.t << " s, " << f.rule << ": " << f.what;
-  for (const std::string& what : out.day.verdict.blind) ADD_FAILURE() << "could not see: " << what;
-  EXPECT_FALSE(out.day.verdict.void_run) << "the rig ran late by " << out.day.verdict.latest;
-  EXPECT_TRUE(out.day.verdict.passed());
-  EXPECT_GT(out.day.verdict.asked, 200u);
-  EXPECT_GT(out.day.figures.served, 100);
+  out.run = run_scenario(scenario, options);
+  out.history = History::read(out.run.history);
+  for (const Finding& f : out.run.verdict.broken) ADD_FAILURE() << f.t << " s, " << f.rule << ": " << f.what;
+  for (const std::string& what : out.run.verdict.blind) ADD_FAILURE() << "not checked: " << what;
+  EXPECT_FALSE(out.run.verdict.void_run) << "the rig ran late by " << out.run.verdict.latest;
+  EXPECT_TRUE(out.run.verdict.passed());
+  EXPECT_GT(out.run.verdict.asked, 200u);
+  EXPECT_GT(out.run.figures.served, 100);
   if (testing::Test::HasFailure()) {
-    std::fprintf(stderr, "kept for a look: %s\n", options.folder.c_str());
+    std::fprintf(stderr, "files of the failed run: %s\n", options.folder.c_str());
   } else {
     std::filesystem::remove_all(options.folder);
   }
--- a/tests/fleet_rig/scenarios_test.cpp
+++ b/tests/fleet_rig/scenarios_test.cpp
@@ -1,6 +1,6 @@
-// Short scenarios with several processes of the program and faults between them: four nodes in two zones, six
-// servers that call a second tier by nodes of their own, ten processes in all. Each must keep the rules, and
-// show that its fault was there. Shares served are no subject here: this machine may be slow.
+// Short scenarios with several node processes and faults between them: four nodes in two zones and six
+// servers that call a second tier through sidecar nodes, ten processes in all. Each test checks the rules and
+// that its fault was injected. With faults the share served is not checked, since the machine may be slow.
 #include <algorithm>
 
 #include "scenario_fixture.h"
@@ -8,7 +8,7 @@
 namespace thymewood::fleet {
 namespace {
 
-const std::string kHead = std::string(R"(
+const std::string kBaseScenario = std::string(R"(
 seconds = 6
 settle = 0
 max_attempts = 4
@@ -57,94 +57,99 @@
 rate = 60
 )";
 
-struct Played : CheckedRun {
+struct ScenarioResult : CheckedRun {
   std::size_t count(Record::What what) const {
     return static_cast<std::size_t>(std::count_if(history.records.begin(), history.records.end(),
                                                   [what](const Record& r) { return r.what == what; }));
   }
 };
 
-Played play(const std::string& name, const std::string& faults) {
-  return {run_and_check(kHead + faults, name)};
+ScenarioResult run_with_faults(const std::string& name, const std::string& faults) {
+  return {run_and_check(kBaseScenario + faults, name)};
 }
 
 TEST(FleetScenario, WithoutFaults) {
-  const Played p = play("calm", "");
-  EXPECT_GT(p.day.figures.served_part(), 0.9);
-  EXPECT_GT(p.day.figures.second_tier, 1) << "two calls to the second tier for each request";
-  EXPECT_EQ(p.count(Record::What::kUp), 10u);
-  EXPECT_EQ(p.day.verdict.excused, 0u);
+  const ScenarioResult result = run_with_faults("calm", "");
+  EXPECT_GT(result.run.figures.served_part(), 0.9);
+  EXPECT_GT(result.run.figures.second_tier, 1) << "two calls to the second tier for each request";
+  EXPECT_EQ(result.count(Record::What::kUp), 10u);
+  EXPECT_EQ(result.run.verdict.excused, 0u);
 }
 
 TEST(FleetScenario, RollingRestart) {
-  const Played p =
-      play("rolling", "[[fault]]\nat = 0.5\nwhat = \"restart\"\nwho = \"node:0-2\"\nstagger = 0.4\n");
-  EXPECT_EQ(p.count(Record::What::kTerm), 3u);
+  const ScenarioResult result = run_with_faults(
+      "rolling", "[[fault]]\nat = 0.5\nwhat = \"restart\"\nwho = \"node:0-2\"\nstagger = 0.4\n");
+  EXPECT_EQ(result.count(Record::What::kTerm), 3u);
 }
 
 TEST(FleetScenario, HalfOfTheNodesAreKilledAtOnceAndRestart) {
-  const Played p = play("herd", "[[fault]]\nat = 1.5\nlasts = 1.5\nwhat = \"kill\"\nwho = \"node:50%\"\n");
-  EXPECT_EQ(p.count(Record::What::kDown), 2u);
-  EXPECT_EQ(p.count(Record::What::kUp), 12u);
+  const ScenarioResult result =
+      run_with_faults("herd", "[[fault]]\nat = 1.5\nlasts = 1.5\nwhat = \"kill\"\nwho = \"node:50%\"\n");
+  EXPECT_EQ(result.count(Record::What::kDown), 2u);
+  EXPECT_EQ(result.count(Record::What::kUp), 12u);
 }
 
 TEST(FleetScenario, ZoneOfServersIsLostAndReturnsCold) {
-  const Played p = play("zone_lost",
-                        "[[change]]\nat = 1\nwhat = \"stop\"\nfirst = 3\nlast = 5\ntold_after_ms = 500\n"
-                        "[[change]]\nat = 3\nwhat = \"start\"\nfirst = 3\nlast = 5\ntold_after_ms = 100\n");
-  const auto cold = std::count_if(p.history.records.begin(), p.history.records.end(), [](const Record& r) {
-    return r.what == Record::What::kServerReceived && r.cold > 0;
-  });
-  EXPECT_GT(cold, 0) << "cold servers were asked";
+  const ScenarioResult result =
+      run_with_faults("zone_lost",
+                      "[[change]]\nat = 1\nwhat = \"stop\"\nfirst = 3\nlast = 5\ntold_after_ms = 500\n"
+                      "[[change]]\nat = 3\nwhat = \"start\"\nfirst = 3\nlast = 5\ntold_after_ms = 100\n");
+  const auto cold =
+      std::count_if(result.history.records.begin(), result.history.records.end(),
+                    [](const Record& r) { return r.what == Record::What::kServerReceived && r.cold > 0; });
+  EXPECT_GT(cold, 0) << "cold servers received requests";
 }
 
 TEST(FleetScenario, OneWayPartitionBetweenZones) {
-  const Played p =
-      play("one_way",
-           "[[fault]]\nat = 1.5\nlasts = 2\nwhat = \"cut_to\"\nwho = \"server:3-5\"\nto = \"node:0-1\"\n");
-  EXPECT_EQ(p.count(Record::What::kBadLink), 6u);
-  EXPECT_EQ(p.count(Record::What::kGoodLink), 6u);
+  const ScenarioResult result = run_with_faults(
+      "one_way",
+      "[[fault]]\nat = 1.5\nlasts = 2\nwhat = \"cut_to\"\nwho = \"server:3-5\"\nto = \"node:0-1\"\n");
+  EXPECT_EQ(result.count(Record::What::kBadLink), 6u);
+  EXPECT_EQ(result.count(Record::What::kGoodLink), 6u);
 }
 
 TEST(FleetScenario, EndpointListsAreLateAndDiffer) {
-  const Played p = play("lists",
-                        "[[fault]]\nat = 0.2\nlasts = 5\nwhat = \"lag\"\ndelay_ms = 700\n"
-                        "[[change]]\nat = 1\nwhat = \"drain\"\nfirst = 0\nlast = 1\n"
-                        "[[change]]\nat = 4\nwhat = \"stop\"\nfirst = 0\nlast = 1\n");
+  const ScenarioResult result =
+      run_with_faults("lists",
+                      "[[fault]]\nat = 0.2\nlasts = 5\nwhat = \"lag\"\ndelay_ms = 700\n"
+                      "[[change]]\nat = 1\nwhat = \"drain\"\nfirst = 0\nlast = 1\n"
+                      "[[change]]\nat = 4\nwhat = \"stop\"\nfirst = 0\nlast = 1\n");
   const auto notified =
-      std::count_if(p.history.records.begin(), p.history.records.end(),
+      std::count_if(result.history.records.begin(), result.history.records.end(),
                     [](const Record& r) { return r.what == Record::What::kNotified && !r.yes && r.t > 1.7; });
-  EXPECT_GE(notified, 8) << "each node was told of each drain";
+  EXPECT_GE(notified, 8) << "each node was notified of each drain";
 }
 
-// A paused node resumes with clients that have disconnected and an unread drain in its socket.
+// A paused node resumes with disconnected clients and an unread drain notification in its discovery socket.
 TEST(FleetScenario, NodeIsPausedForSecondsAndResumes) {
-  const Played p = play("paused",
-                        "[[fault]]\nat = 1\nlasts = 3\nwhat = \"pause\"\nwho = \"node:0-1\"\n"
-                        "[[change]]\nat = 1.3\nwhat = \"drain\"\nfirst = 0\nlast = 2\n");
-  EXPECT_EQ(p.count(Record::What::kPaused), 2u);
-  EXPECT_EQ(p.count(Record::What::kResumed), 2u);
+  const ScenarioResult result =
+      run_with_faults("paused",
+                      "[[fault]]\nat = 1\nlasts = 3\nwhat = \"pause\"\nwho = \"node:0-1\"\n"
+                      "[[change]]\nat = 1.3\nwhat = \"drain\"\nfirst = 0\nlast = 2\n");
+  EXPECT_EQ(result.count(Record::What::kPaused), 2u);
+  EXPECT_EQ(result.count(Record::What::kResumed), 2u);
 }
 
 TEST(FleetScenario, NodeIsLimitedToAFifthOfACore) {
-  const Played p =
-      play("starved", "[[fault]]\nat = 1\nlasts = 3\nwhat = \"starve\"\nwho = \"node:0\"\nshare = 0.2\n");
-  EXPECT_EQ(p.count(Record::What::kPaused), 1u);
+  const ScenarioResult result = run_with_faults(
+      "starved", "[[fault]]\nat = 1\nlasts = 3\nwhat = \"starve\"\nwho = \"node:0\"\nshare = 0.2\n");
+  EXPECT_EQ(result.count(Record::What::kPaused), 1u);
 }
 
 TEST(FleetScenario, DisksAreFull) {
-  play("disks",
-       "[[fault]]\nat = 0.5\nlasts = 4\nwhat = \"disk_full\"\nwho = \"node:*\"\n"
-       "[[change]]\nat = 1\nwhat = \"drain\"\nfirst = 0\nlast = 0\n");
+  run_with_faults("disks",
+                  "[[fault]]\nat = 0.5\nlasts = 4\nwhat = \"disk_full\"\nwho = \"node:*\"\n"
+                  "[[change]]\nat = 1\nwhat = \"drain\"\nfirst = 0\nlast = 0\n");
 }
 
 TEST(FleetScenario, DiscoveryIsDownWhileServersAreReplaced) {
-  const Played p = play("discovery",
-                        "[[fault]]\nat = 1\nlasts = 2\nwhat = \"silence\"\n"
-                        "[[change]]\nat = 1.2\nwhat = \"drain\"\nfirst = 0\nlast = 0\n"
-                        "[[change]]\nat = 2\nwhat = \"stop\"\nfirst = 0\nlast = 0\n"
-                        "[[change]]\nat = 2.4\nwhat = \"start\"\nfirst = 0\nlast = 0\n");
-  EXPECT_GT(p.count(Record::What::kNotified), 40u) << "whole lists were told again";
+  const ScenarioResult result =
+      run_with_faults("discovery",
+                      "[[fault]]\nat = 1\nlasts = 2\nwhat = \"silence\"\n"
+                      "[[change]]\nat = 1.2\nwhat = \"drain\"\nfirst = 0\nlast = 0\n"
+                      "[[change]]\nat = 2\nwhat = \"stop\"\nfirst = 0\nlast = 0\n"
+                      "[[change]]\nat = 2.4\nwhat = \"start\"\nfirst = 0\nlast = 0\n");
+  EXPECT_GT(result.count(Record::What::kNotified), 40u) << "complete lists were sent again";
 }
 
 }  // namespace
