--- a/fleet_rig/machine/machine.h
+++ b/fleet_rig/machine/machine.h
@@ -1,10 +1,10 @@
-// A program as a machine of its own: a child process in its own process group, with a folder that is its
-// disk, and the faults that a machine has. Nothing here waits for a stated time; a fault is in force when its
-// call returns.
+// Runs a program as a simulated machine: a child process in its own process group, with a folder that serves
+// as its disk, and machine faults that can be injected. No call waits for a fixed time; a fault is in effect
+// when the call that injects it returns.
 //
-// The child ends with its parent (prctl(2), PR_SET_PDEATHSIG), also when that is killed: start() is called
-// from the thread that lives as long as the machines are to live, for the kernel ties the signal to that
-// thread.
+// The child is killed when its parent ends, even if the parent is killed itself (prctl(2), PR_SET_PDEATHSIG).
+// The kernel ties that signal to the thread that forked, so start() has to be called from a thread that
+// lives as long as the machines should.
 #pragma once
 
 #include <sys/types.h>
@@ -18,17 +18,17 @@
 
 namespace thymewood::fleet {
 
-// A plan of faults in a file that the shim of a process maps too. The file is removed with the object.
+// A FaultPlan in a file that the shim in the child process maps too. The destructor removes the file.
 class FaultsFile {
  public:
-  // Throws std::runtime_error when it can't be made.
+  // Throws std::runtime_error if the file cannot be created or mapped.
   explicit FaultsFile(std::string path);
   ~FaultsFile();
   FaultsFile(const FaultsFile&) = delete;
   FaultsFile& operator=(const FaultsFile&) = delete;
 
   FaultPlan& plan() const { return *plan_; }
-  // What a process has to be started with, for the shim at that path.
+  // Environment variables that make a process preload the library `shim` and read this plan.
   std::vector<std::string> environment(const std::string& shim) const;
 
  private:
@@ -40,12 +40,12 @@
  public:
   struct Options {
     std::string program;
-    std::string folder;  // made where it is missing; holds `log` and what the program writes
-    std::vector<std::string> environment;  // "NAME=value"; nothing else is handed down but TMPDIR, the folder
-    std::uint64_t descriptors = 0;         // RLIMIT_NOFILE from the start; 0: as here
-    std::string shim;                      // preloaded, see fleet_rig/shim; empty: none
+    std::string folder;                    // created if missing; holds `log` and the files of the program
+    std::vector<std::string> environment;  // "NAME=value"; besides these only TMPDIR=folder is set
+    std::uint64_t descriptors = 0;         // RLIMIT_NOFILE at the start; 0: inherited
+    std::string shim;                      // library to preload, see fleet_rig/shim; empty: none
   };
-  // What proc(5) says of it; zeros where there is none.
+  // Resource usage from proc(5); all zero if no process runs.
   struct Usage {
     double cpu_s = 0;
     std::uint64_t memory_kb = 0;  // resident
@@ -54,54 +54,54 @@
   };
 
   explicit Machine(Options options);
-  ~Machine();  // killed, and waited for
+  ~Machine();  // kills the process and waits for it
   Machine(const Machine&) = delete;
   Machine& operator=(const Machine&) = delete;
 
-  // Starts the program, again from nothing if it has run before; with `wipe` its folder is emptied first, as
-  // after the loss of a disk. The log goes on at its end. Throws std::runtime_error where no process can be
-  // made.
+  // Starts the program in a new process; one that still runs is killed first. With `wipe` the folder is
+  // emptied before, as after the loss of a disk; otherwise the log is appended to. Throws std::runtime_error
+  // if fork(2) fails.
   void start(bool wipe = false);
   void kill();       // SIGKILL; the process has ended when this returns
-  void terminate();  // SIGTERM; goes in its own time
+  void terminate();  // SIGTERM; does not wait for the process to end
   void signal(int number) const;
 
-  // Stopped, with all its threads, when this returns; it holds its sockets, those that listen too. resume()
-  // only sends the signal.
+  // When this returns, all threads of the process are stopped; its sockets stay open, including listening
+  // ones. resume() sends SIGCONT without waiting for the process to run.
   void pause();
   void resume();
 
-  // So many descriptors from now on; open ones stay. 0: as at the start.
-  void limit_descriptors(std::uint64_t most) const;
-  // Writes to files fail with EFBIG as on a full disk (SIGXFSZ is ignored), beyond `bytes` of each file.
-  // Sockets and pipes are not files.
+  // Sets the soft limit of RLIMIT_NOFILE; open descriptors stay open. 0: the hard limit, as at the start.
+  void limit_descriptors(std::uint64_t max_descriptors) const;
+  // Simulates a full disk: writes beyond the first `bytes` of any file fail with EFBIG (SIGXFSZ is ignored).
+  // Sockets and pipes are not affected.
   void fill_disk(std::uint64_t bytes = 0) const;
-  void clear_disk() const;
+  void free_disk_space() const;
 
-  // What its files and its time of day suffer from; null without a shim.
+  // The faults of its file calls and its wall clock; null without a shim.
   FaultPlan* faults() const { return faults_ ? &faults_->plan() : nullptr; }
 
-  // Whether its process is there; takes in how it ended where it has.
+  // Whether its process exists; if that has ended, reaps it and keeps its status.
   bool running();
   bool paused() const { return paused_; }
-  // Of the last process that ended: as waitpid(2) has it; -1 while none has.
+  // The wait status, as from waitpid(2), of the last process that was reaped; -1: none yet.
   int status() const { return status_; }
-  // It ended otherwise than by our kill() and with another code than 0.
+  // Whether any process ended by a signal or a status other than 0, except by kill().
   bool crashed() const { return crashed_; }
-  int starts() const { return starts_; }
+  int start_count() const { return start_count_; }
   Usage usage() const;
   std::string log() const;
   const std::string& folder() const { return options_.folder; }
   pid_t pid() const { return pid_; }
 
  private:
-  void reap(int status);
+  void record_exit(int status);
 
   Options options_;
   std::unique_ptr<FaultsFile> faults_;
   pid_t pid_ = -1;
-  int status_ = -1, starts_ = 0;
-  bool paused_ = false, crashed_ = false, killing_ = false;
+  int status_ = -1, start_count_ = 0;
+  bool paused_ = false, crashed_ = false, kill_requested_ = false;
 };
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/run/fleet_faults.cpp
+++ b/fleet_rig/run/fleet_faults.cpp
@@ -167,7 +167,7 @@
       node.machine->limit_descriptors(0);
       break;
     case Fault::What::kDiskFull:
-      node.machine->clear_disk();
+      node.machine->free_disk_space();
       break;
     default:
       break;
