--- a/fleet_rig/run/fleet.cpp
+++ b/fleet_rig/run/fleet.cpp
@@ -26,19 +26,19 @@
 namespace {
 
 constexpr std::chrono::milliseconds kHealthInterval{20};
-constexpr double kUpWithin = 20;       // s; for all nodes to come up
-constexpr double kDrainTime = 30;      // s; after the run's end, for what is still under way
-constexpr double kLastAttempts = 0.1;  // s; for servers to record what was sent at the end
+constexpr double kStartupTimeout = 20;      // s; for all nodes to become healthy
+constexpr double kDrainTime = 30;           // s; after the run's end, for requests in flight
+constexpr double kAttemptRecordTime = 0.1;  // s; for servers to record the last attempts
 
-void raise_descriptors() {
+void raise_descriptor_limit() {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
   limit.rlim_cur = limit.rlim_max;
   setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-// Preloaded only where a fault needs it, so that all other runs see the node as it is shipped.
-bool wants_shim(const bench::Scenario& scenario) {
+// The shim is preloaded only if a fault needs it, so that all other runs test the node as it is shipped.
+bool needs_shim(const bench::Scenario& scenario) {
   return std::any_of(scenario.faults.begin(), scenario.faults.end(), [](const Fault& f) {
     return f.what == Fault::What::kDiskFails || f.what == Fault::What::kDiskReadOnly ||
            f.what == Fault::What::kDiskSlow || f.what == Fault::What::kClock;
@@ -60,11 +60,11 @@
       history_(create_folder(options_.folder) + "/history.jsonl"),
       lateness_(io_, history_, kDiscoveryActor),
       observe_timer_(io_) {
-  raise_descriptors();
+  raise_descriptor_limit();
   constexpr int kMax = FleetAddresses::kMaxActorsOfAKind;
   if (scenario_.replicas > kMax || scenario_.servers.size() > kMax || scenario_.backends.size() > kMax)
     throw std::runtime_error(scenario_.name +
-                             ": a fleet has at most 250 of nodes, servers and backends each");
+                             ": a fleet has at most 250 nodes, 250 servers and 250 backends");
   build();
 }
 
@@ -76,7 +76,7 @@
     Node& node = nodes_[actor];
     const std::string folder = options_.folder + "/" + bench::name_of(actor);
     Machine::Options machine{options_.program, folder, options_.environment, 0,
-                             wants_shim(scenario_) ? FLEET_SHIM : ""};
+                             needs_shim(scenario_) ? FLEET_SHIM : ""};
     machine.environment.push_back("RELAY_CONFIG=" + std::filesystem::absolute(folder).string() +
                                   "/config.json");
     if (!scenario_.operators.empty())
@@ -88,8 +88,8 @@
       io_, scenario_, history_, addresses_.discovery(),
       DiscoveryStandIn::Access{
           [this](unsigned short port) -> std::optional<TcpRelay::Origin> {
-            for (const auto& [ends, relay] : relays_) {
-              if (ends.second != kDiscoveryActor) continue;
+            for (const auto& [link, relay] : relays_) {
+              if (link.second != kDiscoveryActor) continue;
               if (const auto origin = relay->origin(port)) return origin;
             }
             return std::nullopt;
@@ -101,11 +101,11 @@
       options_.seed ^ 0xD15C);
   build_relays();
   build_servers();
-  std::vector<HttpClient::Endpoint> fronts;
-  fronts.reserve(static_cast<std::size_t>(scenario_.replicas));
+  std::vector<HttpClient::Endpoint> node_endpoints;
+  node_endpoints.reserve(static_cast<std::size_t>(scenario_.replicas));
   for (int i = 0; i < scenario_.replicas; ++i)
-    fronts.push_back(relay(kClientsActor, {ActorKind::kNode, i}).where());
-  clients_ = std::make_unique<ClientPool>(io_, scenario_, history_, fronts, options_.seed);
+    node_endpoints.push_back(relay(kClientsActor, {ActorKind::kNode, i}).where());
+  clients_ = std::make_unique<ClientPool>(io_, scenario_, history_, node_endpoints, options_.seed);
 }
 
 void Fleet::build_relays() {
@@ -120,7 +120,7 @@
           std::make_unique<TcpRelay>(io_, links_, from, to, where, target, options_.seed + relays_.size());
     };
     const Actor client = sidecar ? Actor{ActorKind::kServer, actor.number} : kClientsActor;
-    add(client, actor, addresses_.relay_to(actor), addresses_.node(actor));
+    add(client, actor, addresses_.relay_to_node(actor), addresses_.node(actor));
     add(actor, kDiscoveryActor, addresses_.relay_to_discovery(actor), discovery_->where());
     const std::size_t targets = sidecar ? scenario_.backends.size() : scenario_.servers.size();
     for (std::size_t i = 0; i < targets; ++i) {
@@ -137,24 +137,24 @@
 
 void Fleet::build_servers() {
   const auto add = [this](const Actor& actor, const bench::ScenarioServer& spec) {
-    HttpClient* calls = nullptr;
+    HttpClient* second_tier_client = nullptr;
     const Actor sidecar{ActorKind::kSidecar, actor.number};
     if (actor.kind == ActorKind::kServer && scenario_.chain.calls > 0) {
       nodes_.at(sidecar).client =
           std::make_unique<HttpClient>(io_, history_, actor, sidecar, relay(actor, sidecar).where());
-      calls = nodes_.at(sidecar).client.get();
+      second_tier_client = nodes_.at(sidecar).client.get();
     }
     const auto origin = [this, actor](unsigned short port) -> std::optional<TcpRelay::Origin> {
-      for (const auto& [node, held] : nodes_) {
-        const auto at = relays_.find({node, actor});
-        if (at == relays_.end()) continue;
-        if (const auto found = at->second->origin(port)) return found;
+      for (const auto& [node, state] : nodes_) {
+        const auto relay_it = relays_.find({node, actor});
+        if (relay_it == relays_.end()) continue;
+        if (const auto found = relay_it->second->origin(port)) return found;
       }
       return std::nullopt;
     };
     servers_[actor] =
         std::make_unique<ServerStandIn>(io_, scenario_, history_, actor, spec, addresses_.server(actor),
-                                        origin, calls, options_.seed * 7919 + servers_.size());
+                                        origin, second_tier_client, options_.seed * 7919 + servers_.size());
   };
   for (std::size_t i = 0; i < scenario_.servers.size(); ++i)
     add({ActorKind::kServer, static_cast<int>(i)}, scenario_.servers[i]);
@@ -166,8 +166,8 @@
 
 void Fleet::start_servers() {
   for (auto& [actor, server] : servers_) {
-    const auto& all = actor.kind == ActorKind::kBackend ? scenario_.backends : scenario_.servers;
-    if (all.at(static_cast<std::size_t>(actor.number)).up) {
+    const auto& specs = actor.kind == ActorKind::kBackend ? scenario_.backends : scenario_.servers;
+    if (specs.at(static_cast<std::size_t>(actor.number)).up) {
       server->up(false);
     } else {
       refuse_connections_to(actor, true);
@@ -175,7 +175,7 @@
   }
 }
 
-// Returns the sidecars that were started; those of servers that are down are not.
+// Returns the sidecars that it started; a sidecar whose server is down is not started.
 std::vector<Actor> Fleet::start_nodes() {
   std::vector<Actor> sidecars;
   for (const auto& [actor, node] : nodes_) {
@@ -197,59 +197,60 @@
   *healthy += 1;
 }
 
-// Until the clients have found all nodes healthy, and the rig all sidecars.
+// Runs the event loop until the clients see all nodes as healthy, and the rig all sidecars.
 void Fleet::await_healthy(const std::vector<Actor>& sidecars) {
   const auto healthy = std::make_shared<std::size_t>(0);
   for (const Actor& sidecar : sidecars)
     asio::co_spawn(io_, count_when_healthy(sidecar, healthy), asio::detached);
-  const double until = history_.now() + kUpWithin;
+  const double deadline = history_.now() + kStartupTimeout;
   while (clients_->up() < static_cast<std::size_t>(scenario_.replicas) || *healthy < sidecars.size()) {
     io_.run_for(std::chrono::milliseconds(10));
     for (auto& [actor, node] : nodes_) {
-      const bool ended = node.should_run && !node.machine->running();
-      if (ended || history_.now() > until)
-        throw std::runtime_error(options_.program + " did not come up; see " + node.machine->folder() +
-                                 "/log: " + node.machine->log());
+      const bool exited = node.should_run && !node.machine->running();
+      if (exited || history_.now() > deadline)
+        throw std::runtime_error(options_.program + " exited or did not become healthy; see " +
+                                 node.machine->folder() + "/log: " + node.machine->log());
     }
   }
 }
 
-// The clients send them; the history has them among the faults.
-void Fleet::record_floods() {
+// The clients send the floods; this only records their begin and end, as those of faults.
+void Fleet::schedule_flood_records() {
   for (const bench::Flood& flood : scenario_.floods) {
-    const std::string text = "flood of " + scenario_.tenants.at(flood.tenant).name +
+    const std::string note = "flood of " + scenario_.tenants.at(flood.tenant).name +
                              (flood.replica < 0 ? "" : " through node:" + std::to_string(flood.replica));
-    at(flood.at, [this, text] { record(Record::What::kFault, kDiscoveryActor, text); });
+    schedule_at(flood.at, [this, note] { record(Record::What::kFault, kDiscoveryActor, note); });
     if (std::isfinite(flood.lasts))
-      at(flood.at + flood.lasts, [this, text] { record(Record::What::kHealed, kDiscoveryActor, text); });
+      schedule_at(flood.at + flood.lasts,
+                  [this, note] { record(Record::What::kHealed, kDiscoveryActor, note); });
   }
 }
 
-std::string Fleet::play() {
+std::string Fleet::run() {
   start_servers();
   discovery_->up();
   await_healthy(start_nodes());
-  constexpr double kLeadTime = 0.1;  // s; before the load
+  constexpr double kLeadTime = 0.1;  // s; before the load begins
   history_.begin(kLeadTime);
   Record begin;
   begin.what = Record::What::kBegin;
   begin.limit = scenario_.seconds;
   history_.add(begin);
-  std::vector<Actor> writers{kClientsActor, kDiscoveryActor};
-  for (const auto& [actor, server] : servers_) writers.push_back(actor);
-  for (const Actor& actor : writers) record(Record::What::kActorJoined, actor);
+  std::vector<Actor> history_actors{kClientsActor, kDiscoveryActor};
+  for (const auto& [actor, server] : servers_) history_actors.push_back(actor);
+  for (const Actor& actor : history_actors) record(Record::What::kActorJoined, actor);
   run_steps(plan(scenario_, options_.seed), 0);
-  record_floods();
+  schedule_flood_records();
   lateness_.start();
   observe_nodes();
   clients_->start();
   const double end = scenario_.seconds + kDrainTime;
   while (!clients_->done() && history_.now() < end) io_.run_for(std::chrono::milliseconds(20));
-  // Attempts that were sent last still have to be recorded by their servers.
-  const double quiet = history_.now() + kLastAttempts;
-  while (history_.now() < quiet) io_.run_for(std::chrono::milliseconds(10));
+  // The servers still have to record the last attempts.
+  const double record_deadline = history_.now() + kAttemptRecordTime;
+  while (history_.now() < record_deadline) io_.run_for(std::chrono::milliseconds(10));
   if (clients_->done()) {
-    for (const Actor& actor : writers) record(Record::What::kClosed, actor);
+    for (const Actor& actor : history_actors) record(Record::What::kClosed, actor);
   }
   history_.flush();
   kill_nodes();
@@ -258,7 +259,7 @@
 
 void Fleet::kill_nodes() {
   for (auto& [actor, node] : nodes_) {
-    node.should_run = node.starved = false;
+    node.should_run = node.cpu_limited = false;
     node.machine->kill();
   }
 }
--- a/fleet_rig/run/fleet_faults.cpp
+++ b/fleet_rig/run/fleet_faults.cpp
@@ -1,5 +1,4 @@
-// What is done to a fleet while its run goes on: faults of machines, links and discovery, and changes of
-// servers.
+// Applies the plan of a run to the fleet: faults of machines, links and discovery, and changes of servers.
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -17,9 +16,9 @@
 
 namespace {
 
-constexpr double kFirstSecond = 1;  // s
+constexpr double kMinAgeForHangup = 1;  // s
 
-// What the shim of a node does from now on; `on` false takes it back.
+// Injects a fault through the shim of a node, or with `on` false clears it.
 void set_faults(FaultPlan& plan, const Fault& fault, bool on) {
   switch (fault.what) {
     case Fault::What::kDiskFails:
@@ -46,34 +45,35 @@
 
 // ---------------------------------------------------------------- faults
 
-void Fleet::at(double seconds, std::function<void()> what) {
+void Fleet::schedule_at(double seconds, std::function<void()> action) {
   timers_.push_back(std::make_unique<asio::steady_timer>(io_, history_.time_of(seconds)));
-  timers_.back()->async_wait([what = std::move(what)](error_code cancelled) {
-    if (!cancelled) what();
+  timers_.back()->async_wait([action = std::move(action)](error_code cancelled) {
+    if (!cancelled) action();
   });
 }
 
-// One after another, in the order of the plan: timers of the same time may fire in any.
+// Applies steps one after another in the order of the plan: timers with the same expiry may fire in any
+// order.
 void Fleet::run_steps(std::vector<Step> steps, std::size_t next) {
   while (next < steps.size() && steps[next].at <= history_.now()) apply(steps[next++]);
   if (next >= steps.size()) return;
-  const double then = steps[next].at;
-  at(then, [this, steps = std::move(steps), next]() mutable { run_steps(std::move(steps), next); });
+  const double due = steps[next].at;
+  schedule_at(due, [this, steps = std::move(steps), next]() mutable { run_steps(std::move(steps), next); });
 }
 
-void Fleet::record(Record::What what, const Actor& by, const std::string& text) {
+void Fleet::record(Record::What what, const Actor& actor, const std::string& note) {
   Record r;
   r.what = what;
-  r.by = by;
-  r.note = text;
+  r.by = actor;
+  r.note = note;
   history_.add(r);
 }
 
 void Fleet::apply(const Step& step) {
-  if (step.what == Step::What::kChange) return change(scenario_.changes.at(step.change));
+  if (step.what == Step::What::kChange) return apply_change(scenario_.changes.at(step.change));
   const Fault& fault = scenario_.faults.at(step.fault);
   const bool begins = step.what == Step::What::kBegins;
-  if (options_.progress) options_.progress(history_.now(), (begins ? "" : "over: ") + step.note);
+  if (options_.progress) options_.progress(history_.now(), (begins ? "" : "ended: ") + step.note);
   if (begins) {
     begin_fault(fault, step);
     record(Record::What::kFault, kDiscoveryActor, step.note);
@@ -101,12 +101,12 @@
       break;
     case Fault::What::kStarve:
       record(Record::What::kPaused, actor);
-      node.starved = true;
-      asio::co_spawn(io_, starve(actor, fault.share), asio::detached);
+      node.cpu_limited = true;
+      asio::co_spawn(io_, limit_cpu(actor, fault.share), asio::detached);
       break;
     case Fault::What::kHangup:
-      // Never in its first second, nor before it is ready.
-      if (history_.now() - node.started_at > kFirstSecond && clients_->is_up(actor.number))
+      // SIGHUP is sent neither in the process's first second nor before the clients see the node as healthy.
+      if (history_.now() - node.started_at > kMinAgeForHangup && clients_->is_up(actor.number))
         node.machine->signal(SIGHUP);
       break;
     case Fault::What::kCrowd:
@@ -133,12 +133,12 @@
   if (!step.ways.empty()) apply_link_fault(step, true);
   if (fault.what == Fault::What::kReset || fault.what == Fault::What::kRefuse) {
     for (const Way& way : step.ways) {
-      const auto at = relays_.find({way.from, way.to});
-      if (at == relays_.end()) continue;
+      const auto relay = relays_.find({way.from, way.to});
+      if (relay == relays_.end()) continue;
       if (fault.what == Fault::What::kReset) {
-        at->second->reset();
+        relay->second->reset();
       } else {
-        at->second->refuse(true);
+        relay->second->refuse(true);
       }
     }
   }
@@ -156,12 +156,12 @@
       record(Record::What::kResumed, actor);
       break;
     case Fault::What::kStarve:
-      node.starved = false;
+      node.cpu_limited = false;
       node.machine->resume();
       record(Record::What::kResumed, actor);
       break;
     case Fault::What::kCrowd:
-      idle_clients_.erase(actor);
+      idle_connections_.erase(actor);
       break;
     case Fault::What::kDescriptors:
       node.machine->limit_descriptors(0);
@@ -183,8 +183,8 @@
   if (fault.what == Fault::What::kLag) discovery_->lag_more(-fault.delay);
   if (fault.what == Fault::What::kRefuse) {
     for (const Way& way : step.ways) {
-      const auto at = relays_.find({way.from, way.to});
-      if (at != relays_.end()) at->second->refuse(false);
+      const auto relay = relays_.find({way.from, way.to});
+      if (relay != relays_.end()) relay->second->refuse(false);
     }
   }
   if (!step.ways.empty()) apply_link_fault(step, false);
@@ -205,28 +205,28 @@
     history_.add(r);
   }
   for (const Way& way : step.ways) {
-    for (const auto& ends : {std::pair{way.from, way.to}, std::pair{way.to, way.from}}) {
-      const auto at = relays_.find(ends);
-      if (at != relays_.end()) at->second->changed();
+    for (const auto& link : {std::pair{way.from, way.to}, std::pair{way.to, way.from}}) {
+      const auto relay = relays_.find(link);
+      if (relay != relays_.end()) relay->second->changed();
     }
     if (!on && way.from == kDiscoveryActor && !links_.way(way.from, way.to).cut()) discovery_->healed(way.to);
   }
 }
 
 void Fleet::refuse_connections_to(const Actor& actor, bool on) {
-  for (const auto& [ends, relay] : relays_) {
-    if (ends.second == actor) relay->refuse(on);
+  for (const auto& [link, relay] : relays_) {
+    if (link.second == actor) relay->refuse(on);
   }
 }
 
-// Clients that connect, say nothing, and stay until they are closed on.
+// Opens client connections that send nothing and stay open until the node closes them.
 void Fleet::open_idle_connections(const Actor& node, int count) {
-  std::vector<std::shared_ptr<asio::ip::tcp::socket>>& sockets = idle_clients_[node];
+  std::vector<std::shared_ptr<asio::ip::tcp::socket>>& sockets = idle_connections_[node];
   for (int i = 0; i < count; ++i) {
     const auto socket = std::make_shared<asio::ip::tcp::socket>(io_);
     sockets.push_back(socket);
-    socket->async_connect(relay(kClientsActor, node).where(), [socket](error_code bad) {
-      if (bad) return;
+    socket->async_connect(relay(kClientsActor, node).where(), [socket](error_code error) {
+      if (error) return;
       socket->async_wait(asio::ip::tcp::socket::wait_read, [socket](error_code) {
         error_code ignored;
         socket->close(ignored);
@@ -258,26 +258,27 @@
   if (actor.kind == ActorKind::kServer && nodes_.contains(sidecar)) stop_node(sidecar);
 }
 
-void Fleet::kill_and_restart(int replica, double down) {
+void Fleet::kill_and_restart(int replica, double down_time) {
   const Actor node{ActorKind::kNode, replica};
   clients_->lost(replica, scenario_.client_behavior.failure_detection);
   stop_node(node);
-  at(history_.now() + down, [this, node] { start_node(node); });
+  schedule_at(history_.now() + down_time, [this, node] { start_node(node); });
 }
 
-// Returns the status that discovery has to announce, if that has changed.
-std::optional<DiscoveryStandIn::Status> Fleet::change_server(const bench::Change& c, const Actor& actor) {
+// Returns the status that discovery has to announce, if it has changed.
+std::optional<DiscoveryStandIn::Status> Fleet::change_server(const bench::Change& change,
+                                                             const Actor& actor) {
   using What = bench::Change::What;
   ServerStandIn& server = *servers_.at(actor);
-  switch (c.what) {
+  switch (change.what) {
     case What::kSlow:
-      server.slow_down(c.factor);
+      server.slow_down(change.factor);
       return std::nullopt;
     case What::kFail:
-      server.fail(c.part);
+      server.fail(change.part);
       return std::nullopt;
     case What::kMute:
-      server.mute(c.part);
+      server.mute(change.part);
       return std::nullopt;
     case What::kDrain:
       return DiscoveryStandIn::Status::kDraining;
@@ -293,21 +294,21 @@
   return std::nullopt;
 }
 
-void Fleet::change(const bench::Change& c) {
-  if (options_.progress) options_.progress(history_.now(), "change of servers");
-  if (c.what == bench::Change::What::kRestart) return kill_and_restart(c.replica, c.down);
+void Fleet::apply_change(const bench::Change& change) {
+  if (options_.progress) options_.progress(history_.now(), "server change");
+  if (change.what == bench::Change::What::kRestart) return kill_and_restart(change.replica, change.down);
   const auto now_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
                           std::chrono::system_clock::now().time_since_epoch())
                           .count();
-  for (std::size_t i = c.first; i <= c.last; ++i) {
-    const Actor actor{c.backends ? ActorKind::kBackend : ActorKind::kServer, static_cast<int>(i)};
-    const std::optional<DiscoveryStandIn::Status> status = change_server(c, actor);
+  for (std::size_t i = change.first; i <= change.last; ++i) {
+    const Actor actor{change.backends ? ActorKind::kBackend : ActorKind::kServer, static_cast<int>(i)};
+    const std::optional<DiscoveryStandIn::Status> status = change_server(change, actor);
     if (!status) continue;
     const auto announce = [this, actor, status = *status, now_ms] {
       discovery_->change(actor, status, status == DiscoveryStandIn::Status::kUp ? now_ms : 0);
     };
-    if (c.notify_delay > 0) {
-      at(history_.now() + c.notify_delay, announce);
+    if (change.notify_delay > 0) {
+      schedule_at(history_.now() + change.notify_delay, announce);
     } else {
       announce();
     }
--- a/fleet_rig/run/fleet_nodes.cpp
+++ b/fleet_rig/run/fleet_nodes.cpp
@@ -1,4 +1,4 @@
-// The nodes of a fleet as processes: their configuration, start, stop, restart and limited CPU time.
+// The node processes of a fleet: configuration, start, stop, restart and limits on CPU time.
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -19,10 +19,10 @@
 
 namespace {
 
-constexpr double kStarvePeriod = 0.1;  // s; one turn of being stopped and running
-// s; from SIGTERM until the kill. PROTOCOL: no sooner than the longest deadline, 3 s at most, and 0.7 s more.
-constexpr double kLongestDeadline = 3, kKillAfter = 0.75;
-constexpr double kRouteAfterTerm = 0.3;  // s; for which clients go on using a node that was sent SIGTERM
+constexpr double kCpuLimitPeriod = 0.1;  // s; one cycle of being stopped and running
+// s; from SIGTERM until SIGKILL. PROTOCOL: no sooner than the longest deadline, at most 3 s, plus 0.7 s.
+constexpr double kLongestDeadline = 3, kKillMargin = 0.75;
+constexpr double kRoutingAfterSigterm = 0.3;  // s; clients go on using a node for so long after its SIGTERM
 
 }  // namespace
 
@@ -72,21 +72,22 @@
   if (actor.kind == ActorKind::kNode) clients_->expect(actor.number);
 }
 
-// Until a process listens its machine refuses connections; a relay would take them, and break them.
-asio::awaitable<void> Fleet::admit_when_listening(Actor actor, int life) {
-  constexpr auto kPause = std::chrono::milliseconds(2);
-  const auto where = addresses_.node(actor);
+// Before a process listens, a real machine refuses connections. A relay would accept them and then break
+// them, so it refuses them until the process listens.
+asio::awaitable<void> Fleet::admit_when_listening(Actor actor, int incarnation) {
+  constexpr auto kConnectRetryInterval = std::chrono::milliseconds(2);
+  const auto endpoint = addresses_.node(actor);
   asio::steady_timer timer(io_);
-  for (error_code bad = asio::error::connection_refused; bad;) {
-    if (nodes_.at(actor).incarnation != life || !nodes_.at(actor).should_run) co_return;
+  for (error_code error = asio::error::connection_refused; error;) {
+    if (nodes_.at(actor).incarnation != incarnation || !nodes_.at(actor).should_run) co_return;
     asio::ip::tcp::socket socket(io_);
-    co_await socket.async_connect(where, asio::redirect_error(asio::use_awaitable, bad));
-    if (!bad) break;
+    co_await socket.async_connect(endpoint, asio::redirect_error(asio::use_awaitable, error));
+    if (!error) break;
     error_code ignored;
-    timer.expires_after(kPause);
+    timer.expires_after(kConnectRetryInterval);
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
-  if (nodes_.at(actor).incarnation == life && nodes_.at(actor).should_run)
+  if (nodes_.at(actor).incarnation == incarnation && nodes_.at(actor).should_run)
     refuse_connections_to(actor, false);
 }
 
@@ -99,43 +100,43 @@
   record(Record::What::kDown, actor);
 }
 
-asio::awaitable<void> Fleet::restart(Actor actor, double down) {
+asio::awaitable<void> Fleet::restart(Actor actor, double down_time) {
   Node& node = nodes_.at(actor);
   if (!node.should_run) co_return;
-  double longest = 0;
+  double longest_deadline = 0;
   for (const bench::LoadClass& c : scenario_.classes)
-    longest = std::max(longest, std::min(c.settings.client_timeout, kLongestDeadline));
+    longest_deadline = std::max(longest_deadline, std::min(c.settings.client_timeout, kLongestDeadline));
   record(Record::What::kTerm, actor);
-  const int life = node.incarnation;
-  node.should_run = false;  // it may end by itself now
+  const int incarnation = node.incarnation;
+  node.should_run = false;  // its exit is no crash from now on
   node.machine->terminate();
-  if (actor.kind == ActorKind::kNode) clients_->lost(actor.number, kRouteAfterTerm);
-  const double until = history_.now() + longest + kKillAfter;
+  if (actor.kind == ActorKind::kNode) clients_->lost(actor.number, kRoutingAfterSigterm);
+  const double deadline = history_.now() + longest_deadline + kKillMargin;
   asio::steady_timer timer(io_);
   error_code ignored;
-  while (node.machine->running() && history_.now() < until) {
+  while (node.machine->running() && history_.now() < deadline) {
     timer.expires_after(std::chrono::milliseconds(20));
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
-  if (node.incarnation != life) co_return;  // another fault has started it meanwhile
+  if (node.incarnation != incarnation) co_return;  // another fault has restarted it meanwhile
   stop_node(actor);
-  timer.expires_at(history_.time_of(history_.now() + down));
+  timer.expires_at(history_.time_of(history_.now() + down_time));
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-  if (node.incarnation == life) start_node(actor);
+  if (node.incarnation == incarnation) start_node(actor);
 }
 
-// A share of a core: stopped and running in turn.
-asio::awaitable<void> Fleet::starve(Actor actor, double share) {
+// Limits a node to a share of a core by stopping and resuming it in turn.
+asio::awaitable<void> Fleet::limit_cpu(Actor actor, double share) {
   Node& node = nodes_.at(actor);
   asio::steady_timer timer(io_);
   error_code ignored;
-  while (node.starved) {
+  while (node.cpu_limited) {
     node.machine->pause();
-    timer.expires_at(history_.time_of(history_.now() + kStarvePeriod * (1 - share)));
+    timer.expires_at(history_.time_of(history_.now() + kCpuLimitPeriod * (1 - share)));
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     node.machine->resume();
-    if (!node.starved) break;
-    timer.expires_at(history_.time_of(history_.now() + kStarvePeriod * share));
+    if (!node.cpu_limited) break;
+    timer.expires_at(history_.time_of(history_.now() + kCpuLimitPeriod * share));
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
 }
--- a/fleet_rig/run/fleet_observation.cpp
+++ b/fleet_rig/run/fleet_observation.cpp
@@ -1,4 +1,4 @@
-// What the rig records of running nodes: crashes, usage, and what their logs say of the replica set.
+// Records crashes and resource usage of running nodes, and their views of the replica set from their logs.
 #include <sys/wait.h>
 
 #include <fstream>
@@ -19,22 +19,23 @@
     if (!scenario_.operators.empty() && actor.kind == ActorKind::kNode) read_log(actor, node);
     if (node.should_run && !node.machine->running()) record_crash(actor, node);
   }
-  if (history_.now() - last_usage_ >= kUsageInterval) record_usage();
+  if (history_.now() - last_usage_time_ >= kUsageInterval) record_usage();
   observe_timer_.expires_at(history_.time_of(history_.now() + kObserveInterval));
   observe_timer_.async_wait([this](boost::system::error_code cancelled) {
     if (!cancelled) observe_nodes();
   });
 }
 
-// How a node sees the replica set stands in its log; it is recorded with the time at which it is read.
+// Records the views of the replica set that a node has logged, with the time at which they are read.
 void Fleet::read_log(const Actor& actor, Node& node) {
   std::ifstream log(node.machine->folder() + "/log");
   if (!log.seekg(node.log_position)) return;
-  constexpr std::string_view kMark = " event=replica_set_changed ";
+  constexpr std::string_view kViewEvent = " event=replica_set_changed ";
   for (std::string line; std::getline(log, line) && !log.eof();) {
     node.log_position += static_cast<std::streamoff>(line.size()) + 1;
-    const std::size_t at = line.find(kMark);
-    if (at != std::string::npos) record(Record::What::kView, actor, line.substr(at + kMark.size()));
+    const std::size_t position = line.find(kViewEvent);
+    if (position != std::string::npos)
+      record(Record::What::kView, actor, line.substr(position + kViewEvent.size()));
   }
 }
 
@@ -50,7 +51,7 @@
 }
 
 void Fleet::record_usage() {
-  last_usage_ = history_.now();
+  last_usage_time_ = history_.now();
   for (auto& [actor, node] : nodes_) {
     if (!node.should_run) continue;
     const Machine::Usage usage = node.machine->usage();
--- a/fleet_rig/run/lateness_monitor.h
+++ b/fleet_rig/run/lateness_monitor.h
@@ -1,4 +1,4 @@
-// Measures how late the rig's own event loop runs, for checkers to allow for.
+// Measures how late the rig's own event loop runs, so that the checkers can allow for it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,7 +11,7 @@
 
 class LatenessMonitor {
  public:
-  // `reporter`: in whose name the history has it. Both references outlive it.
+  // `reporter`: the actor of the records. `io` and `history` have to outlive the monitor.
   LatenessMonitor(boost::asio::io_context& io, HistoryWriter& history, const Actor& reporter)
       : timer_(io), history_(history), reporter_(reporter) {}
 
@@ -30,12 +30,13 @@
   static constexpr double kMinRecorded = 0.02;  // s
 
   void record() {
-    const double late = std::chrono::duration<double>(HistoryWriter::Steady::now() - timer_.expiry()).count();
-    if (late < kMinRecorded) return;
+    const double lateness =
+        std::chrono::duration<double>(HistoryWriter::Steady::now() - timer_.expiry()).count();
+    if (lateness < kMinRecorded) return;
     Record r;
     r.what = Record::What::kLate;
     r.by = reporter_;
-    r.work = late;
+    r.work = lateness;
     history_.add(r);
   }
 
--- a/fleet_rig/run/main.cpp
+++ b/fleet_rig/run/main.cpp
@@ -1,7 +1,8 @@
-// thymewood_fleet: plays scenarios with a fleet of real processes and says what they show.
+// thymewood_fleet: runs scenarios with a fleet of real processes, checks their histories and prints the
+// results.
 //
-// Exit status: 0 all passed, 1 a rule broke, a checker could not see or the rig ran late, 2 it could not be
-// played.
+// Exit status: 0 all passed, 1 a rule was violated, a checker lacked its input or the rig ran late, 2 a
+// scenario could not be run.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -23,87 +24,87 @@
 using namespace thymewood;
 using namespace thymewood::fleet;
 
-struct Choice {
+struct CommandLine {
   std::vector<std::string> files;
   std::string node, against, logs = "logs/fleet", report;
   std::vector<std::uint64_t> seeds{1};
-  double times = 1, slack = 0.05;
-  bool quiet = false, alone = false, keep = false;
+  double load_factor = 1, slack = 0.05;
+  bool quiet = false, standalone = false, keep = false;
 };
 
-std::string name_of(const std::string& file) { return std::filesystem::path(file).stem().string(); }
+std::string scenario_name(const std::string& file) { return std::filesystem::path(file).stem().string(); }
 
-ScenarioRun play_one(const Choice& choice, const std::string& file, const std::string& program,
-                     const std::string& label, std::uint64_t seed) {
-  bench::Scenario scenario = bench::read_scenario(file, choice.times);
-  if (choice.alone) {
+ScenarioRun run_one(const CommandLine& command_line, const std::string& file, const std::string& program,
+                    const std::string& label, std::uint64_t seed) {
+  bench::Scenario scenario = bench::read_scenario(file, command_line.load_factor);
+  if (command_line.standalone) {
     scenario.operators.clear();
     scenario.views_within = 0;
   }
   ScenarioRunOptions options;
   options.program = program;
-  options.folder = choice.logs + "/" + name_of(file) + "-" + label + "-" + std::to_string(seed);
+  options.folder = command_line.logs + "/" + scenario_name(file) + "-" + label + "-" + std::to_string(seed);
   options.seed = seed;
-  options.slack = choice.slack;
+  options.slack = command_line.slack;
   constexpr int kMaxRuns = 3;
   options.max_runs = kMaxRuns;
-  if (!choice.quiet && ::isatty(STDERR_FILENO) != 0) {
+  if (!command_line.quiet && ::isatty(STDERR_FILENO) != 0) {
     options.progress = [&](double seconds, const std::string& what) {
-      std::fprintf(stderr, "\r%-16s %5.1f of %.0f s  %-50.50s", name_of(file).c_str(), seconds,
+      std::fprintf(stderr, "\r%-16s %5.1f of %.0f s  %-50.50s", scenario_name(file).c_str(), seconds,
                    scenario.seconds, what.c_str());
     };
   }
-  ScenarioRun day = run_scenario(scenario, options);
+  ScenarioRun result = run_scenario(scenario, options);
   if (options.progress) std::fprintf(stderr, "\r%80s\r", "");
-  return day;
+  return result;
 }
 
-int run(const Choice& choice) {
-  bool well = true;
-  print_head(stdout);
-  for (const std::string& file : choice.files) {
-    for (const std::uint64_t seed : choice.seeds) {
-      const ScenarioRun day = play_one(choice, file, choice.node, "now", seed);
-      print_row(stdout, name_of(file), "now", seed, day);
-      print_findings(stdout, day.verdict);
-      if (!choice.report.empty()) write_report(choice.report, name_of(file), day);
-      well = well && day.verdict.passed();
+int run(const CommandLine& command_line) {
+  bool passed = true;
+  print_header(stdout);
+  for (const std::string& file : command_line.files) {
+    for (const std::uint64_t seed : command_line.seeds) {
+      const ScenarioRun result = run_one(command_line, file, command_line.node, "now", seed);
+      print_row(stdout, scenario_name(file), "now", seed, result);
+      print_findings(stdout, result.verdict);
+      if (!command_line.report.empty()) write_report(command_line.report, scenario_name(file), result);
+      passed = passed && result.verdict.passed();
     }
   }
-  return well ? 0 : 1;
+  return passed ? 0 : 1;
 }
 
-// Two programs in turn, the order changing with each seed, on one machine and in one table; then the means
-// and the spread of each figure.
-int table(const Choice& choice) {
-  struct Sums {
-    std::vector<double> served, in_time, worst, tier, recovery;
-    std::size_t broken = 0;
+// Runs two programs alternately on the same machine, in an order that changes with each seed, and prints
+// their runs in one table; then the mean and the range of each figure.
+int compare(const CommandLine& command_line) {
+  struct Samples {
+    std::vector<double> served, in_time, worst_second, first_tier, recovery;
+    std::size_t violations = 0;
   };
-  std::map<std::pair<std::string, std::string>, Sums> all;
-  bool well = true;
-  print_head(stdout);
-  for (const std::string& file : choice.files) {
-    for (const std::uint64_t seed : choice.seeds) {
-      std::vector<std::pair<std::string, std::string>> programs{{"now", choice.node},
-                                                                {"then", choice.against}};
+  std::map<std::pair<std::string, std::string>, Samples> all;
+  bool passed = true;
+  print_header(stdout);
+  for (const std::string& file : command_line.files) {
+    for (const std::uint64_t seed : command_line.seeds) {
+      std::vector<std::pair<std::string, std::string>> programs{{"now", command_line.node},
+                                                                {"then", command_line.against}};
       if (seed % 2 == 0) std::swap(programs[0], programs[1]);
       for (const auto& [label, program] : programs) {
-        const ScenarioRun day = play_one(choice, file, program, label, seed);
-        print_row(stdout, name_of(file), label, seed, day);
-        print_findings(stdout, day.verdict, 1);
-        Sums& sums = all[{name_of(file), label}];
-        sums.served.push_back(100 * day.figures.served_part());
-        sums.in_time.push_back(100 * day.figures.in_time_part());
-        sums.worst.push_back(day.figures.worst_second);
-        sums.tier.push_back(day.figures.first_tier);
-        sums.recovery.push_back(day.figures.recovery);
-        sums.broken += day.verdict.broken.size();
-        if (label == "now") well = well && day.verdict.passed();
+        const ScenarioRun result = run_one(command_line, file, program, label, seed);
+        print_row(stdout, scenario_name(file), label, seed, result);
+        print_findings(stdout, result.verdict, 1);
+        Samples& samples = all[{scenario_name(file), label}];
+        samples.served.push_back(100 * result.figures.served_part());
+        samples.in_time.push_back(100 * result.figures.in_time_part());
+        samples.worst_second.push_back(result.figures.worst_second);
+        samples.first_tier.push_back(result.figures.first_tier);
+        samples.recovery.push_back(result.figures.recovery);
+        samples.violations += result.verdict.broken.size();
+        if (label == "now") passed = passed && result.verdict.passed();
       }
     }
   }
-  const auto spread = [](std::vector<double> v) {
+  const auto mean_and_range = [](std::vector<double> v) {
     std::sort(v.begin(), v.end());
     double sum = 0;
     for (const double x : v) sum += x;
@@ -113,46 +114,48 @@
     return std::string(text);
   };
   std::printf(
-      "\n| day | node | served %% | in time %% | worst second | attempts a want | recovery s | broken |\n"
+      "\n| day | node | served %% | in time %% | worst second | attempts per request | recovery s | broken "
+      "|\n"
       "| --- | --- | --- | --- | --- | --- | --- | --- |\n");
   for (const auto& [key, s] : all)
     std::printf("| %s | %s | %s | %s | %s | %s | %s | %zu |\n", key.first.c_str(), key.second.c_str(),
-                spread(s.served).c_str(), spread(s.in_time).c_str(), spread(s.worst).c_str(),
-                spread(s.tier).c_str(), spread(s.recovery).c_str(), s.broken);
-  return well ? 0 : 1;
+                mean_and_range(s.served).c_str(), mean_and_range(s.in_time).c_str(),
+                mean_and_range(s.worst_second).c_str(), mean_and_range(s.first_tier).c_str(),
+                mean_and_range(s.recovery).c_str(), s.violations);
+  return passed ? 0 : 1;
 }
 
-// Scenarios that are drawn from seeds; a failing one prints the command that plays it again.
-int soak(const Choice& choice, std::uint64_t first, std::uint64_t last) {
+// Runs scenarios generated from seeds. A failed one prints the command that reproduces it.
+int run_soak(const CommandLine& command_line, std::uint64_t first, std::uint64_t last) {
   std::vector<std::uint64_t> failed;
-  print_head(stdout);
+  print_header(stdout);
   for (std::uint64_t seed = first; seed <= last; ++seed) {
     const std::string name = "soak-" + std::to_string(seed);
-    const std::string folder = choice.logs + "/" + name;
+    const std::string folder = command_line.logs + "/" + name;
     std::filesystem::create_directories(folder);
     const std::string text = soak_scenario(seed);
     std::ofstream(folder + "/day.toml") << text;
     ScenarioRunOptions options;
-    options.program = choice.node;
+    options.program = command_line.node;
     options.folder = folder;
     options.seed = seed;
-    options.slack = choice.slack;
+    options.slack = command_line.slack;
     constexpr int kMaxRuns = 3;
     options.max_runs = kMaxRuns;
-    const ScenarioRun day = run_scenario(bench::parse_scenario(text, name), options);
-    print_row(stdout, name, "now", seed, day);
-    print_findings(stdout, day.verdict);
-    if (day.verdict.passed()) {
-      if (!choice.keep) std::filesystem::remove_all(folder);
+    const ScenarioRun result = run_scenario(bench::parse_scenario(text, name), options);
+    print_row(stdout, name, "now", seed, result);
+    print_findings(stdout, result.verdict);
+    if (result.verdict.passed()) {
+      if (!command_line.keep) std::filesystem::remove_all(folder);
       continue;
     }
     failed.push_back(seed);
-    std::printf("  again: thymewood_fleet soak --from %llu --to %llu --node %s\n",
+    std::printf("  reproduce with: thymewood_fleet soak --from %llu --to %llu --node %s\n",
                 static_cast<unsigned long long>(seed), static_cast<unsigned long long>(seed),
-                choice.node.c_str());
+                command_line.node.c_str());
   }
-  const std::uint64_t days = last - first + 1;
-  std::printf("%llu days, %zu failed\n", static_cast<unsigned long long>(days), failed.size());
+  const std::uint64_t count = last - first + 1;
+  std::printf("%llu scenarios, %zu failed\n", static_cast<unsigned long long>(count), failed.size());
   return failed.empty() ? 0 : 1;
 }
 
@@ -160,57 +163,65 @@
   const bench::Scenario scenario = bench::read_scenario(scenario_file);
   Rules rules = Rules::of(scenario);
   rules.slack = slack;
-  ScenarioRun day;
-  const History read = History::read(history);
-  day.verdict = check_history(read, rules);
-  day.figures = figures_of(read, scenario);
-  print_head(stdout);
-  print_row(stdout, name_of(scenario_file), "", 0, day);
-  print_findings(stdout, day.verdict, 20);
-  return day.verdict.passed() ? 0 : 1;
+  ScenarioRun result;
+  const History recorded = History::read(history);
+  result.verdict = check_history(recorded, rules);
+  result.figures = figures_of(recorded, scenario);
+  print_header(stdout);
+  print_row(stdout, scenario_name(scenario_file), "", 0, result);
+  print_findings(stdout, result.verdict, 20);
+  return result.verdict.passed() ? 0 : 1;
 }
 
-int start(int argc, char** argv) {
-  CLI::App app{"Plays days with a fleet of real nodes on loopback sockets, with faults between them."};
+int parse_and_run(int argc, char** argv) {
+  CLI::App app{
+      "Runs scenarios with a fleet of real nodes on loopback sockets and injects faults between them."};
   app.require_subcommand(1);
-  Choice choice;
-  const auto common = [&choice](CLI::App* to) {
-    to->add_option("files", choice.files, "scenario files")->required()->check(CLI::ExistingFile);
-    to->add_option("--node", choice.node, "the node's program")->required()->check(CLI::ExistingFile);
-    to->add_option("--seed,--seeds", choice.seeds, "one or more seeds");
-    to->add_option("--times", choice.times, "x the load of the files");
-    to->add_option("--slack", choice.slack, "s by which a time limit may be missed");
-    to->add_option("--logs", choice.logs, "where histories, configurations and logs go");
-    to->add_flag("--alone", choice.alone, "nodes get no operators' file: they do not know each other");
-    to->add_flag("--quiet", choice.quiet, "no progress");
+  CommandLine command_line;
+  const auto common = [&command_line](CLI::App* command) {
+    command->add_option("files", command_line.files, "scenario files")->required()->check(CLI::ExistingFile);
+    command->add_option("--node", command_line.node, "the node's program")
+        ->required()
+        ->check(CLI::ExistingFile);
+    command->add_option("--seed,--seeds", command_line.seeds, "one or more seeds");
+    command->add_option("--times", command_line.load_factor, "factor on the load of the files");
+    command->add_option("--slack", command_line.slack, "seconds by which a time limit may be missed");
+    command->add_option("--logs", command_line.logs, "folder for histories, configurations and logs");
+    command->add_flag("--alone", command_line.standalone, "no operators' file: the nodes run without peers");
+    command->add_flag("--quiet", command_line.quiet, "no progress");
   };
-  CLI::App* const runs = app.add_subcommand("run", "play days, and judge them");
-  common(runs);
-  runs->add_option("--report", choice.report, "a page with plots goes to this folder (needs gnuplot)");
-  CLI::App* const tables = app.add_subcommand("table", "play days with two programs in turn");
-  common(tables);
-  tables->add_option("--against", choice.against, "the other program")->required()->check(CLI::ExistingFile);
+  CLI::App* const run_command = app.add_subcommand("run", "run scenarios and check their histories");
+  common(run_command);
+  run_command->add_option("--report", command_line.report, "folder for a page with plots (needs gnuplot)");
+  CLI::App* const table_command = app.add_subcommand("table", "run scenarios with two programs alternately");
+  common(table_command);
+  table_command->add_option("--against", command_line.against, "the other program")
+      ->required()
+      ->check(CLI::ExistingFile);
   std::string history, scenario;
-  CLI::App* const check_command = app.add_subcommand("judge", "judge a history again");
+  CLI::App* const check_command = app.add_subcommand("judge", "check a recorded history again");
   check_command->add_option("history", history)->required()->check(CLI::ExistingFile);
   check_command->add_option("scenario", scenario)->required()->check(CLI::ExistingFile);
-  check_command->add_option("--slack", choice.slack, "s by which a time limit may be missed");
-  std::size_t connections = 9900;  // each takes two descriptors of the relay's
-  CLI::App* const cost = app.add_subcommand("relay-cost", "what a relay adds to a round trip");
-  cost->add_option("--connections", connections, "held open meanwhile");
+  check_command->add_option("--slack", command_line.slack, "seconds by which a time limit may be missed");
+  std::size_t connections = 9900;  // the relay uses two descriptors for each
+  CLI::App* const cost_command = app.add_subcommand("relay-cost", "what a relay adds to a round trip");
+  cost_command->add_option("--connections", connections, "connections held open during the measurement");
   std::uint64_t first = 1, last = 1;
-  CLI::App* const soaks = app.add_subcommand("soak", "play days that are drawn from seeds");
-  soaks->add_option("--from", first, "the first seed");
-  soaks->add_option("--to", last, "the last seed");
-  soaks->add_option("--node", choice.node, "the node's program")->required()->check(CLI::ExistingFile);
-  soaks->add_option("--slack", choice.slack, "s by which a time limit may be missed");
-  soaks->add_option("--logs", choice.logs, "where histories, configurations and logs of failed days go");
-  soaks->add_flag("--keep", choice.keep, "those of passed days too");
+  CLI::App* const soak_command = app.add_subcommand("soak", "run scenarios that are generated from seeds");
+  soak_command->add_option("--from", first, "the first seed");
+  soak_command->add_option("--to", last, "the last seed");
+  soak_command->add_option("--node", command_line.node, "the node's program")
+      ->required()
+      ->check(CLI::ExistingFile);
+  soak_command->add_option("--slack", command_line.slack, "seconds by which a time limit may be missed");
+  soak_command->add_option("--logs", command_line.logs,
+                           "folder for histories, configurations and logs of failed scenarios");
+  soak_command->add_flag("--keep", command_line.keep, "keep those of passed scenarios too");
   CLI11_PARSE(app, argc, argv);
-  if (soaks->parsed()) return soak(choice, first, last);
-  if (runs->parsed()) return run(choice);
-  if (tables->parsed()) return table(choice);
-  if (check_command->parsed()) return check_file(history, scenario, choice.slack);
+  if (soak_command->parsed()) return run_soak(command_line, first, last);
+  if (run_command->parsed()) return run(command_line);
+  if (table_command->parsed()) return compare(command_line);
+  if (check_command->parsed()) return check_file(history, scenario, command_line.slack);
   return print_relay_cost(connections);
 }
 
@@ -218,9 +229,9 @@
 
 int main(int argc, char** argv) {
   try {
-    return start(argc, argv);
-  } catch (const std::exception& problem) {
-    std::fprintf(stderr, "thymewood_fleet: %s\n", problem.what());
+    return parse_and_run(argc, argv);
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "thymewood_fleet: %s\n", error.what());
     return 2;
   }
 }
--- a/fleet_rig/run/node_config.h
+++ b/fleet_rig/run/node_config.h
@@ -1,4 +1,4 @@
-// The configuration of a node for a scenario, in the form that DEPLOY gives it.
+// Generates the configuration of a node for a scenario, in the format that DEPLOY specifies.
 #pragma once
 
 #include <cstdint>
@@ -15,9 +15,9 @@
   int position = 0, count = 1, tier = 0, zone = 0;
   int sockets = 1024, memory_mb = 192;
   bool can_hedge = true,
-       cancel = true;  // whether two attempts may be out together, and one be called off
-  std::string known;   // the list that it starts with, in discovery's form; empty: none
-  // Between nodes: none where it is empty.
+       cancel = true;  // whether a request may have two attempts in flight, and an attempt be cancelled
+  std::string known;   // the initial endpoint list, in discovery's format; empty: none
+  // Gossip addresses; the node has no peers if they are empty.
   std::string peer_listen, peers_all;
   std::vector<std::string> peers;
 };
--- a/fleet_rig/run/relay_cost.h
+++ b/fleet_rig/run/relay_cost.h
@@ -1,5 +1,5 @@
-// What a relay adds to a round trip on loopback: one byte there and back on one connection, straight and
-// through a relay in turn, while others are open on the relay.
+// Measures what a relay adds to a round trip on loopback: one byte there and back on one connection,
+// alternately direct and through a relay, while other connections are open on the relay.
 #pragma once
 
 #include <cstddef>
@@ -7,8 +7,8 @@
 namespace thymewood::fleet {
 
 struct RelayCost {
-  double direct_p50 = 0, direct_p99 = 0, relayed_p50 = 0, relayed_p99 = 0;  // s, there and back
-  std::size_t held = 0;                                                     // connections open meanwhile
+  double direct_p50 = 0, direct_p99 = 0, relayed_p50 = 0, relayed_p99 = 0;  // s, round trip
+  std::size_t held = 0;  // connections open during the measurement
 };
 
 RelayCost measure_relay_cost(std::size_t connections, int rounds);
--- a/fleet_rig/run/scenario_run.h
+++ b/fleet_rig/run/scenario_run.h
@@ -1,4 +1,4 @@
-// One run with its verdict and figures, and how they are printed.
+// Runs a scenario, checks its history and prints the verdict and the figures.
 #pragma once
 
 #include <cstdio>
@@ -15,27 +15,28 @@
   std::string program, folder;
   std::uint64_t seed = 1;
   double slack = 0.05;  // s; see Rules
-  int max_runs = 1;     // a run on which the rig itself ran late is played again, so many times in all
+  int max_runs = 1;     // in total: a run in which the rig itself ran late is repeated
   std::function<void(double, const std::string&)> progress;
 };
 
 struct ScenarioRun {
   Verdict verdict;
   Figures figures;
-  std::string history;  // the file
+  std::string history;  // path of the file
 };
 
-// Throws std::runtime_error when it can't be played.
+// Throws std::runtime_error if the scenario cannot be run.
 ScenarioRun run_scenario(const bench::Scenario& scenario, const ScenarioRunOptions& options);
 
-void print_head(std::FILE* to);
-void print_row(std::FILE* to, const std::string& day, const std::string& node, std::uint64_t seed,
+void print_header(std::FILE* to);
+void print_row(std::FILE* to, const std::string& scenario, const std::string& node, std::uint64_t seed,
                const ScenarioRun& result);
-// What broke, what could not be seen: a line each, at most so many of a kind.
-void print_findings(std::FILE* to, const Verdict& verdict, std::size_t most = 3);
+// One line for each rule violation and for each checker that lacked its input, at most `max_per_rule` of a
+// kind.
+void print_findings(std::FILE* to, const Verdict& verdict, std::size_t max_per_rule = 3);
 
-// A page with plots over time, by gnuplot: served, refused and failed; attempts at each tier; connections.
-// Faults are shaded. Throws std::runtime_error when gnuplot does not run.
-void write_report(const std::string& folder, const std::string& day, const ScenarioRun& result);
+// Writes a page with gnuplot plots over time: served, rejected and failed requests, attempts at each tier,
+// and connections. Faults are shaded. Throws std::runtime_error if gnuplot fails.
+void write_report(const std::string& folder, const std::string& scenario, const ScenarioRun& result);
 
 }  // namespace thymewood::fleet
