--- a/node/clock.h
+++ b/node/clock.h
@@ -1,5 +1,5 @@
-// The clock of a node: seconds on the steady clock since the node started. The wall clock is read only for
-// the start times of servers, which discovery gives as Unix time (start_times.h).
+// The node's clock: seconds of the steady clock since the node started. The wall clock is read only to
+// convert the start times of servers, which discovery reports as Unix time (start_times.h).
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
--- a/node/config.cpp
+++ b/node/config.cpp
@@ -22,10 +22,10 @@
 constexpr double kDefaultConnectTimeout = 0.25;  // s
 constexpr double kDefaultServerIdleTimeout = 5;  // s
 constexpr double kMaxTimeout = 1e6;              // s
-constexpr std::size_t kMaxPeers = 60000;         // a replica number has 16 bits
-constexpr double kMaxNotificationDelay = 6;      // s; what discovery has counts as notified after this time
-constexpr double kMaxSchedulingDelay = 0.2;      // s; of a process that waits for its core
-constexpr double kMinEndpointLease = 0.25;       // s
+constexpr std::size_t kMaxPeers = 60000;         // a node id has 16 bits
+constexpr double kMaxNotificationDelay = 6;  // s; a change at discovery counts as notified after this time
+constexpr double kMaxSchedulingDelay = 0.2;  // s; for a process that is waiting for CPU time
+constexpr double kMinEndpointLease = 0.25;   // s
 
 rapidjson::Document parse_file(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
@@ -45,8 +45,9 @@
 std::uint64_t read_seed(const json::Value& in) {
   const std::string_view digits = json::text(in, "seed");
   std::uint64_t seed = 0;
-  const auto [end, problem] = std::from_chars(digits.data(), digits.data() + digits.size(), seed, 16);
-  if (problem != std::errc() || end != digits.data() + digits.size()) {
+  const auto [end, conversion_error] =
+      std::from_chars(digits.data(), digits.data() + digits.size(), seed, 16);
+  if (conversion_error != std::errc() || end != digits.data() + digits.size()) {
     json::wrong("seed", "a hexadecimal number");
   }
   return seed;
@@ -63,8 +64,8 @@
   return {address.address(), address.port()};
 }
 
-double read_timeout(const json::Value& in, const char* field, double otherwise) {
-  const double seconds = json::number_or(in, field, otherwise);
+double read_timeout(const json::Value& in, const char* field, double default_seconds) {
+  const double seconds = json::number_or(in, field, default_seconds);
   if (!(seconds > 0 && seconds < kMaxTimeout)) json::wrong(field, "a number above 0");
   return seconds;
 }
@@ -81,7 +82,7 @@
   config.memory_bytes = static_cast<std::size_t>(memory_mib) * kBytesPerMib;
 }
 
-std::vector<std::string> names_of(const json::Value& list) {
+std::vector<std::string> read_names(const json::Value& list) {
   std::vector<std::string> names;
   for (const json::Value& item : list.GetArray()) names.emplace_back(json::text(item, "name"));
   return names;
@@ -97,13 +98,14 @@
   return zones;
 }
 
-// What discovery has counts as notified after the poll interval, where that is shorter. The lease is shorter
-// still by what may pass between the choice of an endpoint and the first byte to it.
+// A change at discovery counts as notified after the poll interval if that is shorter than the maximum
+// notification delay. The lease is reduced further by the longest time that can pass between selecting an
+// endpoint and sending it the first byte.
 double endpoint_lease_of(const Settings& settings, double connect_timeout) {
-  const double notified = settings.uses_watch && settings.poll_interval > 0
-                              ? std::min(kMaxNotificationDelay, settings.poll_interval)
-                              : kMaxNotificationDelay;
-  return std::max(kMinEndpointLease, notified - connect_timeout - kMaxSchedulingDelay);
+  const double notification_delay = settings.uses_watch && settings.poll_interval > 0
+                                        ? std::min(kMaxNotificationDelay, settings.poll_interval)
+                                        : kMaxNotificationDelay;
+  return std::max(kMinEndpointLease, notification_delay - connect_timeout - kMaxSchedulingDelay);
 }
 
 void read_bounds(const json::Value& bounds, Config& config) {
@@ -118,14 +120,15 @@
 void read_settings_section(const json::Value& in, Config& config) {
   const json::Value& settings = json::need(in, "settings");
   config.settings = json::read_settings(settings);
-  config.class_names = names_of(json::array(settings, "categories"));
+  config.class_names = read_names(json::array(settings, "categories"));
   if (json::find(settings, "realms") != nullptr)
-    config.tenant_names = names_of(json::array(settings, "realms"));
+    config.tenant_names = read_names(json::array(settings, "realms"));
   config.zones = read_zones(settings);
   read_bounds(json::need(settings, "bounds"), config);
 }
 
-// Messages between replicas need the platform's permission, an address to listen at, and those of the peers.
+// Messages between replicas require the platform's permission, a listen address and the addresses of the
+// peers.
 std::optional<PeerAddresses> read_peers(const json::Value& in, const Settings& settings) {
   const json::Value* const permitted = json::find(json::need(json::need(in, "settings"), "bounds"), "peers");
   if (permitted == nullptr || !permitted->IsBool() || !permitted->GetBool()) return std::nullopt;
@@ -149,8 +152,8 @@
   if (known == nullptr) return;
   try {
     config.known_endpoints = read_endpoint_list(*known, config.zones, clock.reading(), config.start_times);
-  } catch (const std::exception& problem) {
-    throw std::runtime_error(std::string("known: ") + problem.what());
+  } catch (const std::exception& error) {
+    throw std::runtime_error(std::string("known: ") + error.what());
   }
 }
 
@@ -180,8 +183,8 @@
     config.peers = read_peers(in, config.settings);
     key = "known";
     read_known_endpoints(in, clock, config);
-  } catch (const std::exception& problem) {
-    throw ConfigError(path, key, problem.what());
+  } catch (const std::exception& error) {
+    throw ConfigError(path, key, error.what());
   }
   return config;
 }
--- a/node/config.h
+++ b/node/config.h
@@ -1,4 +1,4 @@
-// The configuration file of a node, which RELAY_CONFIG names.
+// The node's configuration file. The environment variable RELAY_CONFIG holds its path.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -21,23 +21,23 @@
   std::string name;
   boost::asio::ip::tcp::endpoint listen_address, discovery_address;
   std::uint64_t seed = 0;
-  std::size_t memory_bytes = 0;          // that the process may use
-  std::size_t max_descriptors = 0;       // that the process may have open
-  std::size_t max_pending_requests = 0;  // that the balancer may be given at once
+  std::size_t memory_bytes = 0;          // memory limit of the process
+  std::size_t max_descriptors = 0;       // limit on open file descriptors
+  std::size_t max_pending_requests = 0;  // limit on requests that the balancer handles concurrently
   double connect_timeout = 0;            // s
-  double server_idle_timeout = 0;        // s; a server may close a connection that was idle for so long
+  double server_idle_timeout = 0;  // s; a server may close a connection that has been idle for this long
   Settings settings;
-  std::vector<std::string> class_names, tenant_names;  // in the order of the settings
+  std::vector<std::string> class_names, tenant_names;  // in the order of `settings`
   ZoneNames zones;
-  EndpointList known_endpoints;        // from before the start
-  StartTimes start_times;              // of those
-  std::optional<PeerAddresses> peers;  // where the platform permits messages between replicas
+  EndpointList known_endpoints;        // endpoint list known before startup
+  StartTimes start_times;              // of `known_endpoints`
+  std::optional<PeerAddresses> peers;  // set if the platform permits messages between replicas
 };
 
-// A configuration that cannot be used. what() is one line that names the field.
+// The configuration is invalid. what() is a single line that names the field.
 class ConfigError : public std::runtime_error {
  public:
-  // `key`: of the file's top level; empty where the file as a whole cannot be read.
+  // `key` is the top-level key that holds the error; empty if the file cannot be read or parsed.
   ConfigError(std::string file, std::string key, std::string reason);
   const std::string& file() const { return file_; }
   const std::string& key() const { return key_; }
--- a/node/discovery_connection.cpp
+++ b/node/discovery_connection.cpp
@@ -79,7 +79,7 @@
   restart_timer(owner_->silence_timeout(false));
   http::async_write(socket_, request_, [self = shared_from_this()](error_code error, std::size_t) {
     if (error) return self->end(WatchEndReason::kWriteFailed, error);
-    self->requested_at_ = Clock::Steady::now();
+    self->request_sent_at_ = Clock::Steady::now();
     self->await_data();
   });
 }
@@ -100,17 +100,17 @@
   close();
   if (owner == nullptr) return;
   {
-    LogEvent line = log_info("watch_ended");
-    line.with("reason", name_of(reason))
+    LogEvent event = log_info("watch_ended");
+    event.with("reason", name_of(reason))
         .with("age", seconds_since(started_at_))
         .with("answered", has_response_);
-    if (error) line.with("error", error.message());
+    if (error) event.with("error", error.message());
   }
   WatchFailure failure;
   failure.was_open = has_response_;
-  // A connection that was never established has waited in no queue of discovery's.
-  if (is_requested_ && !has_response_) failure.waited = seconds_since(requested_at_);
-  owner->on_ended(*this, {reason, error, failure, heard_at_});
+  // A connection that was never established has not waited in discovery's queue.
+  if (is_request_sent_ && !has_response_) failure.waited = seconds_since(request_sent_at_);
+  owner->on_ended(*this, {reason, error, failure, last_received_at_});
 }
 
 void DiscoveryConnection::restart_timer(double seconds) {
@@ -122,14 +122,15 @@
 
 void DiscoveryConnection::on_timer() {
   if (Clock::Steady::now() < timer_.expiry() || owner_ == nullptr) return;
-  // After a pause of the process the timer expires before the data that came meanwhile has been read.
+  // After the process was paused, the timer handler can run before the data that arrived during the pause is
+  // read.
   if (!read_available() || Clock::Steady::now() < timer_.expiry()) return;
-  if (objects_.pending()) owner_->on_unreadable("discovery: an object without its end");
-  end(is_requested_ ? WatchEndReason::kSilent : WatchEndReason::kConnectTimedOut);
+  if (objects_.has_incomplete_object()) owner_->on_malformed_list("discovery: incomplete JSON object");
+  end(is_request_sent_ ? WatchEndReason::kSilent : WatchEndReason::kConnectTimedOut);
 }
 
 void DiscoveryConnection::await_data() {
-  is_requested_ = true;
+  is_request_sent_ = true;
   socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
     if (self->owner_ == nullptr) return;
     if (error) return self->end(WatchEndReason::kWaitFailed, error);
@@ -139,13 +140,13 @@
 
 bool DiscoveryConnection::read_available() {
   if (std::exchange(is_reading_, true)) return true;
-  const bool is_open = read_until_empty();
+  const bool is_open = read_until_would_block();
   is_reading_ = false;
   return is_open;
 }
 
-bool DiscoveryConnection::read_until_empty() {
-  while (is_requested_ && owner_ != nullptr) {
+bool DiscoveryConnection::read_until_would_block() {
+  while (is_request_sent_ && owner_ != nullptr) {
     const asio::mutable_buffer space = buffer_.prepare(kReadBytes);
     const ssize_t received = ::recv(socket_.native_handle(), space.data(), space.size(), MSG_DONTWAIT);
     if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return true;
@@ -163,18 +164,18 @@
   return owner_ != nullptr;
 }
 
-// False: the connection has ended or was abandoned.
+// Returns false if the connection has ended or was abandoned.
 bool DiscoveryConnection::parse_received() {
   error_code error;
   while (buffer_.size() > 0 && !error && !parser_.is_done()) {
-    const std::size_t used = parser_.put(buffer_.data(), error);
-    buffer_.consume(used);
+    const std::size_t consumed = parser_.put(buffer_.data(), error);
+    buffer_.consume(consumed);
     if (parser_.is_header_done()) {
-      if (!check_head()) return false;
-      take_body();
+      if (!check_response_header()) return false;
+      process_body();
       if (owner_ == nullptr) return false;
     }
-    if (used == 0) break;
+    if (consumed == 0) break;
   }
   if (error == http::error::need_more) error = {};
   if (!error && !parser_.is_done()) return true;
@@ -182,7 +183,7 @@
   return false;
 }
 
-bool DiscoveryConnection::check_head() {
+bool DiscoveryConnection::check_response_header() {
   const http::status status = parser_.get().result();
   if (status != http::status::ok) {
     end(status == http::status::service_unavailable ? WatchEndReason::kServiceUnavailable
@@ -196,26 +197,28 @@
   return true;
 }
 
-// Objects may be split and joined in any way by the chunks of the body.
-void DiscoveryConnection::take_body() {
+// Chunk boundaries are independent of object boundaries: a chunk can hold part of an object or several
+// objects.
+void DiscoveryConnection::process_body() {
   std::string& body = parser_.get().body();
   if (body.empty()) return;
   const std::string bytes = std::exchange(body, {});
-  owner_->on_data(heard_at_);
-  heard_at_ = clock_.now();
-  // Blank lines behind an incomplete object do not keep the connection: that object will not be completed.
-  if (!objects_.pending() || bytes.find_first_not_of(" \t\r\n") != std::string::npos)
+  owner_->on_data_received(last_received_at_);
+  last_received_at_ = clock_.now();
+  // Blank lines after an incomplete object do not extend the silence timeout: the object will not be
+  // completed.
+  if (!objects_.has_incomplete_object() || bytes.find_first_not_of(" \t\r\n") != std::string::npos)
     restart_timer(owner_->silence_timeout(true));
   const bool is_valid = objects_.feed(bytes, [this](std::string_view object) {
     owner_->on_object(*this, object);
-    return owner_ != nullptr;  // null: the object was unreadable, or another connection has taken over
+    return owner_ != nullptr;  // null: the object was malformed, or the connection was replaced
   });
   if (owner_ == nullptr) return;
   if (!is_valid) {
-    owner_->on_unreadable("discovery: neither an object nor white space, or an object over 4 MiB");
+    owner_->on_malformed_list("discovery: expected a JSON object or white space, or object exceeds 4 MiB");
     return end(WatchEndReason::kMalformedList);
   }
-  if (!objects_.pending()) owner_->on_caught_up();
+  if (!objects_.has_incomplete_object()) owner_->on_all_objects_complete();
 }
 
 }  // namespace thymewood::node
--- a/node/discovery_watch.cpp
+++ b/node/discovery_watch.cpp
@@ -11,17 +11,17 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-// What a watch misses counts as notified 6 s after it fell silent. By then the next connection has to have a
-// response and, where that one is accepted and stays silent, the one after it: the first two timeouts add up
-// to 6 s.
+// A change that a watch misses counts as notified 6 s after the watch became silent. Within that time the
+// next connection must have a response or, if it is accepted but stays silent, must already be replaced by
+// another one: the first two timeouts add up to 6 s.
 constexpr double kSilenceTimeout =
-    2.9;  // s; a blank line comes every 2 s: one that is missed, and some delay
-constexpr double kResponseTimeout = 3.1;  // s; discovery queues a call for 3 s at most
-// Silent connections in a row that are replaced this early. Where blank lines come late for all replicas,
-// more calls would keep discovery busy and the lines late.
+    2.9;  // s; discovery sends a blank line every 2 s; the rest allows for some delay
+constexpr double kResponseTimeout = 3.1;  // s; discovery queues a request for at most 3 s
+// Number of consecutive silent connections that are replaced after the short timeouts above. If blank lines
+// are late for all replicas, further requests would add load to discovery and delay the lines even more.
 constexpr int kMaxEarlyReplacements = 2;
-constexpr double kLateSilenceTimeout = 4.5;  // s; after those
-constexpr double kStableConnectionAge = 10;  // s; a connection that lasted so long ends the row
+constexpr double kExtendedSilenceTimeout = 4.5;  // s; once the early replacements are used up
+constexpr double kStableConnectionAge = 10;      // s; a connection that lasted this long resets the count
 
 }  // namespace
 
@@ -37,8 +37,8 @@
   if (connection_) connection_->abandon();
 }
 
-// A timer for a new watch may have been set before discovery moved. A second call would cost a place in
-// discovery's queue, and the first call's response with it.
+// A reconnect timer set before discovery moved can fire while a connection is already open. A second request
+// would take another slot in discovery's queue and discard the response to the first.
 void DiscoveryWatch::watch() {
   if (!connection_) open();
 }
@@ -48,33 +48,33 @@
 }
 
 void DiscoveryWatch::recover() {
-  if (connection_) become_stale(connection_->heard_at());
+  if (connection_) mark_stale(connection_->last_received_at());
   open();
 }
 
 void DiscoveryWatch::open() {
   if (connection_) connection_->abandon();
   connection_ = std::make_shared<DiscoveryConnection>(io_, clock_, static_cast<Owner&>(*this));
-  opened_at_ = clock_.now();
-  if (LogEvent line = log_info("watch_started"); version_) line.with("index", *version_);
+  connection_opened_at_ = clock_.now();
+  if (LogEvent event = log_info("watch_started"); version_) event.with("index", *version_);
   connection_->start(address_, version_);
 }
 
 void DiscoveryWatch::move_to(const tcp::endpoint& address) {
   if (address == address_ && connection_) return;
-  // What the old address has sent counts, read or not.
+  // Process data that the old address has already sent.
   refresh();
-  if (connection_) become_stale(connection_->heard_at());
+  if (connection_) mark_stale(connection_->last_received_at());
   address_ = address;
-  // The two addresses may count versions differently, so the complete list is requested.
+  // The versions of the two addresses may be unrelated, so request the full list.
   version_.reset();
-  silent_connections_ = 0;
+  consecutive_silent_connections_ = 0;
   listener_->on_discovery_moved();
   open();
 }
 
 double DiscoveryWatch::silence_timeout(bool has_response) const {
-  if (silent_connections_ >= kMaxEarlyReplacements) return kLateSilenceTimeout;
+  if (consecutive_silent_connections_ >= kMaxEarlyReplacements) return kExtendedSilenceTimeout;
   return has_response ? kSilenceTimeout : kResponseTimeout;
 }
 
@@ -82,44 +82,45 @@
   start_times_.set_discovery_time(clock_.reading(), parse_http_date(date));
 }
 
-// What comes now has changed since the previous data.
-void DiscoveryWatch::on_data(double previous) {
-  if (is_current_) start_times_.set_list_current_until(previous);
+// Changes received now were made after the previous data was received.
+void DiscoveryWatch::on_data_received(double previous_data_at) {
+  if (is_current_) start_times_.set_list_current_until(previous_data_at);
 }
 
-// Anything that discovery sends, a blank line too, shows that it is there: there may be no change to send.
-void DiscoveryWatch::on_caught_up() {
+// Any data from discovery shows that it is responsive, including a blank line: there may be no change to
+// send.
+void DiscoveryWatch::on_all_objects_complete() {
   if (std::exchange(is_current_, true)) return;
   log_info("list_current");
   listener_->on_list_current();
 }
 
-void DiscoveryWatch::become_stale(double heard_at) {
+void DiscoveryWatch::mark_stale(double last_received_at) {
   if (!std::exchange(is_current_, false)) return;
-  log_info("list_stale").with("for", clock_.now() - heard_at);
-  start_times_.set_list_current_until(heard_at);
-  listener_->on_list_stale(heard_at);
+  log_info("list_stale").with("for", clock_.now() - last_received_at);
+  start_times_.set_list_current_until(last_received_at);
+  listener_->on_list_stale(last_received_at);
 }
 
-void DiscoveryWatch::on_object(DiscoveryConnection& from, std::string_view object) {
+void DiscoveryWatch::on_object(DiscoveryConnection& connection, std::string_view object) {
   EndpointList update;
   try {
     rapidjson::Document in;
     in.Parse<rapidjson::kParseIterativeFlag>(object.data(), object.size());
     if (in.HasParseError()) throw std::runtime_error("not valid JSON");
     update = read_endpoint_list(in, zones_, clock_.reading(), start_times_);
-  } catch (const std::exception& problem) {
-    // The last list stays. This change is missed, so the next watch starts from before it.
-    on_unreadable(std::string("discovery: ") + problem.what());
-    return from.end(WatchEndReason::kMalformedList);
+  } catch (const std::exception& error) {
+    // Keep the last list. Its version is unchanged, so the next watch requests this change again.
+    on_malformed_list(std::string("discovery: ") + error.what());
+    return connection.end(WatchEndReason::kMalformedList);
   }
-  if (update.problem.empty()) {
-    has_warned_ = false;
+  if (update.first_error.empty()) {
+    is_malformed_list_logged_ = false;
   } else {
-    on_unreadable("discovery: " + update.problem);
+    on_malformed_list("discovery: " + update.first_error);
   }
-  // An older change would undo a later one, such as a drain. A complete list counts whatever its version:
-  // discovery may have started to count anew.
+  // An older delta would revert a newer one, such as a drain. A full list is accepted with any version,
+  // because discovery may have restarted its version numbers.
   if (!update.is_full && version_ && update.version < *version_) return;
   version_ = update.version;
   log_info("list_received")
@@ -129,19 +130,20 @@
   listener_->on_endpoints(update);
 }
 
-void DiscoveryWatch::on_ended(DiscoveryConnection& from, const WatchEnd& end) {
-  if (connection_.get() != &from) return;
+void DiscoveryWatch::on_ended(DiscoveryConnection& connection, const WatchEnd& end) {
+  if (connection_.get() != &connection) return;
   const std::shared_ptr<DiscoveryConnection> ended = std::exchange(connection_, nullptr);
-  become_stale(end.heard_at);
-  if (clock_.now() - opened_at_ >= kStableConnectionAge) silent_connections_ = 0;
-  // A backoff would add to the time that the silence has taken already, and replicas notice the silence at
+  mark_stale(end.last_received_at);
+  if (clock_.now() - connection_opened_at_ >= kStableConnectionAge) consecutive_silent_connections_ = 0;
+  // Reconnects without a backoff: the silence timeout has already passed, and replicas detect the silence at
   // different times anyway.
-  if (end.reason == WatchEndReason::kSilent && silent_connections_++ < kMaxEarlyReplacements) return open();
+  if (end.reason == WatchEndReason::kSilent && consecutive_silent_connections_++ < kMaxEarlyReplacements)
+    return open();
   listener_->on_watch_failed(end.failure);
 }
 
-void DiscoveryWatch::on_unreadable(const std::string& problem) {
-  if (!std::exchange(has_warned_, true)) log_warning("list_unreadable").with("problem", problem);
+void DiscoveryWatch::on_malformed_list(const std::string& error) {
+  if (!std::exchange(is_malformed_list_logged_, true)) log_warning("list_unreadable").with("problem", error);
 }
 
 }  // namespace thymewood::node
--- a/node/discovery_watch.h
+++ b/node/discovery_watch.h
@@ -1,5 +1,5 @@
-// Follows the endpoint list of discovery: which version is current, whether the list is stale, and when a
-// silent connection is replaced.
+// Watches discovery's endpoint list: tracks the version of the list and whether the list is stale, and
+// replaces silent connections.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,37 +18,38 @@
 
 namespace thymewood::node {
 
-// Replaces a connection that has fallen silent. When to call again after any other failure is the listener's
-// decision.
+// Reconnects by itself only after a connection has become silent. After any other failure the listener
+// decides when to reconnect.
 class DiscoveryWatch : public EndpointWatch, private DiscoveryConnection::Owner {
  public:
   DiscoveryWatch(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address, ZoneNames zones,
                  const Clock& clock, StartTimes start_times);
   ~DiscoveryWatch() override;
 
-  // Has to be called before the first watch(); the listener outlives the last run of the event loop.
+  // Must be called before the first watch(). The listener must outlive the last run of the event loop.
   void set_listener(EndpointListener& listener) { listener_ = &listener; }
-  // The version of the list that is known from before; without one the complete list is requested.
-  void set_version(std::uint64_t version) { version_ = version; }
+  // Sets the version of the list that was known before startup. Without a version the full list is requested.
+  void set_known_version(std::uint64_t version) { version_ = version; }
 
   void watch() override;
   void refresh() override;
-  // Continues the watch at the new address, with the complete list.
+  // Moves the watch to a new address and requests the full list there.
   void move_to(const boost::asio::ip::tcp::endpoint& address);
-  // Reopens the watch after an exception in a handler, which may have been the watch's own.
+  // Reopens the watch after an exception escaped from an event handler, which may have been one of the
+  // watch's.
   void recover();
 
  private:
   double silence_timeout(bool has_response) const override;
   void on_response_started(std::string_view date) override;
-  void on_data(double previous) override;
-  void on_object(DiscoveryConnection& from, std::string_view object) override;
-  void on_caught_up() override;
-  void on_unreadable(const std::string& problem) override;
-  void on_ended(DiscoveryConnection& from, const WatchEnd& end) override;
+  void on_data_received(double previous_data_at) override;
+  void on_object(DiscoveryConnection& connection, std::string_view object) override;
+  void on_all_objects_complete() override;
+  void on_malformed_list(const std::string& error) override;
+  void on_ended(DiscoveryConnection& connection, const WatchEnd& end) override;
 
   void open();
-  void become_stale(double heard_at);
+  void mark_stale(double last_received_at);
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint address_;
@@ -56,12 +57,12 @@
   const Clock& clock_;
   StartTimes start_times_;
   EndpointListener* listener_ = nullptr;
-  std::optional<std::uint64_t> version_;  // of the last list
+  std::optional<std::uint64_t> version_;  // of the last received list
   std::shared_ptr<DiscoveryConnection> connection_;
   bool is_current_ = false;
-  int silent_connections_ = 0;  // in a row
-  double opened_at_ = 0;        // s on the clock; when the connection was
-  bool has_warned_ = false;     // of an unreadable list
+  int consecutive_silent_connections_ = 0;  // without a stable connection in between
+  double connection_opened_at_ = 0;         // s on the node's clock
+  bool is_malformed_list_logged_ = false;   // since the last valid list
 };
 
 }  // namespace thymewood::node
--- a/node/dispatcher.cpp
+++ b/node/dispatcher.cpp
@@ -17,14 +17,15 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-// s. An older list is refreshed before the next send: after a pause of the process a drain may have been sent
-// but not read. Settings may allow no time for a notification, and the protocol adds 50 ms.
+// In seconds. An older list is refreshed before an attempt is sent: after the process was paused, a drain
+// notification may have arrived but not been read. Settings may allow no notification delay at all, and the
+// protocol adds a tolerance of 50 ms.
 constexpr double kMaxListAge = 0.02;
-// s; mean backoff of a broken watch where lists are pushed. The local agent's list counts as notified whether
-// or not a watch is open, and the agent responds at once.
+// In seconds; mean reconnect backoff after a failed watch if lists are pushed. The local agent's list counts
+// as notified whether or not a watch is open, and the agent responds immediately.
 constexpr double kPushReconnectBackoff = 0.05;
-// s; for the agent's first list, which counts as notified from the start. The agent responds at once, unless
-// discovery is down, and then there is no newer list than the known one.
+// In seconds; timeout for the local agent's first list, which counts as notified from startup. The agent
+// responds immediately unless discovery is down, in which case no list newer than the known one exists.
 constexpr double kFirstListTimeout = 1.0;
 
 }  // namespace
@@ -39,7 +40,7 @@
       requests_(io, clock, upstream, [this](const std::string& id) { on_deadline(id); }),
       uses_watch_(settings.uses_watch),
       max_pending_requests_(max_pending_requests),
-      busy_retry_after_(settings.max_retry_after / 2),
+      default_retry_after_(settings.max_retry_after / 2),
       jitter_(static_cast<std::minstd_rand::result_type>(seed)) {
   for (const RequestClass& request_class : settings.classes)
     idempotency_by_class_.push_back(request_class.idempotency);
@@ -49,11 +50,12 @@
   return ready_servers_ > 0 && !is_awaiting_first_list_ && !(isolation_ && isolation_->is_isolated());
 }
 
-// ---------------------------------------------------------------- start
+// ---------------------------------------------------------------- startup
 
 void Dispatcher::start(const EndpointList& known) {
   if (!known.endpoints.empty()) on_endpoints(known);
-  // A change that discovery has from now on counts as notified no sooner than one that an open watch missed.
+  // No watch is open yet: a change at discovery from now on counts as notified no earlier than one missed by
+  // a watch that fails now.
   on_list_stale(clock_.now());
   post_event(Started{});
   if (uses_watch_) return;
@@ -65,13 +67,13 @@
   endpoint_watch_.watch();
 }
 
-// The first list has come, or is not waited for any longer.
+// The first list has arrived or its timeout has expired.
 void Dispatcher::on_first_list() {
   if (!std::exchange(is_awaiting_first_list_, false)) return;
   for (Request& event : std::exchange(deferred_requests_, {})) {
     const PendingRequest* const request = requests_.find_unanswered(event.id);
     if (request == nullptr) continue;
-    event.time_left = std::max(0.0, request->attempts_end - clock_.now());
+    event.time_left = std::max(0.0, request->attempts_deadline - clock_.now());
     post_event(std::move(event));
   }
   for (const std::function<void()>& callback : std::exchange(first_list_callbacks_, {})) callback();
@@ -81,24 +83,25 @@
 
 void Dispatcher::submit(Request event, std::shared_ptr<const HttpRequest> message, ResponseHandler handler) {
   const double now = clock_.now();
-  event.time_left = std::min(event.time_left, latest_response_ - now);
+  event.time_left = std::min(event.time_left, max_deadline_ - now);
   if (event.time_left <= 0 || requests_.size() >= max_pending_requests_ ||
       (isolation_ && isolation_->should_reject(now))) {
-    return handler.on_response({FinalResponse::Kind::kRejected, busy_retry_after_, {}});
+    return handler.on_response({FinalResponse::Kind::kRejected, default_retry_after_, {}});
   }
   PendingRequest& request =
       requests_.add(event.id, std::move(message), std::move(handler), now, event.time_left);
-  request.can_repeat = event.request_class < idempotency_by_class_.size() &&
-                       idempotency_by_class_[event.request_class] != Idempotency::kNotIdempotent;
-  // Deferred here and not in the listen queue, a request is still answered before its client's timeout.
+  request.is_retryable = event.request_class < idempotency_by_class_.size() &&
+                         idempotency_by_class_[event.request_class] != Idempotency::kNotIdempotent;
+  // Deferring the request here rather than in the listen backlog ensures that it is answered before its
+  // client's timeout.
   if (is_awaiting_first_list_) return deferred_requests_.push_back(std::move(event));
-  event.time_left = std::max(0.0, request.attempts_end - now);
+  event.time_left = std::max(0.0, request.attempts_deadline - now);
   post_event(std::move(event));
 }
 
-void Dispatcher::limit_deadlines(double latest) {
-  latest_response_ = latest;
-  requests_.limit_deadlines(latest);
+void Dispatcher::limit_deadlines(double max_deadline) {
+  max_deadline_ = max_deadline;
+  requests_.limit_deadlines(max_deadline);
 }
 
 void Dispatcher::on_client_disconnected(const std::string& id) {
@@ -106,28 +109,28 @@
   if (request == nullptr) return;
   requests_.abandon(*request);
   post_event(RequestAbandoned{id});
-  requests_.remove_if_settled(id);
+  requests_.remove_if_complete(id);
 }
 
-// The balancer has kept the request for too long, or its timers come late. An attempt that may not be
-// cancelled ends by its own timeout.
+// The balancer did not complete the request in time, or its timers fired late. Attempts that may not be
+// cancelled end at their own timeouts.
 void Dispatcher::on_deadline(const std::string& id) {
   PendingRequest* const request = requests_.find_unanswered(id);
   if (request == nullptr) return;
   log_info("request_overdue").with("id", id);
   const bool was_sent = !request->attempts.empty();
   requests_.respond(*request, {was_sent ? FinalResponse::Kind::kFailed : FinalResponse::Kind::kRejected,
-                               was_sent ? 0 : busy_retry_after_,
+                               was_sent ? 0 : default_retry_after_,
                                {}});
   requests_.withdraw_attempts(*request);
   post_event(RequestAbandoned{id});
-  requests_.remove_if_settled(id);
+  requests_.remove_if_complete(id);
 }
 
 // ---------------------------------------------------------------- endpoints and replicas
 
 void Dispatcher::set_ready(const std::string& server, bool is_ready) {
-  bool& was_ready = is_ready_[server];
+  bool& was_ready = ready_by_server_[server];
   ready_servers_ += is_ready ? 1 : 0;
   ready_servers_ -= was_ready ? 1 : 0;
   was_ready = is_ready;
@@ -143,7 +146,7 @@
     set_ready(endpoint.address, is_ready);
     if (endpoint.state == EndpointState::kRemoved) {
       upstream_.remove_endpoint(endpoint.address);
-      is_ready_.erase(endpoint.address);
+      ready_by_server_.erase(endpoint.address);
     } else {
       upstream_.update_endpoint(endpoint.address, listed.socket_address, endpoint.started_at, is_ready);
     }
@@ -154,18 +157,18 @@
   on_first_list();
 }
 
-// A server that a complete list lacks is removed.
+// Removes the servers that are missing from a full list.
 void Dispatcher::remove_unlisted(const EndpointList& list) {
   std::unordered_set<std::string> listed;
   for (const ListedEndpoint& entry : list.endpoints) listed.insert(entry.endpoint.address);
-  for (auto at = is_ready_.begin(); at != is_ready_.end();) {
-    if (listed.contains(at->first)) {
-      ++at;
+  for (auto it = ready_by_server_.begin(); it != ready_by_server_.end();) {
+    if (listed.contains(it->first)) {
+      ++it;
       continue;
     }
-    ready_servers_ -= at->second ? 1 : 0;
-    upstream_.remove_endpoint(at->first);
-    at = is_ready_.erase(at);
+    ready_servers_ -= it->second ? 1 : 0;
+    upstream_.remove_endpoint(it->first);
+    it = ready_by_server_.erase(it);
   }
 }
 
@@ -184,7 +187,7 @@
 void Dispatcher::on_watch_failed(const WatchFailure& failure) {
   post_event(EndpointUpdate{EndpointUpdate::Form::kFailed, {}, failure});
   if (uses_watch_) return;
-  // Where lists are pushed the balancer requests no watch: staying connected is left to the node.
+  // If lists are pushed, the balancer never requests a watch, so the node reconnects by itself.
   const double backoff = kPushReconnectBackoff * std::uniform_real_distribution<>(0.5, 1.5)(jitter_);
   const auto timer = std::make_shared<asio::steady_timer>(io_, Clock::span(backoff));
   timer->async_wait([this, timer](error_code cancelled) {
@@ -199,18 +202,18 @@
 
 // ---------------------------------------------------------------- events to actions
 
-// The balancer is not reentrant: an event that an action brings about at once waits for its turn.
+// The balancer is not reentrant: an event posted while an action is performed is queued.
 void Dispatcher::post_event(Event event) {
-  events_.push_back(std::move(event));
+  queued_events_.push_back(std::move(event));
   if (std::exchange(is_dispatching_, true)) return;
-  while (!events_.empty()) {
-    const Event next = std::move(events_.front());
-    events_.pop_front();
-    // An exception that got out of here would leave is_dispatching_ set for good.
+  while (!queued_events_.empty()) {
+    const Event next = std::move(queued_events_.front());
+    queued_events_.pop_front();
+    // An escaping exception would leave is_dispatching_ set permanently.
     try {
       dispatch(next);
-    } catch (const std::exception& problem) {
-      log_warning("event_failed").with("problem", problem.what());
+    } catch (const std::exception& error) {
+      log_warning("event_failed").with("problem", error.what());
     }
   }
   is_dispatching_ = false;
@@ -221,15 +224,16 @@
   bool has_failed = false;
   try {
     balancer_.handle(clock_.now(), event, actions);
-  } catch (const std::exception& problem) {
-    // The deadline of each request still applies.
+  } catch (const std::exception& error) {
+    // The deadline of each pending request still applies.
     has_failed = true;
-    log_warning("policy_failed").with("problem", problem.what());
+    log_warning("policy_failed").with("problem", error.what());
   }
   for (const Action& action : actions) {
     std::visit([this](const auto& a) { perform(a); }, action);
   }
-  // A new request that the balancer failed on, and that no attempt was sent for, fails at once.
+  // Fails a new request immediately if the balancer threw an exception while handling it and no attempt is
+  // open.
   const Request* const new_request = has_failed ? std::get_if<Request>(&event) : nullptr;
   if (new_request == nullptr) return;
   const PendingRequest* const pending = requests_.find(new_request->id);
@@ -245,7 +249,7 @@
       .with("attempt", attempt)
       .with("outcome", log_name(end.outcome))
       .with("elapsed", clock_.now() - sent_at);
-  // An attempt that was cancelled or never sent says nothing about its server.
+  // A cancelled or unsent attempt gives no information about its server.
   const bool concerns_server = end.outcome != Outcome::kCancelled && end.outcome != Outcome::kNotSent;
   if (isolation_ && concerns_server)
     isolation_->on_attempt_ended(clock_.now(),
@@ -257,11 +261,11 @@
   event.id = id;
   event.attempt = attempt;
   event.outcome = end.outcome;
-  // While this process was paused the response was complete but unread: that is not the server's time.
+  // Excludes the time that a complete response stayed unread while this process was paused.
   event.elapsed = std::max(0.0, clock_.now() - sent_at - end.unread);
   event.request_complete = request->is_answered();
   post_event(std::move(event));
-  requests_.remove_if_settled(id);
+  requests_.remove_if_complete(id);
 }
 
 // ---------------------------------------------------------------- actions
@@ -271,9 +275,9 @@
   if (request == nullptr) return;
   const int attempt = static_cast<int>(request->attempts.size());
   const double now = clock_.now();
-  const double time_left = request->attempts_end - now;
+  const double time_left = request->attempts_deadline - now;
   double timeout = action.timeout == 0 ? time_left : std::min(action.timeout, time_left);
-  if (request->is_answered()) timeout = 0;  // ends as not sent
+  if (request->is_answered()) timeout = 0;  // ends with Outcome::kNotSent
   request->is_attempt_open.push_back(true);
   const double send_by = std::min(timeout, action.send_by - now);
   log_debug("attempt_started")
@@ -282,15 +286,15 @@
       .with("server", action.server)
       .with("timeout", timeout);
   request->attempts.push_back(upstream_.start(action.server, request->message, {timeout, send_by},
-                                              request->can_repeat,
+                                              request->is_retryable,
                                               {[this, id = action.id] { return may_send(id); },
                                                [this, id = action.id, attempt, now](Upstream::End&& end) {
                                                  on_attempt_ended(id, attempt, now, std::move(end));
                                                }}));
 }
 
-// Asked right before the first byte of an attempt, which may be long after its start. A refreshed list may
-// retire the attempt's server.
+// Called right before the first byte of an attempt is sent, which can be long after its start. Refreshing the
+// list can remove or drain the attempt's server.
 bool Dispatcher::may_send(const std::string& id) {
   const double now = clock_.now();
   refresh_list(now);
@@ -315,7 +319,7 @@
       .with("attempts", std::uint64_t{request->attempts.size()})
       .with("retry_after", action.retry_after);
   requests_.respond(*request, {FinalResponse::Kind::kRejected, action.retry_after, {}});
-  requests_.remove_if_settled(action.id);
+  requests_.remove_if_complete(action.id);
 }
 
 void Dispatcher::perform(const Fail& action) {
@@ -323,7 +327,7 @@
   if (request == nullptr) return;
   log_debug("request_failed").with("id", action.id).with("attempts", std::uint64_t{request->attempts.size()});
   requests_.respond(*request, {FinalResponse::Kind::kFailed, 0, {}});
-  requests_.remove_if_settled(action.id);
+  requests_.remove_if_complete(action.id);
 }
 
 void Dispatcher::perform(const Cancel& action) {
--- a/node/dispatcher.h
+++ b/node/dispatcher.h
@@ -1,5 +1,5 @@
-// Connects the policy with the sockets: passes what happens to the balancer as events and performs the
-// actions that it returns. Decides nothing itself.
+// Connects the balancer to the sockets: passes events to it and performs the actions that it returns. Makes
+// no policy decisions.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -31,23 +31,26 @@
   Dispatcher(boost::asio::io_context& io, const Clock& clock, const Settings& settings, std::uint64_t seed,
              std::size_t max_pending_requests, Upstream& upstream, EndpointWatch& endpoint_watch);
 
-  // Starts with the endpoints that are known from before, if any. Where lists are pushed, requests wait for
-  // the first list, or for a moment without one.
+  // Starts with the endpoints known before startup, if any. If lists are pushed, requests are deferred until
+  // the first list arrives or a short timeout expires.
   void start(const EndpointList& known);
   bool can_serve() const;
 
-  // While the first pushed list is awaited it is not known whether the node can serve; `then` is called once
-  // it is.
+  // Until the first pushed list arrives it is not known whether the node can serve. `callback` is called once
+  // it is known.
   bool is_awaiting_first_list() const { return is_awaiting_first_list_; }
-  void notify_on_first_list(std::function<void()> then) { first_list_callbacks_.push_back(std::move(then)); }
+  void notify_on_first_list(std::function<void()> callback) {
+    first_list_callbacks_.push_back(std::move(callback));
+  }
 
-  // Every request, pending or to come, gets its final response by then, s on the clock.
-  void limit_deadlines(double latest);
+  // Sends the final response to every pending and future request by `max_deadline`, in seconds on the node's
+  // clock.
+  void limit_deadlines(double max_deadline);
 
-  // Takes a request whose client waits for `event.time_left` from now. The response may come from within.
-  // Throws std::exception, and takes nothing, when memory does not suffice.
+  // Accepts a request whose client times out after `event.time_left`. The response handler may be called
+  // before this returns. If memory is exhausted, throws std::exception and does not accept the request.
   void submit(Request event, std::shared_ptr<const HttpRequest> message, ResponseHandler handler);
-  // Whether a request of this id is pending.
+  // Whether a request with this id is pending.
   bool is_pending(const std::string& id) const { return requests_.contains(id); }
   void on_client_disconnected(const std::string& id);
 
@@ -57,9 +60,9 @@
   void on_discovery_moved() override;
   void on_watch_failed(const WatchFailure& failure) override;
 
-  // The live replicas of this node's set have changed.
+  // The live nodes of the replica set have changed.
   void on_replica_set(const membership::ReplicaSetView& view);
-  // From now on requests are rejected at once while this node is isolated from replicas and servers alike.
+  // From now on, rejects requests immediately while this node is isolated from both replicas and servers.
   void reject_when_isolated(const membership::IsolationConfig& config) { isolation_.emplace(config); }
 
  private:
@@ -91,19 +94,19 @@
 
   bool uses_watch_;
   std::size_t max_pending_requests_;
-  double busy_retry_after_;  // s; for requests that are rejected before the balancer sees them
+  double default_retry_after_;  // s; for requests rejected without a Retry-After from the balancer
   std::vector<Idempotency> idempotency_by_class_;
   std::minstd_rand jitter_;
 
-  bool is_awaiting_first_list_ = false;  // where lists are pushed
+  bool is_awaiting_first_list_ = false;  // only if lists are pushed
   std::vector<Request> deferred_requests_;
   std::vector<std::function<void()>> first_list_callbacks_;
 
-  double latest_response_ = std::numeric_limits<double>::infinity();  // s on the clock
-  double list_refreshed_at_ = 0;                                      // s on the clock
-  std::unordered_map<std::string, bool> is_ready_;                    // by server
+  double max_deadline_ = std::numeric_limits<double>::infinity();  // s on the node's clock
+  double list_refreshed_at_ = 0;                                   // s on the node's clock
+  std::unordered_map<std::string, bool> ready_by_server_;          // by server
   std::size_t ready_servers_ = 0;
-  std::deque<Event> events_;  // that wait for the one being dispatched
+  std::deque<Event> queued_events_;  // to be dispatched after the current event
   bool is_dispatching_ = false;
 };
 
--- a/node/endpoint_list.cpp
+++ b/node/endpoint_list.cpp
@@ -18,8 +18,8 @@
   const std::string_view digits = text.substr(colon + 1);
   if (host.size() > 2 && host.front() == '[' && host.back() == ']') host = host.substr(1, host.size() - 2);
   std::uint16_t port = 0;
-  const auto [end, problem] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
-  if (problem != std::errc() || end != digits.data() + digits.size()) return std::nullopt;
+  const auto [end, conversion_error] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
+  if (conversion_error != std::errc() || end != digits.data() + digits.size()) return std::nullopt;
   error_code error;
   const asio::ip::address address = asio::ip::make_address(std::string(host), error);
   if (error) return std::nullopt;
@@ -28,7 +28,7 @@
 
 namespace {
 
-// The field names of discovery's wire form.
+// Field names of discovery's wire format.
 namespace wire {
 constexpr const char* kVersion = "index";
 constexpr const char* kIsFull = "snapshot";
@@ -42,7 +42,7 @@
 constexpr const char* kStartedAt = "since_ms";
 }  // namespace wire
 
-constexpr std::uint64_t kMaxUnixMs = 1ULL << 53;  // the largest integer that every JSON reader keeps exactly
+constexpr std::uint64_t kMaxUnixMs = 1ULL << 53;  // largest integer that every JSON parser represents exactly
 
 EndpointState read_state(const json::Value& entry) {
   const std::string_view state = json::text(entry, wire::kState);
@@ -52,22 +52,22 @@
   json::wrong(wire::kState, "up, draining or removed");
 }
 
-// Fills in `listed` field by field, so that what was read before a faulty field is kept.
+// Fills in `listed` field by field, so that the fields before an invalid one are kept.
 void read_entry(const json::Value& entry, const ZoneNames& zones, const ClockReading& now,
                 StartTimes& start_times, ListedEndpoint& listed) {
   Endpoint& endpoint = listed.endpoint;
   endpoint.address = json::text(entry, wire::kName);
   if (endpoint.address.empty()) json::wrong(wire::kName, "a name");
   endpoint.state = read_state(entry);
-  // A removed server needs no more than its name.
+  // For a removed server only the name is required.
   if (json::find(entry, wire::kSocketAddress) != nullptr || endpoint.state != EndpointState::kRemoved) {
     const auto address = parse_socket_address(json::text(entry, wire::kSocketAddress));
     if (!address) json::wrong(wire::kSocketAddress, "an address with a port");
     listed.socket_address = *address;
   }
   if (json::find(entry, wire::kZone) != nullptr) {
-    const auto at = std::find(zones.names.begin(), zones.names.end(), json::text(entry, wire::kZone));
-    endpoint.zone = static_cast<int>(at - zones.names.begin());
+    const auto it = std::find(zones.names.begin(), zones.names.end(), json::text(entry, wire::kZone));
+    endpoint.zone = static_cast<int>(it - zones.names.begin());
   }
   endpoint.cell = json::whole_or(entry, wire::kCell, 0);
   endpoint.weight = json::number_or(entry, wire::kWeight, 1);
@@ -91,9 +91,9 @@
     Endpoint& endpoint = listed.endpoint;
     try {
       read_entry(entry, zones, now, start_times, listed);
-    } catch (const std::exception& problem) {
-      if (list.problem.empty())
-        list.problem = "endpoints[" + std::to_string(position) + "]: " + problem.what();
+    } catch (const std::exception& error) {
+      if (list.first_error.empty())
+        list.first_error = "endpoints[" + std::to_string(position) + "]: " + error.what();
       if (endpoint.state != EndpointState::kRemoved) endpoint.state = EndpointState::kDraining;
     }
     if (endpoint.state == EndpointState::kRemoved) start_times.on_removed(endpoint.address, now.steady);
--- a/node/endpoint_list.h
+++ b/node/endpoint_list.h
@@ -1,5 +1,5 @@
-// Reads the endpoint list as discovery writes it. The field names of the wire are mapped to those of the code
-// here and nowhere else.
+// Parses the endpoint list in discovery's JSON format. This is the only place that maps the field names of
+// the wire format to those of the code.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -15,30 +15,31 @@
 
 namespace thymewood::node {
 
-// The zones by name; the settings refer to them by position.
+// Zone names; the settings refer to a zone by its index.
 struct ZoneNames {
   std::vector<std::string> names;
 };
 
 struct ListedEndpoint {
-  // Its address is the server's name, which unlike the socket address is the same at every replica.
+  // `endpoint.address` is the server's name, which is the same at every replica; the socket address may
+  // differ.
   Endpoint endpoint;
   boost::asio::ip::tcp::endpoint socket_address;
 };
 
-// A complete endpoint list, or a change to one.
+// A full endpoint list or a delta.
 struct EndpointList {
   std::uint64_t version = 0;
   bool is_full = false;
   std::vector<ListedEndpoint> endpoints;
-  std::string problem;  // the first entry that cannot be read, with its field; empty where all can
+  std::string first_error;  // describes the first malformed entry and its field; empty if there is none
 };
 
-// Reads "host:port"; the host is an IP address, one of IPv6 with or without brackets.
+// Parses "host:port". The host is an IPv4 or IPv6 address; brackets around an IPv6 address are optional.
 [[nodiscard]] std::optional<boost::asio::ip::tcp::endpoint> parse_socket_address(std::string_view text);
 
-// Throws std::exception, naming the field, when `in` is no endpoint list. An entry that cannot be read does
-// not affect the others: its server counts as draining, and without a name the entry is skipped.
+// Throws std::exception, whose message names the field, if `in` is not an endpoint list. A malformed entry
+// does not affect the others: its server is treated as draining, or the entry is skipped if it has no name.
 [[nodiscard]] EndpointList read_endpoint_list(const json::Value& in, const ZoneNames& zones,
                                               const ClockReading& now, StartTimes& start_times);
 
--- a/node/endpoint_watch.h
+++ b/node/endpoint_watch.h
@@ -1,5 +1,5 @@
-// The two sides of a watch on the endpoint list: the one that follows discovery, and the one that uses what
-// it says.
+// Interfaces of a watch on the endpoint list: the watch on discovery, and the listener that receives its
+// updates.
 #pragma once
 
 #include "endpoint_list.h"
@@ -14,14 +14,14 @@
   EndpointWatch& operator=(const EndpointWatch&) = delete;
   virtual ~EndpointWatch() = default;
 
-  // Requests the changes since the current list, unless a watch is open or being opened.
+  // Opens a watch for the changes since the current list, unless one is open or being opened.
   virtual void watch() = 0;
-  // Reads what discovery has sent, without waiting; listeners are notified from within. Where nothing has
-  // been sent it costs one system call.
+  // Reads available data from discovery without blocking and notifies the listener before returning. Costs
+  // one system call if there is no data.
   virtual void refresh() = 0;
 };
 
-// Is never notified from within EndpointWatch::watch().
+// EndpointWatch::watch() never notifies the listener before it returns.
 class EndpointListener {
  public:
   EndpointListener() = default;
@@ -29,15 +29,15 @@
   EndpointListener& operator=(const EndpointListener&) = delete;
   virtual ~EndpointListener() = default;
 
-  // A complete list, or a change to the last one.
+  // A full list, or a delta to the last one.
   virtual void on_endpoints(const EndpointList& update) = 0;
-  // The watch has delivered all that discovery had.
+  // The watch has delivered all changes that discovery had.
   virtual void on_list_current() = 0;
-  // That is no longer so; the list was current until `as_of`, s on the node's clock.
+  // The list is no longer current; it was until `as_of`, in seconds on the node's clock.
   virtual void on_list_stale(double as_of) = 0;
-  // Discovery has another address from now on.
+  // Discovery has moved to another address.
   virtual void on_discovery_moved() = 0;
-  // No watch is open, and none will be without a call of EndpointWatch::watch().
+  // The watch has failed. It is not reopened until EndpointWatch::watch() is called.
   virtual void on_watch_failed(const WatchFailure& failure) = 0;
 };
 
--- a/node/event_log.cpp
+++ b/node/event_log.cpp
@@ -19,7 +19,7 @@
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-spdlog::level::level_enum level_of(LogLevel level) {
+spdlog::level::level_enum to_spdlog_level(LogLevel level) {
   switch (level) {
     case LogLevel::kDebug:
       return spdlog::level::debug;
@@ -35,7 +35,8 @@
   auto out = std::make_shared<spdlog::logger>("thymewood", std::make_shared<spdlog::sinks::stderr_sink_st>());
   out->set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
   out->flush_on(spdlog::level::debug);
-  // A log that cannot be written, on a full disk for example, loses its lines and nothing else.
+  // If the log cannot be written, for example because the disk is full, lines are lost and the node keeps
+  // running.
   out->set_error_handler([](const std::string&) {});
   return out;
 }
@@ -57,7 +58,7 @@
          });
 }
 
-std::string quoted(std::string_view text) {
+std::string quote(std::string_view text) {
   std::string out = "\"";
   for (const char c : text) {
     if (c == '"' || c == '\\') {
@@ -74,10 +75,10 @@
 
 }  // namespace
 
-bool LogRateLimit::take(double now, LogLevel level) {
+bool LogRateLimit::consume(double now, LogLevel level) {
   const double factor = level == LogLevel::kDebug ? kDebugFactor : 1;
-  const double earned = tokens_ < 0 ? kBurst * factor : (now - refilled_at_) * kPerSecond * factor;
-  tokens_ = std::min(kBurst * factor, std::max(0.0, tokens_) + earned);
+  const double refill = tokens_ < 0 ? kBurst * factor : (now - refilled_at_) * kPerSecond * factor;
+  tokens_ = std::min(kBurst * factor, std::max(0.0, tokens_) + refill);
   refilled_at_ = now;
   if (tokens_ < 1) {
     ++suppressed_;
@@ -87,22 +88,22 @@
   return true;
 }
 
-std::uint64_t LogRateLimit::take_suppressed() { return std::exchange(suppressed_, 0); }
+std::uint64_t LogRateLimit::take_suppressed_count() { return std::exchange(suppressed_, 0); }
 
 LogEvent::LogEvent(LogLevel level, std::string_view name)
-    : enabled_(logger().should_log(level_of(level))), level_(level) {
+    : enabled_(logger().should_log(to_spdlog_level(level))), level_(level) {
   if (!enabled_) return;
   LogRateLimit& limit = rate_limit_of(name);
-  enabled_ = limit.take(steady_seconds(), level);
+  enabled_ = limit.consume(steady_seconds(), level);
   if (!enabled_) return;
   line_ = "event=";
   line_ += name;
-  if (const std::uint64_t suppressed = limit.take_suppressed(); suppressed > 0)
+  if (const std::uint64_t suppressed = limit.take_suppressed_count(); suppressed > 0)
     with("suppressed", suppressed);
 }
 
 LogEvent::~LogEvent() {
-  if (enabled_) logger().log(level_of(level_), line_);
+  if (enabled_) logger().log(to_spdlog_level(level_), line_);
 }
 
 LogEvent& LogEvent::with(std::string_view key, std::string_view value) {
@@ -110,7 +111,7 @@
   line_ += ' ';
   line_ += key;
   line_ += '=';
-  line_ += needs_quotes(value) ? quoted(value) : std::string(value);
+  line_ += needs_quotes(value) ? quote(value) : std::string(value);
   return *this;
 }
 
@@ -134,11 +135,11 @@
   return *this;
 }
 
-bool is_debug_logged() { return logger().should_log(spdlog::level::debug); }
+bool is_debug_enabled() { return logger().should_log(spdlog::level::debug); }
 
 void configure_log_from_environment() {
-  const char* const wanted = std::getenv("THYMEWOOD_LOG");
-  const std::string_view name = wanted == nullptr ? "info" : wanted;
+  const char* const value = std::getenv("THYMEWOOD_LOG");
+  const std::string_view name = value == nullptr ? "info" : value;
   if (name == "debug") {
     logger().set_level(spdlog::level::debug);
   } else if (name == "warning") {
--- a/node/event_log.h
+++ b/node/event_log.h
@@ -1,10 +1,9 @@
-// The structured log: one line for each event, `event=NAME key=value ...`, on standard error.
+// Structured log on standard error, with one line per event: `event=NAME key=value ...`.
 //
-// Level `debug` has a line for each request, attempt and connection, `info` (the default) one for each change
-// of state, `warning` what an operator should look at. The environment variable THYMEWOOD_LOG sets the level.
-// An event below the level costs one comparison. The lines of each kind of event are rate limited;
-// `suppressed=` of the next line counts those that were left out. Writing is synchronous and starts no
-// thread.
+// Level `debug` logs each request, attempt and connection, `info` (the default) each state change, and
+// `warning` conditions that need an operator's attention. The environment variable THYMEWOOD_LOG sets the
+// level. An event below the level costs one comparison. Lines are rate limited per event name; `suppressed=`
+// in the next line is the number of lines dropped. Writes are synchronous; no thread is started.
 #pragma once
 
 #include <cstddef>
@@ -16,34 +15,35 @@
 
 enum class LogLevel { kDebug, kInfo, kWarning };
 
-// The token bucket of one kind of event. Pure: times are seconds on any steady clock.
+// Token bucket for one event name. Reads no clock: the caller passes the time, in seconds on any steady
+// clock.
 class LogRateLimit {
  public:
   static constexpr double kBurst = 50;        // lines
-  static constexpr double kPerSecond = 20;    // lines a second
-  static constexpr double kDebugFactor = 50;  // times more of both for debug events
+  static constexpr double kPerSecond = 20;    // lines per second
+  static constexpr double kDebugFactor = 50;  // multiplies both limits for debug events
 
-  // Whether one more line may be written; if not, it is counted as suppressed.
-  bool take(double now, LogLevel level);
-  // How many lines were suppressed since the last call.
-  std::uint64_t take_suppressed();
+  // Consumes a token and returns true if a line may be written; otherwise counts the line as suppressed.
+  bool consume(double now, LogLevel level);
+  // Returns the number of lines suppressed since the last call, and resets it.
+  std::uint64_t take_suppressed_count();
 
  private:
-  double tokens_ = -1;      // lines that may be written at once; negative before the first
+  double tokens_ = -1;      // lines that may be written now; negative before the first one
   double refilled_at_ = 0;  // s
   std::uint64_t suppressed_ = 0;
 };
 
-// Builds the line of one event, and writes it on destruction.
+// Builds the log line of one event; the destructor writes it.
 class LogEvent {
  public:
-  // `name` must outlive the program: a string literal.
+  // `name` must have static storage duration, such as a string literal.
   LogEvent(LogLevel level, std::string_view name);
   ~LogEvent();
   LogEvent(const LogEvent&) = delete;
   LogEvent& operator=(const LogEvent&) = delete;
 
-  // A text that holds white space, quotes or control characters is quoted and escaped.
+  // A value that contains white space, quotes or control characters is quoted and escaped.
   LogEvent& with(std::string_view key, std::string_view value);
   LogEvent& with(std::string_view key, const char* value) { return with(key, std::string_view(value)); }
   LogEvent& with(std::string_view key, double seconds);
@@ -61,10 +61,10 @@
 inline LogEvent log_info(std::string_view name) { return {LogLevel::kInfo, name}; }
 inline LogEvent log_warning(std::string_view name) { return {LogLevel::kWarning, name}; }
 
-// Whether debug events are written, for code whose values are costly to compute.
-bool is_debug_logged();
+// Whether debug events are logged; lets code skip computing expensive values.
+bool is_debug_enabled();
 
-// Reads the level from THYMEWOOD_LOG; an unknown one is a warning and means `info`.
+// Sets the level from THYMEWOOD_LOG. An unknown level logs a warning and selects `info`.
 void configure_log_from_environment();
 
 }  // namespace thymewood::node
--- a/node/event_loop.cpp
+++ b/node/event_loop.cpp
@@ -10,7 +10,7 @@
 namespace thymewood::node {
 namespace {
 
-constexpr std::chrono::milliseconds kFailureBackoff{10};  // memory that is short may stay so for a while
+constexpr std::chrono::milliseconds kFailureBackoff{10};  // a shortage of memory may last for a while
 
 }  // namespace
 
@@ -20,9 +20,9 @@
       if (std::exchange(has_failed, false)) recover();
       io.run();
       return;
-    } catch (const std::exception& problem) {
+    } catch (const std::exception& error) {
       has_failed = true;
-      log_warning("handler_failed").with("problem", problem.what());
+      log_warning("handler_failed").with("problem", error.what());
       std::this_thread::sleep_for(kFailureBackoff);
     }
   }
--- a/node/load_balancer_node.cpp
+++ b/node/load_balancer_node.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 namespace asio = boost::asio;
-namespace ms = thymewood::membership;
+namespace membership = thymewood::membership;
 
 std::string to_text(const asio::ip::tcp::endpoint& address) {
   std::ostringstream out;
@@ -27,13 +27,13 @@
   return static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
 }
 
-ms::LocalNode local_node(const Config& config, const std::string& replica_set) {
-  ms::LocalNode local;
-  local.id = static_cast<ms::NodeId>(config.settings.replica_index);
+membership::LocalNode make_local_node(const Config& config, const std::string& replica_set) {
+  membership::LocalNode local;
+  local.id = static_cast<membership::NodeId>(config.settings.replica_index);
   local.peer_count = static_cast<std::uint16_t>(config.peers->peers.size());
   local.zone = static_cast<std::uint8_t>(config.settings.zone);
   local.start_ms = unix_time_ms();
-  local.replica_set_id = ms::replica_set_id_of(replica_set);
+  local.replica_set_id = membership::replica_set_id_of(replica_set);
   return local;
 }
 
@@ -57,15 +57,16 @@
                 dispatcher_),
       report_signals_(io) {
   discovery_.set_listener(dispatcher_);
-  // Where lists are pushed the complete list costs nothing, and comes whether or not anything has changed.
+  // If lists are pushed, the full list is always requested: it is cheap, and is sent even if nothing has
+  // changed.
   if (config_.settings.uses_watch && !config_.known_endpoints.endpoints.empty())
-    discovery_.set_version(config_.known_endpoints.version);
+    discovery_.set_known_version(config_.known_endpoints.version);
 }
 
 void LoadBalancerNode::start() {
   listen();
-  if (!config_.known_endpoints.problem.empty())
-    log_warning("list_unreadable").with("problem", "known: " + config_.known_endpoints.problem);
+  if (!config_.known_endpoints.first_error.empty())
+    log_warning("list_unreadable").with("problem", "known: " + config_.known_endpoints.first_error);
   dispatcher_.start(config_.known_endpoints);
   frontend_.start();
   start_peers();
@@ -75,22 +76,22 @@
 void LoadBalancerNode::listen() {
   try {
     frontend_.listen(config_.listen_address);
-  } catch (const boost::system::system_error& problem) {
-    throw StartupError("listen: " + problem.code().message());
+  } catch (const boost::system::system_error& error) {
+    throw StartupError("listen: " + error.code().message());
   }
 }
 
-// Needs the permission of the platform's configuration and of the operators' file.
+// Requires that both the platform's configuration and the operators' file enable failure detection.
 void LoadBalancerNode::start_peers() {
   if (!replica_set_.enabled || !config_.peers) return;
-  const ms::LocalNode local = local_node(config_, replica_set_.name);
+  const membership::LocalNode local = make_local_node(config_, replica_set_.name);
   if (replica_set_.rejects_when_isolated) dispatcher_.reject_when_isolated({});
   try {
     peers_ = std::make_unique<Peers>(
         io_, clock_, *config_.peers, local, replica_set_.detector, replica_set_.view, config_.seed,
-        [this](const ms::ReplicaSetView& view) { dispatcher_.on_replica_set(view); });
-  } catch (const boost::system::system_error& problem) {
-    throw StartupError("peer_listen: " + problem.code().message());
+        [this](const membership::ReplicaSetView& view) { dispatcher_.on_replica_set(view); });
+  } catch (const boost::system::system_error& error) {
+    throw StartupError("peer_listen: " + error.code().message());
   }
   report_signals_.add(SIGUSR1);
   on_each_signal(report_signals_, [this] { std::clog << "fleet: " << peers_->report() << '\n'; });
@@ -102,15 +103,16 @@
     const Config config = read_config(path, clock_);
     discovery_.move_to(config.discovery_address);
     log_info("reload").with("discovery", to_text(config.discovery_address));
-  } catch (const std::exception& problem) {
-    log_warning("reload_failed").with("problem", problem.what());
+  } catch (const std::exception& error) {
+    log_warning("reload_failed").with("problem", error.what());
   }
 }
 
 void LoadBalancerNode::shut_down() {
   log_info("drain_started");
   frontend_.drain([this] {
-    // Peers are notified only now: until its last response a replica sends, and has to be counted.
+    // Announce the shutdown to peers only now: until its last response this node still sends requests, and
+    // peers must count it as live.
     if (peers_) peers_->leave();
     log_info("drain_ended");
     io_.stop();
--- a/node/load_balancer_node.h
+++ b/node/load_balancer_node.h
@@ -1,5 +1,5 @@
-// A load-balancer node: its parts, connected to each other, and its life from the start to the end of its
-// graceful shutdown.
+// A load-balancer node: owns and connects its components, and manages its lifecycle from startup to the end
+// of its graceful shutdown.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,7 +21,7 @@
 
 namespace thymewood::node {
 
-// The node cannot start; what() is one line.
+// The node cannot start. what() is a single line.
 class StartupError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -29,18 +29,18 @@
 
 class LoadBalancerNode {
  public:
-  // Throws std::invalid_argument when no balancer can work with the settings.
+  // Throws std::invalid_argument if the settings are invalid for a balancer.
   LoadBalancerNode(boost::asio::io_context& io, const Clock& clock, Config config,
                    operators::ReplicaSetOptions replica_set, MemoryBudget& message_budget);
 
-  // Throws StartupError when an address cannot be listened at.
+  // Throws StartupError if an address cannot be bound.
   void start();
-  // Reads the configuration file again and follows discovery to its new address; nothing else changes. A file
-  // that cannot be read changes nothing.
+  // Reloads the configuration file and applies only the address of discovery. An invalid or unreadable file
+  // is logged and changes nothing.
   void reload(const std::string& path);
   // Shuts down gracefully, then stops the event loop.
   void shut_down();
-  // After an exception in a handler.
+  // Restarts long-running operations after an exception escaped from an event handler.
   void recover();
 
  private:
@@ -56,7 +56,7 @@
   DiscoveryWatch discovery_;
   Dispatcher dispatcher_;
   Frontend frontend_;
-  std::unique_ptr<Peers> peers_;  // null where replicas exchange no messages
+  std::unique_ptr<Peers> peers_;  // null if failure detection between replicas is disabled
   boost::asio::signal_set report_signals_;
 };
 
--- a/node/log_names.h
+++ b/node/log_names.h
@@ -1,4 +1,4 @@
-// The words that the log has for the values of the policy's enums (docs/operators/log.md).
+// Names of the policy's enum values in the log (docs/operators/log.md).
 #pragma once
 
 #include "thymewood/balancer.h"
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -1,4 +1,4 @@
-// thymewood: a load-balancer node. Environment, signals and exit status.
+// Entry point of thymewood, a load-balancer node: handles the environment, signals and the exit status.
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
 #include <cstdio>
@@ -24,8 +24,8 @@
 
 constexpr int kExitBadConfiguration = 2;
 
-int fail_to_start(const std::exception& problem) {
-  std::cerr << "thymewood: " << problem.what() << '\n';
+int report_startup_error(const std::exception& error) {
+  std::cerr << "thymewood: " << error.what() << '\n';
   return kExitBadConfiguration;
 }
 
@@ -36,9 +36,10 @@
 }
 
 int run(const char* config_path) {
-  node::MemoryBudget message_budget;  // outlives what is left in the event loop at the end
+  node::MemoryBudget message_budget;  // must outlive the handlers left in the event loop at exit
   asio::io_context io(1);
-  // Signals that come before the first wait are kept; without these sets they would end the process.
+  // The sets keep signals that arrive before the first wait; without them these signals would terminate the
+  // process.
   asio::signal_set reload_signals(io, SIGHUP), stop_signals(io, SIGTERM, SIGINT);
   const node::Clock clock;
   node::Config config;
@@ -46,8 +47,8 @@
   try {
     config = node::read_config(config_path, clock);
     operators = read_operators_file_from_environment();
-  } catch (const std::exception& problem) {
-    return fail_to_start(problem);
+  } catch (const std::exception& error) {
+    return report_startup_error(error);
   }
   message_budget.set_limit(node::message_memory(config.memory_bytes));
   try {
@@ -60,10 +61,10 @@
       if (!cancelled) balancer.shut_down();
     });
     node::run_until_stopped(io, [&] { balancer.recover(); });
-  } catch (const node::StartupError& problem) {
-    return fail_to_start(problem);
-  } catch (const std::invalid_argument& problem) {
-    return fail_to_start(problem);
+  } catch (const node::StartupError& error) {
+    return report_startup_error(error);
+  } catch (const std::invalid_argument& error) {
+    return report_startup_error(error);
   }
   return EXIT_SUCCESS;
 }
@@ -72,7 +73,7 @@
 
 int main() {
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGXFSZ, SIG_IGN);  // a log that cannot grow loses its lines and nothing else
+  std::signal(SIGXFSZ, SIG_IGN);  // a log at its size limit loses lines without terminating the process
   try {
     node::configure_log_from_environment();
     const char* const config_path = std::getenv("RELAY_CONFIG");
@@ -81,10 +82,10 @@
       return kExitBadConfiguration;
     }
     return run(config_path);
-  } catch (const std::exception& problem) {
-    std::fprintf(stderr, "thymewood: %s\n", problem.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "thymewood: %s\n", error.what());
   } catch (...) {
-    std::fputs("thymewood: an unknown fault\n", stderr);
+    std::fputs("thymewood: unknown exception\n", stderr);
   }
   return EXIT_FAILURE;
 }
--- a/node/object_stream.h
+++ b/node/object_stream.h
@@ -1,7 +1,7 @@
-// Splits a stream of bytes into JSON objects, whatever white space stands between them or within (RFC 8259,
-// section 2). Finds where an object ends and validates no more than that.
+// Splits a byte stream into JSON objects, allowing any white space between and within them (RFC 8259, section
+// 2). Only finds the end of each object; does not otherwise validate it.
 //
-// Pure: bytes in, complete objects out.
+// Performs no I/O.
 #pragma once
 
 #include <cstddef>
@@ -15,9 +15,9 @@
  public:
   explicit ObjectStream(std::size_t max_object_bytes) : max_object_bytes_(max_object_bytes) {}
 
-  // Calls `on_object` with each object that is complete by now, in order; it returns whether to go on. The
-  // text is valid during that call only. False: the bytes are no object, one is too long, or `on_object` has
-  // returned false. Nothing may be fed after that.
+  // Calls `on_object` with each completed object, in order. `on_object` returns whether to continue; its
+  // argument is valid only during the call. Returns false if the bytes are not an object, an object is too
+  // long, or `on_object` returned false; feed() must not be called again after that.
   template <typename OnObject>
   [[nodiscard]] bool feed(std::string_view bytes, const OnObject& on_object) {
     for (const char c : bytes) {
@@ -30,15 +30,15 @@
     return true;
   }
 
-  // Whether an object has begun and not ended.
-  bool pending() const { return depth_ > 0; }
+  // Whether an object has started but is not complete.
+  bool has_incomplete_object() const { return depth_ > 0; }
 
  private:
   static bool is_space(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
   static bool starts_value(char c) { return c == '{' || c == '[' || c == '"'; }
   static bool may_precede_value(char c) { return c == ':' || c == ',' || c == '[' || c == '{'; }
 
-  // False: the byte cannot be the next one of an object.
+  // Returns false if the byte cannot continue the object.
   bool append(char c) {
     if (depth_ == 0 && c != '{') return false;
     if (depth_ > 0 && !in_string_ && starts_value(c) && !may_precede_value(previous_)) return false;
@@ -67,9 +67,9 @@
   }
 
   std::size_t max_object_bytes_;
-  std::string object_;  // the part of the next object that has come
+  std::string object_;  // the received part of the current object
   std::size_t depth_ = 0;
-  char previous_ = 0;  // outside of strings, other than white space
+  char previous_ = 0;  // last character outside strings that is not white space
   bool in_string_ = false, is_escaped_ = false;
 };
 
--- a/node/peer_log.h
+++ b/node/peer_log.h
@@ -1,4 +1,4 @@
-// Log events about the replica set and its nodes; docs/operators/log.md lists them.
+// Log events for the replica set and its nodes, listed in docs/operators/log.md.
 #pragma once
 
 #include "detector_output.h"
--- a/node/peer_report.cpp
+++ b/node/peer_report.cpp
@@ -13,7 +13,7 @@
 constexpr double kMillisecondsPerSecond = 1000;
 constexpr double kMinUptime = 1e-3;  // s
 
-// The report keeps the words that its readers know.
+// The report uses its own names, which differ from those in the log, for compatibility with its consumers.
 const char* reported_name_of(Connectivity connectivity) {
   switch (connectivity) {
     case Connectivity::kStandalone:
--- a/node/peer_report.h
+++ b/node/peer_report.h
@@ -1,5 +1,5 @@
-// The report that a node logs on SIGUSR1: a line of JSON whose keys are described in
-// docs/operators/fleet-membership.md.
+// The membership report that a node logs on SIGUSR1: one line of JSON. docs/operators/fleet-membership.md
+// describes its keys.
 #pragma once
 
 #include <cstdint>
--- a/node/peers.cpp
+++ b/node/peers.cpp
@@ -19,10 +19,10 @@
 
 namespace {
 
-// Per turn of the event loop, so that a flood on this address does not delay requests.
+// Limit per event loop iteration, so that a flood of datagrams does not delay requests.
 constexpr int kMaxDatagramsPerTurn = 32;
-// Before timers run: after a pause the node first receives what was sent meanwhile. A socket's buffer has
-// some hundreds; a flood that brings more is not waited for.
+// Limit before timers are handled: after a pause, the node first receives the datagrams that arrived during
+// the pause. A socket's buffer holds several hundred; the limit bounds the delay of timers in a flood.
 constexpr int kMaxDatagramsBeforeTimer = 1024;
 
 }  // namespace
@@ -52,9 +52,9 @@
 
 std::optional<membership::NodeId> Peers::node_at(const Endpoint& endpoint) const {
   if (!endpoint.address().is_v4()) return std::nullopt;
-  const auto at = ids_by_address_.find(key_of(endpoint));
-  if (at == ids_by_address_.end()) return std::nullopt;
-  return at->second;
+  const auto it = ids_by_address_.find(key_of(endpoint));
+  if (it == ids_by_address_.end()) return std::nullopt;
+  return it->second;
 }
 
 void Peers::start() {
@@ -67,7 +67,7 @@
   socket_.async_wait(udp::socket::wait_read, [this](error_code error) {
     if (error || has_left_) return;
     receive_datagrams(kMaxDatagramsPerTurn);
-    await_datagrams();  // the remaining ones wait for the next turn, after other handlers
+    await_datagrams();  // remaining datagrams are received after other handlers have run
   });
 }
 
@@ -81,8 +81,9 @@
     if (error == asio::error::would_block || error == asio::error::try_again) {
       is_drained = true;
     } else if (!error) {
-      std::vector<Output> more = detector_.receive(clock_.now(), node_at(source), {buffer_.data(), size});
-      std::move(more.begin(), more.end(), std::back_inserter(outputs));
+      std::vector<Output> new_outputs =
+          detector_.receive(clock_.now(), node_at(source), {buffer_.data(), size});
+      std::move(new_outputs.begin(), new_outputs.end(), std::back_inserter(outputs));
     }
   }
   process(outputs);
@@ -94,7 +95,7 @@
   process(detector_.on_timer(clock_.now()));
 }
 
-// The timer is set anew only where the deadline has changed.
+// Restarts the timer only if the deadline has changed.
 void Peers::schedule_timer() {
   if (has_left_) return;
   const double deadline = std::min(detector_.next_deadline(), view_tracker_.next_deadline());
@@ -137,7 +138,7 @@
   }
 }
 
-// A datagram that can't be sent counts as lost, which the protocol tolerates.
+// A datagram that cannot be sent is treated as lost; the protocol tolerates loss.
 void Peers::send_to(const Endpoint& endpoint, const membership::Datagram& datagram) {
   error_code error;
   socket_.send_to(asio::buffer(datagram.bytes.data(), datagram.size), endpoint, 0, error);
--- a/node/peers.h
+++ b/node/peers.h
@@ -1,5 +1,6 @@
-// Connects the failure detector with a UDP socket and a timer: receives what has arrived before timers run,
-// sends the datagrams, logs the changes, and reports each new view of the replica set. It takes no decisions.
+// Connects the failure detector to a UDP socket and a timer: receives pending datagrams before timers are
+// handled, sends datagrams, logs changes, and reports each new view of the replica set. Makes no policy
+// decisions.
 #pragma once
 
 #include <array>
@@ -23,8 +24,8 @@
 struct PeerAddresses {
   using Endpoint = boost::asio::ip::udp::endpoint;
   Endpoint listen;
-  std::vector<Endpoint> peers;  // by node id, this node's own included
-  Endpoint broadcast;           // reaches all peers; port 0: there is none
+  std::vector<Endpoint> peers;  // by node id, including this node's own
+  Endpoint broadcast;           // reaches all peers; port 0 if there is none
 };
 
 class Peers {
@@ -32,22 +33,22 @@
   using Endpoint = PeerAddresses::Endpoint;
   using ViewCallback = std::function<void(const membership::ReplicaSetView&)>;
 
-  // `on_view_changed` is called from the event loop. Throws boost::system::system_error where the address
-  // can't be bound, membership::InvalidDetectorConfig where a setting is out of range.
+  // `on_view_changed` is called from the event loop. Throws boost::system::system_error if the address cannot
+  // be bound and membership::InvalidDetectorConfig if a setting is out of range.
   Peers(boost::asio::io_context& io, const Clock& clock, const PeerAddresses& addresses,
         const membership::LocalNode& local, const membership::DetectorConfig& detector_config,
         const membership::ReplicaSetViewConfig& view_config, std::uint64_t seed,
         ViewCallback on_view_changed);
 
   void start();
-  // Announces this node's shutdown to all peers; nothing is sent after it.
+  // Announces this node's shutdown to all peers. Nothing is sent afterwards.
   void leave();
-  // One line of JSON: the view, the counters and the state of each peer.
+  // Returns one line of JSON with the view, the counters and the state of each peer.
   [[nodiscard]] std::string report() const;
 
  private:
   void await_datagrams();
-  // Receives so many at most. Returns whether the socket is drained.
+  // Receives at most `max_count` datagrams. Returns whether the socket's receive buffer is empty.
   bool receive_datagrams(int max_count);
   void on_timer();
   void schedule_timer();
@@ -66,7 +67,7 @@
   membership::ReplicaSetViewTracker view_tracker_;
   ViewCallback on_view_changed_;
   std::unordered_map<std::uint64_t, membership::NodeId> ids_by_address_;
-  // One byte more than a datagram may have, so that an oversized one is recognized.
+  // One byte larger than the maximum datagram, to detect oversized ones.
   std::array<std::uint8_t, membership::kMaxDatagramBytes + 1> buffer_{};
   double scheduled_at_ = 0;
   std::uint64_t send_failures_ = 0;
--- a/node/pending_requests.cpp
+++ b/node/pending_requests.cpp
@@ -8,13 +8,13 @@
 
 namespace asio = boost::asio;
 
-// s. Attempts end this long before the client's timeout: for the transfer of the request and the response,
-// and for an event loop that runs late.
+// In seconds. Attempts end this long before the client's timeout, to allow for the transfer of the request
+// and the response and for delays of the event loop.
 constexpr double kResponseMargin = 0.040;
-// s. The node itself fails a request that has no final response by then.
+// In seconds before the client's timeout. The node fails a request that has no final response by then.
 constexpr double kDeadlineMargin = 0.020;
-// Of the client's timeout: a short one is mostly left to the server. The protocol allows a response to be
-// 0.05 s late.
+// Upper bound of the margin as a fraction of the client's timeout, so that most of a short timeout is
+// available to the server. The protocol allows a response to be 0.05 s late.
 constexpr double kMaxMarginFraction = 0.125;
 
 }  // namespace
@@ -39,7 +39,7 @@
     set_deadline(id, request, now + time_left);
     return request;
   } catch (...) {
-    requests_.erase(id);  // without its timer it might never get a response
+    requests_.erase(id);  // without its deadline timer the request might never get a response
     throw;
   }
 }
@@ -48,7 +48,7 @@
   const double now = clock_.now();
   const double margin = std::min(kResponseMargin, kMaxMarginFraction * std::max(0.0, deadline - now));
   request.deadline = deadline;
-  request.attempts_end = deadline - margin;
+  request.attempts_deadline = deadline - margin;
   request.deadline_timer = std::make_unique<asio::steady_timer>(
       io_, clock_.at(deadline - margin * kDeadlineMargin / kResponseMargin));
   request.deadline_timer->async_wait([this, id](boost::system::error_code cancelled) {
@@ -56,13 +56,13 @@
   });
   for (std::size_t i = 0; i < request.attempts.size(); ++i) {
     if (request.is_attempt_open[i])
-      upstream_.shorten_deadline(request.attempts[i], clock_.at(request.attempts_end));
+      upstream_.shorten_deadline(request.attempts[i], clock_.at(request.attempts_deadline));
   }
 }
 
 PendingRequest* PendingRequests::find(const std::string& id) {
-  const auto at = requests_.find(id);
-  return at == requests_.end() ? nullptr : &at->second;
+  const auto it = requests_.find(id);
+  return it == requests_.end() ? nullptr : &it->second;
 }
 
 PendingRequest* PendingRequests::find_unanswered(const std::string& id) {
@@ -70,9 +70,9 @@
   return request == nullptr || request->is_answered() ? nullptr : request;
 }
 
-void PendingRequests::limit_deadlines(double latest) {
+void PendingRequests::limit_deadlines(double max_deadline) {
   for (auto& [id, request] : requests_) {
-    if (!request.is_answered() && request.deadline > latest) set_deadline(id, request, latest);
+    if (!request.is_answered() && request.deadline > max_deadline) set_deadline(id, request, max_deadline);
   }
 }
 
@@ -94,10 +94,10 @@
   }
 }
 
-void PendingRequests::remove_if_settled(const std::string& id) {
-  const auto at = requests_.find(id);
-  if (at != requests_.end() && at->second.is_answered() && !at->second.has_open_attempt())
-    requests_.erase(at);
+void PendingRequests::remove_if_complete(const std::string& id) {
+  const auto it = requests_.find(id);
+  if (it != requests_.end() && it->second.is_answered() && !it->second.has_open_attempt())
+    requests_.erase(it);
 }
 
 }  // namespace thymewood::node
--- a/node/process_limits.cpp
+++ b/node/process_limits.cpp
@@ -7,9 +7,9 @@
 namespace thymewood::node {
 namespace {
 
-// For the event loop, discovery, the log, the listener and a spare one.
+// For the event loop, discovery, the log, the listener and one spare descriptor.
 constexpr std::size_t kReservedDescriptors = 24;
-// The rest is for the program, the connections themselves, and what the allocator does not return.
+// The rest is for the program, connection state, and memory that the allocator does not return to the system.
 constexpr std::size_t kMessageMemoryDivisor = 3;
 
 }  // namespace
--- a/node/process_limits.h
+++ b/node/process_limits.h
@@ -1,22 +1,22 @@
-// Divides what the process may use of the machine between its parts.
+// Divides the resource limits of the process among its components.
 #pragma once
 
 #include <cstddef>
 
 namespace thymewood::node {
 
-// Descriptors by use. A request that was accepted and finds none left for its attempt can only be rejected,
-// so connections to servers have a part of their own.
+// File descriptors by use. Server connections have a separate limit, because a request that was accepted must
+// be rejected if no descriptor is left for its attempt.
 struct DescriptorLimits {
   std::size_t clients = 0;           // client connections
-  std::size_t rejected_clients = 0;  // beyond those: connections that get a rejection and are closed
+  std::size_t rejected_clients = 0;  // further client connections, which are rejected and closed
   std::size_t servers = 0;           // server connections
 };
 
-// Of at most `max_descriptors`, or of the process's own limit where that is lower.
+// Divides `max_descriptors`, or the process's resource limit if that is lower.
 [[nodiscard]] DescriptorLimits divide_descriptors(std::size_t max_descriptors);
 
-// The part of the memory that HTTP messages may use.
+// Memory available to HTTP messages, in bytes.
 [[nodiscard]] std::size_t message_memory(std::size_t memory_bytes);
 
 }  // namespace thymewood::node
--- a/node/start_times.cpp
+++ b/node/start_times.cpp
@@ -10,12 +10,11 @@
 namespace {
 
 constexpr double kMsPerSecond = 1000;
-constexpr double kMaxNotificationDelay = 6;       // s; by which the protocol lets discovery be late
-constexpr std::int64_t kDateResolutionMs = 1000;  // a Date field has whole seconds
-constexpr std::int64_t kMaxClockDifferenceMs =
-    2500;                                  // that resolution, and a response that waited to be read
-constexpr double kMinStartTime = 1e-6;     // s; 0 stands for long ago
-constexpr double kRemovedRetention = 300;  // s; in which a removed server may return
+constexpr double kMaxNotificationDelay = 6;  // s; by which discovery may be late according to the protocol
+constexpr std::int64_t kDateResolutionMs = 1000;      // a Date field has a resolution of one second
+constexpr std::int64_t kMaxClockDifferenceMs = 2500;  // the resolution, plus a delayed read of the response
+constexpr double kMinStartTime = 1e-6;                // s; 0 means long ago
+constexpr double kRemovedRetention = 300;             // s; a removed server may return within this time
 
 }  // namespace
 
@@ -23,33 +22,34 @@
   if (!unix_ms) return;
   const std::int64_t difference = *unix_ms + kDateResolutionMs / 2 - now.unix_ms;
   wall_clock_correction_ms_ = std::abs(difference) > kMaxClockDifferenceMs ? difference : 0;
-  // Starts that were read with a wrong wall clock are read again.
+  // Start times converted with the wrong wall clock are converted again.
   if (!std::exchange(has_discovery_time_, true) && wall_clock_correction_ms_ != 0) starts_.clear();
 }
 
-double StartTimes::started_at(const std::string& server, std::int64_t since_ms, const ClockReading& now) {
-  if (since_ms == 0) {
+double StartTimes::started_at(const std::string& server, std::int64_t start_unix_ms,
+                              const ClockReading& now) {
+  if (start_unix_ms == 0) {
     starts_.erase(server);
     return 0;
   }
   Start& start = starts_[server];
   start.is_listed = true;
-  if (start.since_ms == since_ms) return start.started_at;
-  double age = static_cast<double>(now.unix_ms + wall_clock_correction_ms_ - since_ms) / kMsPerSecond;
+  if (start.start_unix_ms == start_unix_ms) return start.started_at;
+  double age = static_cast<double>(now.unix_ms + wall_clock_correction_ms_ - start_unix_ms) / kMsPerSecond;
   if (list_current_until_ && age > now.steady - *list_current_until_ + kMaxNotificationDelay) age = 0;
   const double started_at = now.steady - std::max(0.0, age);
-  start = {since_ms, std::abs(started_at) < kMinStartTime ? kMinStartTime : started_at, true};
+  start = {start_unix_ms, std::abs(started_at) < kMinStartTime ? kMinStartTime : started_at, true};
   return start.started_at;
 }
 
 void StartTimes::on_removed(const std::string& server, double now) {
-  const auto at = starts_.find(server);
-  if (at == starts_.end() || !at->second.is_listed) return;
-  at->second.is_listed = false;
+  const auto it = starts_.find(server);
+  if (it == starts_.end() || !it->second.is_listed) return;
+  it->second.is_listed = false;
   removals_.push_back({now, server});
   for (; !removals_.empty() && removals_.front().at < now - kRemovedRetention; removals_.pop_front()) {
-    const auto old = starts_.find(removals_.front().server);
-    if (old != starts_.end() && !old->second.is_listed) starts_.erase(old);
+    const auto expired = starts_.find(removals_.front().server);
+    if (expired != starts_.end() && !expired->second.is_listed) starts_.erase(expired);
   }
 }
 
