--- a/tests/node/peers_test.cpp
+++ b/tests/node/peers_test.cpp
@@ -1,5 +1,5 @@
-// Failure detection between node processes: disabled unless platform and operators enable it, detection of
-// failed and restarted peers, and requests that a flood of datagrams does not delay.
+// Failure detection between node processes: it is disabled unless both the platform and the operators enable
+// it, detects failed and restarted peers, and a flood of datagrams does not delay requests.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/udp.hpp>
 #include <filesystem>
@@ -13,16 +13,16 @@
 namespace {
 
 namespace asio = boost::asio;
-constexpr const char* kOn =
+constexpr const char* kPeersEnabled =
     "[fleet]\nenabled = true\nperiod_ms = 100\nanswer_ms = 50\nhold_ms = 200\ncalm_ms = 300\n";
-// Of a view whose nodes are all reachable.
+// Log fields of a view in which all nodes are reachable.
 constexpr const char* kThreeOfThree = "reachable_count=3 configured_count=3 connectivity=complete ";
 constexpr const char* kTwoOfTwo = "reachable_count=2 configured_count=2 connectivity=complete ";
-constexpr const char* kPermitted =
+constexpr const char* kPeersPermittedBounds =
     R"("cancel":true,"maxAttempts":3,"maxRetryAfter":2.0,"retryAfter":true,"peers":true,"dialTimeout":0.5,"idleClose":60.0)";
 
-// How many UDP sockets a process has open, by /proc.
-int udp_sockets(pid_t pid) {
+// Counts the open UDP sockets of a process, using /proc.
+int count_udp_sockets(pid_t pid) {
   std::set<std::string> inodes;
   for (const char* table : {"/proc/net/udp", "/proc/net/udp6"}) {
     std::ifstream in(table);
@@ -35,41 +35,42 @@
       inodes.insert("socket:[" + field + "]");
     }
   }
-  int out = 0;
+  int count = 0;
   std::error_code ignored;
   for (const auto& entry :
        std::filesystem::directory_iterator("/proc/" + std::to_string(pid) + "/fd", ignored))
-    out += inodes.contains(std::filesystem::read_symlink(entry, ignored).string()) ? 1 : 0;
-  return out;
+    count += inodes.contains(std::filesystem::read_symlink(entry, ignored).string()) ? 1 : 0;
+  return count;
 }
 
-// Addresses and configurations of a replica set.
+// Creates the addresses and configurations of a replica set.
 class ReplicaSet {
  public:
   explicit ReplicaSet(int count) : addresses_(io_) {
     for (int i = 0; i < count; ++i) peers_.push_back(addresses_.udp(1, i + 1, kPort));
   }
-  // Of a node that has the first `configured_count` of them in its configuration; -1: all.
-  ConfigText config(int number, int configured_count = -1) const {
+  // Configuration of a node that lists the first `configured_count` peers; -1 lists all.
+  ConfigText config(int index, int configured_count = -1) const {
     const std::size_t count =
         configured_count < 0 ? peers_.size() : static_cast<std::size_t>(configured_count);
-    ConfigText out;
-    out.bounds = kPermitted;
-    out.position = number;
-    out.total = static_cast<int>(count);
-    out.peers = "\"peer_listen\":\"" + text_of(peers_[static_cast<std::size_t>(number)]) + "\",\"peers\":[";
-    for (std::size_t i = 0; i < count; ++i) out.peers += (i == 0 ? "\"" : ",\"") + text_of(peers_[i]) + "\"";
-    out.peers += "],";
-    return out;
+    ConfigText result;
+    result.bounds = kPeersPermittedBounds;
+    result.position = index;
+    result.total = static_cast<int>(count);
+    result.peers = "\"peer_listen\":\"" + to_text(peers_[static_cast<std::size_t>(index)]) + "\",\"peers\":[";
+    for (std::size_t i = 0; i < count; ++i)
+      result.peers += (i == 0 ? "\"" : ",\"") + to_text(peers_[i]) + "\"";
+    result.peers += "],";
+    return result;
   }
-  std::unique_ptr<Program> start(int number, const std::string& operators = kOn) const {
-    return std::make_unique<Program>(config(number).text(), 0, true, operators);
+  std::unique_ptr<Program> start(int index, const std::string& operators = kPeersEnabled) const {
+    return std::make_unique<Program>(config(index).text(), 0, true, operators);
   }
-  const asio::ip::udp::endpoint& peer(int number) const { return peers_[static_cast<std::size_t>(number)]; }
+  const asio::ip::udp::endpoint& peer(int index) const { return peers_[static_cast<std::size_t>(index)]; }
 
  private:
   static constexpr unsigned short kPort = 7946;
-  static std::string text_of(const asio::ip::udp::endpoint& endpoint) {
+  static std::string to_text(const asio::ip::udp::endpoint& endpoint) {
     std::ostringstream out;
     out << endpoint;
     return out.str();
@@ -79,38 +80,39 @@
   std::vector<asio::ip::udp::endpoint> peers_;
 };
 
-// The fields of the newest replica_set_changed event.
-std::string newest_view(const Program& program) {
+// The latest replica_set_changed event in the log; empty if there is none.
+std::string latest_view(const Program& program) {
   const std::string log = program.log();
   const std::size_t at = log.rfind("event=replica_set_changed ");
   return at == std::string::npos ? "" : log.substr(at, log.find('\n', at) - at);
 }
-bool view_has(const Program& program, const std::string& what) {
-  return newest_view(program).find(what) != std::string::npos;
+bool latest_view_contains(const Program& program, const std::string& fields) {
+  return latest_view(program).find(fields) != std::string::npos;
 }
 
 TEST(Peers, AreDisabledUnlessThePlatformAndTheOperatorsEnableThem) {
   const ReplicaSet replica_set(2);
   struct Case {
-    const char* what;
-    bool permitted, addresses;
+    const char* description;
+    bool is_permitted, has_addresses;
     std::string operators;
   };
-  const std::string off = "[fleet]\nenabled = false\n";
-  for (const Case& c : {Case{"no file", true, true, ""}, Case{"a file that disables it", true, true, off},
-                        Case{"an empty file", true, true, "# nothing\n"},
-                        Case{"the platform does not permit it", false, true, kOn},
-                        Case{"no addresses are configured", true, false, kOn}}) {
+  const std::string disabled = "[fleet]\nenabled = false\n";
+  for (const Case& test_case :
+       {Case{"no file", true, true, ""}, Case{"a file that disables it", true, true, disabled},
+        Case{"an empty file", true, true, "# nothing\n"},
+        Case{"the platform does not permit it", false, true, kPeersEnabled},
+        Case{"no addresses are configured", true, false, kPeersEnabled}}) {
     ConfigText config = replica_set.config(0);
-    if (!c.permitted) config.bounds = ConfigText().bounds;
-    if (!c.addresses) config.peers.clear();
-    Program program(config.text(), 0, true, c.operators);
-    EXPECT_EQ(udp_sockets(program.pid()), 0) << c.what;
+    if (!test_case.is_permitted) config.bounds = ConfigText().bounds;
+    if (!test_case.has_addresses) config.peers.clear();
+    Program program(config.text(), 0, true, test_case.operators);
+    EXPECT_EQ(count_udp_sockets(program.pid()), 0) << test_case.description;
     for (const char* event : {"fleet:", "event=replica_set_changed", "event=node_"})
-      EXPECT_EQ(program.logged(event), 0) << c.what;
+      EXPECT_EQ(program.logged(event), 0) << test_case.description;
   }
   const auto program = replica_set.start(0);
-  EXPECT_EQ(udp_sockets(program->pid()), 1) << "enabled, it opens one";
+  EXPECT_EQ(count_udp_sockets(program->pid()), 1) << "one UDP socket when enabled";
 }
 
 TEST(Peers, WhenDisabledRequestsToServersAreUnchanged) {
@@ -138,23 +140,24 @@
   const ReplicaSet replica_set(3);
   std::vector<std::unique_ptr<Program>> nodes;
   for (int i = 0; i < 3; ++i) nodes.push_back(replica_set.start(i));
-  for (const auto& node : nodes) EXPECT_TRUE(eventually([&] { return view_has(*node, kThreeOfThree); }));
+  for (const auto& node : nodes)
+    EXPECT_TRUE(eventually([&] { return latest_view_contains(*node, kThreeOfThree); }));
   nodes[1]->kill();
   for (const int i : {0, 2}) {
     Program& node = *nodes[static_cast<std::size_t>(i)];
     EXPECT_TRUE(eventually([&] {
-      return view_has(node,
-                      "live_count=2 max_count=3 reachable_count=2 configured_count=3 connectivity=partial ");
-    })) << newest_view(node);
+      return latest_view_contains(
+          node, "live_count=2 max_count=3 reachable_count=2 configured_count=3 connectivity=partial ");
+    })) << latest_view(node);
     EXPECT_GE(node.logged("event=node_failed node=1 previous=suspect "), 1);
   }
-  EXPECT_TRUE(eventually([&] { return view_has(*nodes[2], "rank=1 live_count=2 "); }))
-      << "its rank has moved up";
+  EXPECT_TRUE(eventually([&] { return latest_view_contains(*nodes[2], "rank=1 live_count=2 "); }))
+      << "the failed node no longer counts in its rank";
   nodes[1] = replica_set.start(1);
   for (const auto& node : nodes)
     EXPECT_TRUE(eventually([&] {
-      return view_has(*node,
-                      "live_count=3 max_count=3 reachable_count=3 configured_count=3 connectivity=complete ");
+      return latest_view_contains(
+          *node, "live_count=3 max_count=3 reachable_count=3 configured_count=3 connectivity=complete ");
     }));
 }
 
@@ -162,15 +165,16 @@
   const ReplicaSet replica_set(3);
   std::vector<std::unique_ptr<Program>> nodes;
   for (int i = 0; i < 3; ++i) nodes.push_back(replica_set.start(i));
-  for (const auto& node : nodes) EXPECT_TRUE(eventually([&] { return view_has(*node, kThreeOfThree); }));
+  for (const auto& node : nodes)
+    EXPECT_TRUE(eventually([&] { return latest_view_contains(*node, kThreeOfThree); }));
   nodes[1]->signal(SIGTERM);
   EXPECT_EQ(nodes[1]->exit_status(), 0);
   for (const int i : {0, 2}) {
     Program& node = *nodes[static_cast<std::size_t>(i)];
     EXPECT_TRUE(eventually([&] {
-      return view_has(node,
-                      "live_count=2 max_count=2 reachable_count=2 configured_count=3 connectivity=complete ");
-    })) << newest_view(node);
+      return latest_view_contains(
+          node, "live_count=2 max_count=2 reachable_count=2 configured_count=3 connectivity=complete ");
+    })) << latest_view(node);
     EXPECT_EQ(node.logged("event=node_left node=1 previous=alive "), 1);
     EXPECT_EQ(node.logged("event=node_suspected node=1 previous=alive "), 0);
   }
@@ -180,14 +184,15 @@
   const ReplicaSet replica_set(3);
   std::vector<std::unique_ptr<Program>> nodes;
   for (int i = 0; i < 3; ++i) nodes.push_back(replica_set.start(i));
-  for (const auto& node : nodes) EXPECT_TRUE(eventually([&] { return view_has(*node, kThreeOfThree); }));
+  for (const auto& node : nodes)
+    EXPECT_TRUE(eventually([&] { return latest_view_contains(*node, kThreeOfThree); }));
   nodes[0]->signal(SIGSTOP);
   EXPECT_TRUE(eventually([&] { return nodes[1]->logged("event=node_failed node=0 previous=suspect ") > 0; }));
   nodes[0]->signal(SIGCONT);
   for (const auto& node : nodes)
     EXPECT_TRUE(eventually([&] {
-      return view_has(*node,
-                      "live_count=3 max_count=3 reachable_count=3 configured_count=3 connectivity=complete ");
+      return latest_view_contains(
+          *node, "live_count=3 max_count=3 reachable_count=3 configured_count=3 connectivity=complete ");
     }));
   EXPECT_GE(nodes[0]->logged("event=event_loop_paused for="), 1);
   EXPECT_EQ(nodes[0]->logged("event=node_failed "), 0);
@@ -197,33 +202,35 @@
   const ReplicaSet replica_set(4);
   std::vector<std::unique_ptr<Program>> nodes;
   for (int i = 0; i < 2; ++i)
-    nodes.push_back(std::make_unique<Program>(replica_set.config(i, 2).text(), 0, true, kOn));
-  for (const auto& node : nodes) EXPECT_TRUE(eventually([&] { return view_has(*node, kTwoOfTwo); }));
+    nodes.push_back(std::make_unique<Program>(replica_set.config(i, 2).text(), 0, true, kPeersEnabled));
+  for (const auto& node : nodes)
+    EXPECT_TRUE(eventually([&] { return latest_view_contains(*node, kTwoOfTwo); }));
   for (int i = 2; i < 4; ++i) nodes.push_back(replica_set.start(i));
   EXPECT_TRUE(eventually([&] { return nodes[2]->logged("event=node_failed node=0 previous=suspect ") > 0; }))
-      << "the old nodes do not know it, and do not answer";
+      << "the old nodes do not have the new node configured and do not respond to it";
   EXPECT_TRUE(eventually([&] {
-    return view_has(*nodes[2], "rank=2 live_count=4 max_count=4 ") &&
-           view_has(*nodes[2], "connectivity=partitioned ");
-  })) << "as configured: "
-      << newest_view(*nodes[2]);
+    return latest_view_contains(*nodes[2], "rank=2 live_count=4 max_count=4 ") &&
+           latest_view_contains(*nodes[2], "connectivity=partitioned ");
+  })) << "a partitioned node uses its configured counts: "
+      << latest_view(*nodes[2]);
   for (int i = 0; i < 2; ++i) {
     const Program& old = *nodes[static_cast<std::size_t>(i)];
-    EXPECT_TRUE(view_has(old, kTwoOfTwo)) << newest_view(old);
+    EXPECT_TRUE(latest_view_contains(old, kTwoOfTwo)) << latest_view(old);
     EXPECT_EQ(old.logged("event=node_failed "), 0);
   }
   for (int i = 0; i < 2; ++i) {
-    nodes[static_cast<std::size_t>(i)].reset();  // shut down, and started with the longer list
+    nodes[static_cast<std::size_t>(i)].reset();  // restart with all four peers configured
     nodes[static_cast<std::size_t>(i)] = replica_set.start(i);
   }
   for (const auto& node : nodes)
     EXPECT_TRUE(eventually([&] {
-      return view_has(*node,
-                      "live_count=4 max_count=4 reachable_count=4 configured_count=4 connectivity=complete ");
-    })) << newest_view(*node);
+      return latest_view_contains(
+          *node, "live_count=4 max_count=4 reachable_count=4 configured_count=4 connectivity=complete ");
+    })) << latest_view(*node);
 }
 
-// Isolated from peers and servers alike, where the operators enable it; it ends as soon as a server answers.
+// A node that reaches neither peers nor servers rejects requests if the operators enable it, until a server
+// responds again.
 TEST(Peers, AnIsolatedNodeRejectsRequestsWhereOperatorsEnableIt) {
   for (const bool is_enabled : {true, false}) {
     const ReplicaSet replica_set(2);
@@ -232,9 +239,10 @@
     const int port = std::stoi(address.substr(address.find(':') + 1));
     ConfigText config = replica_set.config(0);
     config.known = endpoint_list_json(7, true, endpoint_json("s0", address));
-    const std::string operators = std::string(kOn) + (is_enabled ? "refuse_when_cut_off = true\n" : "");
+    const std::string operators =
+        std::string(kPeersEnabled) + (is_enabled ? "refuse_when_cut_off = true\n" : "");
     Program node(config.text(), 0, true, operators);
-    const auto health = [&node] {
+    const auto health_status = [&node] {
       RawConnection connection = RawConnection::connect_to(node.port());
       connection.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
       return status_of(connection.read_message());
@@ -245,31 +253,31 @@
       connection.write(ClientRequest{.id = "c" + std::to_string(++requests), .timeout = "2000"}.text());
       return connection.read_message();
     };
-    EXPECT_EQ(status_of(send_request()), 200) << "no peer is reachable, and it serves";
-    EXPECT_EQ(health(), 200);
+    EXPECT_EQ(status_of(send_request()), 200) << "serves although no peer is reachable";
+    EXPECT_EQ(health_status(), 200);
     server.reset();
     if (is_enabled) {
       EXPECT_TRUE(eventually([&] {
         send_request();
-        return health() == 503;
+        return health_status() == 503;
       }));
       EXPECT_NE(field_of(send_request(), "Retry-After"), "");
     } else {
       for (int i = 0; i < 40; ++i) send_request();
-      EXPECT_EQ(health(), 200);
+      EXPECT_EQ(health_status(), 200);
     }
-    FakeServer back(replies(200, "ok"), port);
+    FakeServer restored_server(replies(200, "ok"), port);
     EXPECT_TRUE(eventually([&] {
       send_request();
-      return health() == 200 && status_of(send_request()) == 200;
+      return health_status() == 200 && status_of(send_request()) == 200;
     })) << is_enabled;
   }
 }
 
-TEST(Peers, SigusrLogsAReportAsALineOfJson) {
+TEST(Peers, Sigusr1LogsAJsonReport) {
   const ReplicaSet replica_set(2);
   const auto a = replica_set.start(0), b = replica_set.start(1);
-  EXPECT_TRUE(eventually([&] { return view_has(*a, "connectivity=complete "); }));
+  EXPECT_TRUE(eventually([&] { return latest_view_contains(*a, "connectivity=complete "); }));
   a->signal(SIGUSR1);
   EXPECT_TRUE(eventually([&] { return a->logged("fleet: {") == 1; }));
   const std::string log = a->log();
@@ -277,7 +285,7 @@
                            "\"bytes_a_second\":", "\"damaged\":0"})
     EXPECT_NE(log.find(part), std::string::npos) << part;
   a->signal(SIGUSR1);
-  EXPECT_TRUE(eventually([&] { return a->logged("fleet: {") == 2; })) << "each time";
+  EXPECT_TRUE(eventually([&] { return a->logged("fleet: {") == 2; })) << "one report per signal";
 }
 
 TEST(Peers, AFloodOfDatagramsDelaysNoRequestAndIsCounted) {
@@ -285,25 +293,26 @@
   FakeServer server(replies(200, "ok"));
   ConfigText config = replica_set.config(0);
   config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
-  Program node(config.text(), 0, true, kOn);
-  const auto other = replica_set.start(1);
-  EXPECT_TRUE(eventually([&] { return view_has(node, "connectivity=complete "); }));
-  std::atomic<bool> over = false;
+  Program node(config.text(), 0, true, kPeersEnabled);
+  const auto peer = replica_set.start(1);
+  EXPECT_TRUE(eventually([&] { return latest_view_contains(node, "connectivity=complete "); }));
+  std::atomic<bool> is_done = false;
   std::thread flood([&] {
     asio::io_context io;
     asio::ip::udp::socket socket(io, {asio::ip::address_v4::loopback(), 0});
-    membership::Message m;  // well formed, and from nobody's address
-    m.kind = membership::MessageKind::kLeaving;
-    m.replica_set_id = membership::replica_set_id_of("thymewood");
-    m.sender = 1;
-    m.incarnation = ~membership::Incarnation{0};
-    const membership::Datagram good = membership::encode(m);
-    std::vector<std::uint8_t> noise(300, 'x');
+    membership::Message message;  // well formed, but sent from an unknown address
+    message.kind = membership::MessageKind::kLeaving;
+    message.replica_set_id = membership::replica_set_id_of("thymewood");
+    message.sender = 1;
+    message.incarnation = ~membership::Incarnation{0};
+    const membership::Datagram valid_datagram = membership::encode(message);
+    std::vector<std::uint8_t> invalid_bytes(300, 'x');
     boost::system::error_code ignored;
-    for (int i = 0; i < 200000 && !over; ++i) {
-      socket.send_to(asio::buffer(good.bytes.data(), good.size), replica_set.peer(0), 0, ignored);
-      socket.send_to(asio::buffer(noise.data(), static_cast<std::size_t>(i % 300)), replica_set.peer(0), 0,
+    for (int i = 0; i < 200000 && !is_done; ++i) {
+      socket.send_to(asio::buffer(valid_datagram.bytes.data(), valid_datagram.size), replica_set.peer(0), 0,
                      ignored);
+      socket.send_to(asio::buffer(invalid_bytes.data(), static_cast<std::size_t>(i % 300)),
+                     replica_set.peer(0), 0, ignored);
     }
   });
   RawConnection client = RawConnection::connect_to(node.port());
@@ -311,36 +320,38 @@
     client.write(ClientRequest{.id = "r" + std::to_string(i)}.text());
     ASSERT_EQ(status_of(client.read_message()), 200);
   }
-  over = true;
+  is_done = true;
   flood.join();
   node.signal(SIGUSR1);
   EXPECT_TRUE(eventually([&] { return node.logged("fleet: {") == 1; }));
   const std::string log = node.log();
-  EXPECT_EQ(log.find("\"strangers\":0,"), std::string::npos) << "counted as dropped";
+  EXPECT_EQ(log.find("\"strangers\":0,"), std::string::npos)
+      << "datagrams from unknown addresses are counted as dropped";
   EXPECT_EQ(log.find("\"short\":0,"), std::string::npos);
-  EXPECT_EQ(node.logged("event=node_left node=1 previous=alive "), 0) << "and not applied";
+  EXPECT_EQ(node.logged("event=node_left node=1 previous=alive "), 0) << "and are not applied";
 }
 
 TEST(Peers, InvalidConfigurationsFailAtStartup) {
   const ReplicaSet replica_set(2);
-  const auto ends = [](const std::string& config, const std::string& operators) {
+  const auto startup_error = [](const std::string& config, const std::string& operators) {
     Program program(config, 0, false, operators);
     EXPECT_EQ(program.exit_status(), 2);
     return program.log();
   };
-  EXPECT_NE(ends(replica_set.config(0).text(), "[fleet]\nenabled = 7\n").find(":2: 'enabled'"),
+  EXPECT_NE(startup_error(replica_set.config(0).text(), "[fleet]\nenabled = 7\n").find(":2: 'enabled'"),
             std::string::npos);
   ConfigText config = replica_set.config(0);
   config.peers = R"("peer_listen":"127.0.0.1:x","peers":["127.0.0.1:7946"],)";
-  EXPECT_NE(ends(config.text(), kOn).find("peer_listen"), std::string::npos);
+  EXPECT_NE(startup_error(config.text(), kPeersEnabled).find("peer_listen"), std::string::npos);
   config.peers = R"("peer_listen":"127.0.0.1:7946","peers":["127.0.0.1:7946",3],)";
-  EXPECT_NE(ends(config.text(), kOn).find("peers"), std::string::npos);
+  EXPECT_NE(startup_error(config.text(), kPeersEnabled).find("peers"), std::string::npos);
   config = replica_set.config(1);
   config.peers = R"("peer_listen":"127.0.0.1:7946","peers":["127.0.0.1:7946"],)";
-  EXPECT_NE(ends(config.text(), kOn).find("own position"), std::string::npos);
-  const auto taken = replica_set.start(0);
-  EXPECT_NE(ends(replica_set.config(0).text(), kOn).find("peer_listen: "), std::string::npos)
-      << "the address is taken";
+  EXPECT_NE(startup_error(config.text(), kPeersEnabled).find("own position"), std::string::npos);
+  const auto running_node = replica_set.start(0);
+  EXPECT_NE(startup_error(replica_set.config(0).text(), kPeersEnabled).find("peer_listen: "),
+            std::string::npos)
+      << "the address is already in use";
 }
 
 }  // namespace
--- a/tests/node/stale_endpoints_test.cpp
+++ b/tests/node/stale_endpoints_test.cpp
@@ -1,12 +1,12 @@
-// A node whose endpoint list is stale: discovery is down, or too overloaded to respond.
+// Behavior of a node with a stale endpoint list: discovery is down or too overloaded to respond.
 #include "scripted_discovery.h"
 
 namespace thymewood::node {
 namespace {
 
-constexpr double kNotified = 6;  // s; after which a change that discovery has counts as notified
-constexpr double kGrace = 1;     // s; grace period for requests to a draining server
-constexpr double kSlack = 0.05;  // s; the tolerance of the protocol
+constexpr double kMaxNotificationDelay = 6;  // s; a change at discovery counts as notified after this time
+constexpr double kDrainGracePeriod = 1;      // s; during which a draining server may still get requests
+constexpr double kTolerance = 0.05;          // s; tolerance of the protocol
 
 // Sends one request and returns its status.
 int status_of_request(int port, const std::string& id) {
@@ -15,35 +15,35 @@
   return status_of(client.read_message());
 }
 
-// Discovery that serves one watch, and is overloaded after become_overloaded(): each call gets a 503 after
-// `response_delay`.
+// A fake discovery that serves one watch until become_overloaded() is called. Each further request gets a 503
+// after `response_delay`.
 class OverloadedDiscovery {
  public:
   explicit OverloadedDiscovery(std::chrono::milliseconds response_delay)
       : script_([this, response_delay](RawConnection& connection, int call) {
           if (call == 0) {
             connection.write(kWatchResponseHead + chunk("\n"));
-            while (!is_overloaded_ && !is_over_ && connection.write(chunk("\n")))
+            while (!is_overloaded_ && !is_stopping_ && connection.write(chunk("\n")))
               std::this_thread::sleep_for(100ms);
             return;
           }
-          for (const auto until = Steady::now() + response_delay; !is_over_ && Steady::now() < until;)
+          for (const auto end = Steady::now() + response_delay; !is_stopping_ && Steady::now() < end;)
             std::this_thread::sleep_for(10ms);
           connection.write(http_response(503, ""));
         }) {}
-  ~OverloadedDiscovery() { is_over_ = true; }
+  ~OverloadedDiscovery() { is_stopping_ = true; }
   void become_overloaded() { is_overloaded_ = true; }
   ScriptedDiscovery& script() { return script_; }
 
  private:
-  std::atomic<bool> is_overloaded_ = false, is_over_ = false;
+  std::atomic<bool> is_overloaded_ = false, is_stopping_ = false;
   ScriptedDiscovery script_;
 };
 
 TEST(StaleEndpointList, DrainingServerGetsNoRequestsOnceItsDrainCountsAsNotified) {
   std::atomic<bool> is_draining = false;
   std::mutex mutex;
-  std::vector<Steady::time_point> rejected;  // by the draining server
+  std::vector<Steady::time_point> rejected;  // times of requests rejected by the draining server
   FakeServer draining_server([&](RawConnection& connection, const std::string&) {
     if (!is_draining) return connection.write(http_response(200, "ok"));
     {
@@ -59,8 +59,8 @@
                                        endpoint_json("s0", draining_server.address()) + "," +
                                            endpoint_json("s1", ready_server.address())));
   int requests = 0, served = 0;
-  const auto send_until = [&](Steady::time_point until) {
-    while (Steady::now() < until) {
+  const auto send_until = [&](Steady::time_point end) {
+    while (Steady::now() < end) {
       const std::string id = "r" + std::to_string(++requests);
       served += status_of_request(node.program->port(), id) == 200 ? 1 : 0;
       std::this_thread::sleep_for(20ms);
@@ -70,28 +70,29 @@
   ASSERT_GT(draining_server.requests().size(), 0U);
   discovery.become_overloaded();
   is_draining = true;
-  const auto began = Steady::now();
-  send_until(began + 9s);
+  const auto drain_start = Steady::now();
+  send_until(drain_start + 9s);
   const std::lock_guard lock(mutex);
   ASSERT_FALSE(rejected.empty());
-  EXPECT_LT(seconds_between(began, rejected.back()), kNotified + kGrace + kSlack);
-  EXPECT_GT(served, requests * 9 / 10) << "the ready server stays in use, of " << requests;
+  EXPECT_LT(seconds_between(drain_start, rejected.back()),
+            kMaxNotificationDelay + kDrainGracePeriod + kTolerance);
+  EXPECT_GT(served, requests * 9 / 10) << "the ready server must stay in use; requests sent: " << requests;
 }
 
-// Discovery needs 6 s for one call of each node. It is down for 5 s, and a third of the nodes restart while
-// it is still busy with the others.
+// Discovery needs 6 s to serve one request from each node. It is down for 5 s, and a third of the nodes
+// restart while it is still serving the others.
 TEST(StaleEndpointList, ReplicasGetTheirListsFromAnOverloadedDiscovery) {
   constexpr int kNodes = 20, kRestarted = 7;
   FakeServer server(replies(200, "ok"));
   QueueingDiscovery discovery(300ms, 2000ms);
   const std::string known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
-  const auto start_node = [&](int number) {
+  const auto start_node = [&](int index) {
     ConfigText text;
     text.known = known;
     text.discovery = discovery.address();
-    text.position = number;
+    text.position = index;
     text.total = kNodes;
-    text.seed = std::to_string(number + 1);
+    text.seed = std::to_string(index + 1);
     return std::make_unique<Program>(text.text());
   };
   std::vector<std::unique_ptr<Program>> nodes;
@@ -100,24 +101,24 @@
   discovery.go_down();
   std::this_thread::sleep_for(5s);
   discovery.come_up(endpoint_list_json(8, true, endpoint_json("s0", server.address())));
-  const auto back = Steady::now();
+  const auto up_since = Steady::now();
   std::this_thread::sleep_for(2500ms);
   for (int i = 0; i < kRestarted; ++i) nodes[static_cast<std::size_t>(i)]->kill();
   for (int i = 0; i < kRestarted; ++i) nodes[static_cast<std::size_t>(i)] = start_node(i);
   EXPECT_TRUE(eventually([&] { return discovery.watches() == kNodes; }))
-      << discovery.watches() << " of " << kNodes << " nodes have the list; " << discovery.rejected_calls()
-      << " calls were rejected";
-  EXPECT_LT(seconds_since(back), 18);
+      << discovery.watches() << " of " << kNodes << " nodes have an open watch; "
+      << discovery.rejected_calls() << " requests were rejected";
+  EXPECT_LT(seconds_since(up_since), 18);
   EXPECT_LT(discovery.rejected_calls(), kNodes);
 }
 
-// Two calls that are rejected at once do not delay the list beyond the 6 s.
+// Two requests that discovery rejects immediately must not delay the list beyond 6 s.
 TEST(StaleEndpointList, IsRenewedInTimeWhenCallsAreRejectedAtOnce) {
   FakeServer server(replies(200, "ok"));
-  std::atomic<bool> down = true;
-  std::atomic<int> since_up = 0;
+  std::atomic<bool> is_down = true;
+  std::atomic<int> calls_since_up = 0;
   ScriptedDiscovery discovery([&](RawConnection& connection, int) {
-    if (down || ++since_up <= 2) {
+    if (is_down || ++calls_since_up <= 2) {
       connection.write(http_response(503, ""));
       return;
     }
@@ -126,28 +127,28 @@
   });
   WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
   std::this_thread::sleep_for(8s);
-  down = false;
-  const auto back = Steady::now();
-  ASSERT_TRUE(eventually([&] { return since_up == 3; }));
-  EXPECT_LT(seconds_since(back), kNotified);
+  is_down = false;
+  const auto up_since = Steady::now();
+  ASSERT_TRUE(eventually([&] { return calls_since_up == 3; }));
+  EXPECT_LT(seconds_since(up_since), kMaxNotificationDelay);
 }
 
-// A stale list is no reason to reject requests: a server that responds stays in use.
+// A stale list alone must not cause rejections: servers that respond stay in use.
 TEST(StaleEndpointList, RespondingServersStayInUseThroughALongOutage) {
-  FakeServer one(replies(200, "ok")), two(replies(200, "ok"));
+  FakeServer server_a(replies(200, "ok")), server_b(replies(200, "ok"));
   OverloadedDiscovery discovery(1s);
   WatchingNode node(discovery.script(), endpoint_list_json(7, true,
-                                                           endpoint_json("s0", one.address()) + "," +
-                                                               endpoint_json("s1", two.address())));
+                                                           endpoint_json("s0", server_a.address()) + "," +
+                                                               endpoint_json("s1", server_b.address())));
   ASSERT_EQ(node.status(), 200);
   discovery.become_overloaded();
   int requests = 0, served = 0;
-  for (const auto until = Steady::now() + 12s; Steady::now() < until; std::this_thread::sleep_for(100ms))
+  for (const auto end = Steady::now() + 12s; Steady::now() < end; std::this_thread::sleep_for(100ms))
     served += status_of_request(node.program->port(), "u" + std::to_string(++requests)) == 200 ? 1 : 0;
   EXPECT_EQ(served, requests);
 }
 
-// Nor does an idle time end the service: a server is tested by a request, and its response confirms it.
+// Neither must an idle period: a server is probed with a request, and its response confirms it as usable.
 TEST(StaleEndpointList, NodeServesAfterAnIdleTimeInALongOutage) {
   FakeServer server(replies(200, "ok"));
   OverloadedDiscovery discovery(1s);
--- a/tests/node/wall_clock_test.cpp
+++ b/tests/node/wall_clock_test.cpp
@@ -1,5 +1,5 @@
-// A wall clock that is wrong or stepped. Durations follow the steady clock; only the start times of servers
-// depend on the wall clock.
+// Behavior with a wall clock that is wrong or stepped. Durations use the steady clock; only the start times
+// of servers depend on the wall clock.
 #include <ctime>
 
 #include "fault_plan.h"
@@ -10,50 +10,54 @@
 namespace thymewood::node {
 namespace {
 
-constexpr std::int64_t kHour = 3600 * 1000, kNow = 1'800'000'000'000;  // ms of Unix time
+constexpr std::int64_t kHourMs = 3600 * 1000, kNowMs = 1'800'000'000'000;  // in ms; kNowMs is Unix time
 
 TEST(StartTimes, UseTheWallClockByDefault) {
   StartTimes start_times;
-  EXPECT_EQ(start_times.started_at("a", 0, {10, kNow}), 0) << "long ago";
-  EXPECT_DOUBLE_EQ(start_times.started_at("b", kNow - 3000, {10, kNow}), 7);
+  EXPECT_EQ(start_times.started_at("a", 0, {10, kNowMs}), 0) << "0 means long ago";
+  EXPECT_DOUBLE_EQ(start_times.started_at("b", kNowMs - 3000, {10, kNowMs}), 7);
 }
 
 TEST(StartTimes, FutureStartCountsAsNow) {
   StartTimes start_times;
-  EXPECT_DOUBLE_EQ(start_times.started_at("a", kNow + kHour, {10, kNow}), 10);
+  EXPECT_DOUBLE_EQ(start_times.started_at("a", kNowMs + kHourMs, {10, kNowMs}), 10);
 }
 
-// A wall clock that is an hour ahead must not make a server that has just started count as warmed up.
+// A wall clock that is one hour ahead must not make a newly started server appear warmed up.
 TEST(StartTimes, StartMissingFromACurrentListIsRecent) {
   StartTimes start_times;
   start_times.set_list_current_until(99);
-  EXPECT_DOUBLE_EQ(start_times.started_at("a", kNow - kHour, {100, kNow}), 100) << "the wall clock is wrong";
-  EXPECT_DOUBLE_EQ(start_times.started_at("b", kNow - 2000, {100, kNow}), 98) << "it may be right";
+  EXPECT_DOUBLE_EQ(start_times.started_at("a", kNowMs - kHourMs, {100, kNowMs}), 100)
+      << "contradicts the list, so the wall clock is wrong";
+  EXPECT_DOUBLE_EQ(start_times.started_at("b", kNowMs - 2000, {100, kNowMs}), 98)
+      << "consistent with the list";
 }
 
 TEST(StartTimes, DoNotChangeWhenTheWallClockIsStepped) {
   StartTimes start_times;
-  const double first = start_times.started_at("a", kNow - 3000, {10, kNow});
-  EXPECT_EQ(start_times.started_at("a", kNow - 3000, {20, kNow + kHour}), first);
-  EXPECT_EQ(start_times.started_at("a", kNow - 3000, {30, kNow - kHour}), first);
-  EXPECT_NE(start_times.started_at("a", kNow + 15000, {30, kNow + 20000}), first) << "another start";
+  const double first = start_times.started_at("a", kNowMs - 3000, {10, kNowMs});
+  EXPECT_EQ(start_times.started_at("a", kNowMs - 3000, {20, kNowMs + kHourMs}), first);
+  EXPECT_EQ(start_times.started_at("a", kNowMs - 3000, {30, kNowMs - kHourMs}), first);
+  EXPECT_NE(start_times.started_at("a", kNowMs + 15000, {30, kNowMs + 20000}), first)
+      << "a different start time is a restart";
 }
 
 TEST(StartTimes, FollowTheClockOfDiscovery) {
   StartTimes start_times;
-  start_times.set_discovery_time({10, kNow + kHour}, kNow);
-  EXPECT_NEAR(start_times.started_at("a", kNow - 3000, {10, kNow + kHour}), 7, 1);
-  StartTimes close;
-  close.set_discovery_time({10, kNow}, kNow - 900);
-  EXPECT_DOUBLE_EQ(close.started_at("a", kNow - 3000, {10, kNow}), 7) << "within the field's resolution";
+  start_times.set_discovery_time({10, kNowMs + kHourMs}, kNowMs);
+  EXPECT_NEAR(start_times.started_at("a", kNowMs - 3000, {10, kNowMs + kHourMs}), 7, 1);
+  StartTimes within_resolution;
+  within_resolution.set_discovery_time({10, kNowMs}, kNowMs - 900);
+  EXPECT_DOUBLE_EQ(within_resolution.started_at("a", kNowMs - 3000, {10, kNowMs}), 7)
+      << "within the field's resolution";
 }
 
 TEST(StartTimes, AreRetainedForARemovedServerThatReturns) {
   StartTimes start_times;
-  const double first = start_times.started_at("a", kNow - 3000, {10, kNow});
+  const double first = start_times.started_at("a", kNowMs - 3000, {10, kNowMs});
   start_times.on_removed("a", 20);
   start_times.set_list_current_until(99);
-  EXPECT_EQ(start_times.started_at("a", kNow - 3000, {100, kNow + 90000}), first);
+  EXPECT_EQ(start_times.started_at("a", kNowMs - 3000, {100, kNowMs + 90000}), first);
 }
 
 TEST(HttpDate, IsParsedInItsPreferredFormOnly) {
@@ -62,7 +66,7 @@
   EXPECT_FALSE(parse_http_date(""));
 }
 
-// A node whose wall clock is off by GetParam() seconds from its start.
+// A node whose wall clock has an offset of GetParam() seconds from startup.
 class WrongWallClock : public testing::TestWithParam<int> {
  protected:
   WrongWallClock() : faults_(testing::TempDir() + "/wall_" + std::to_string(::getpid()) + ".faults") {
@@ -72,7 +76,7 @@
     }
     step(GetParam());
   }
-  static void in_child() {
+  static void set_child_environment() {
     for (const char* name : {"LD_PRELOAD", "FLEET_FAULTS", "ASAN_OPTIONS"}) {
       if (const char* value = std::getenv((std::string("CHILD_") + name).c_str())) ::setenv(name, value, 1);
     }
@@ -87,16 +91,16 @@
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
                        std::chrono::system_clock::now().time_since_epoch())
                        .count();
-  std::string out = endpoint_json(name, address);
-  return out.replace(out.find("\"since_ms\":0"), 12, "\"since_ms\":" + std::to_string(now));
+  std::string endpoint = endpoint_json(name, address);
+  return endpoint.replace(endpoint.find("\"since_ms\":0"), 12, "\"since_ms\":" + std::to_string(now));
 }
 
-// A server that has just started gets few requests at first, whatever the node's wall clock reads.
+// A newly started server gets few requests at first, whatever the offset of the node's wall clock.
 TEST_P(WrongWallClock, LeavesANewServerWarmingUp) {
   FakeServer warmed_up(replies(200, "ok")), warming_up(replies(200, "ok"));
   ConfigText text;
   text.rules = R"("askWithin":10.0,"startCapacity":0.1,"rampTime":60.0)";
-  Deployment d({&warmed_up}, text, 0, in_child);
+  Deployment d({&warmed_up}, text, 0, set_child_environment);
   int requests = 0;
   const auto status = [&] {
     RawConnection client = d.client();
@@ -112,17 +116,17 @@
   for (int i = 0; i < 200; ++i) EXPECT_EQ(status(), 200);
   const std::size_t to_warmed_up = warmed_up.requests().size() - before;
   EXPECT_EQ(warming_up.requests().size() + to_warmed_up, 200U);
-  EXPECT_LE(warming_up.requests().size(), 10U) << "it is warming up";
+  EXPECT_LE(warming_up.requests().size(), 10U) << "limited by slow start";
 }
 
-// Deadlines and the graceful shutdown, over a step of the wall clock.
+// Request deadlines and the graceful shutdown must not depend on steps of the wall clock.
 TEST_P(WrongWallClock, DoesNotAffectDurations) {
   step(0);
-  FakeServer hangs([](RawConnection&, const std::string&) { return true; });
-  Deployment d({&hangs}, {}, 0, in_child);
+  FakeServer hanging_server([](RawConnection&, const std::string&) { return true; });
+  Deployment d({&hanging_server}, {}, 0, set_child_environment);
   RawConnection client = d.client();
   client.write(ClientRequest{.id = "waits", .timeout = "1500"}.text());
-  ASSERT_TRUE(eventually([&] { return hangs.requests().size() == 1; }));
+  ASSERT_TRUE(eventually([&] { return hanging_server.requests().size() == 1; }));
   const auto start = Steady::now();
   step(GetParam());
   EXPECT_EQ(status_of(client.read_message()), 502);
@@ -137,7 +141,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Steps, WrongWallClock, testing::Values(-3600, -5, 5, 3600),
                          [](const testing::TestParamInfo<int>& info) {
-                           return (info.param < 0 ? "Back" : "On") + std::to_string(std::abs(info.param));
+                           return (info.param < 0 ? "Behind" : "Ahead") +
+                                  std::to_string(std::abs(info.param));
                          });
 
 }  // namespace
--- a/tests/node/watch_test.cpp
+++ b/tests/node/watch_test.cpp
@@ -1,57 +1,59 @@
-// The endpoint list and the watches that deliver it: silent, reset, fragmented, out of order. What a watch
-// misses counts as notified 6 s after it fell silent, and 4 s after a new configuration.
+// Endpoint lists and watches that are silent, broken, fragmented or out of order. A change that a watch
+// misses counts as notified 6 s after the watch became silent, and 4 s after a new configuration.
 #include "scripted_discovery.h"
 
 namespace thymewood::node {
 namespace {
 
 std::string indented(const std::string& json) {
-  std::string out, pad;
-  bool text = false, escaped = false;
+  std::string out, indent;
+  bool in_string = false, is_escaped = false;
   for (const char c : json) {
-    if (c == '"' && !escaped) text = !text;
-    escaped = c == '\\' && !escaped;
-    if (!text && (c == '}' || c == ']'))
-      out += "\n" + pad.substr(0, pad.size() - 2), pad.resize(pad.size() - 2);
+    if (c == '"' && !is_escaped) in_string = !in_string;
+    is_escaped = c == '\\' && !is_escaped;
+    if (!in_string && (c == '}' || c == ']'))
+      out += "\n" + indent.substr(0, indent.size() - 2), indent.resize(indent.size() - 2);
     out += c;
-    if (!text && (c == '{' || c == '[')) out += "\r\n" + (pad += "  ");
-    if (!text && c == ',') out += "\n" + pad;
+    if (!in_string && (c == '{' || c == '[')) out += "\r\n" + (indent += "  ");
+    if (!in_string && c == ',') out += "\n" + indent;
   }
   return out;
 }
 
-// Objects may be indented, with blank lines before, between and behind them.
+// Objects may be indented, with blank lines before, between and after them.
 TEST(EndpointLists, AcceptIndentedObjectsSplitOverChunks) {
   FakeServer server(replies(200, "ok"));
   Deployment d({}, ConfigText{.known = endpoint_list_json(1, true, "")});
-  const std::string odd =
+  const std::string unusual_entry =
       R"({"name":"a}\"{[\\","address":"127.0.0.1:9","status":"draining","note":{"x":[1,{}]}})";
-  const std::string all =
-      "\n\n" + indented(endpoint_list_json(8, true, odd + "," + endpoint_json("s0", server.address()))) +
+  const std::string objects =
+      "\n\n" +
+      indented(endpoint_list_json(8, true, unusual_entry + "," + endpoint_json("s0", server.address()))) +
       "\n\n" + indented(endpoint_list_json(9, false, endpoint_json("s1", server.address(), "draining")));
-  for (std::size_t at = 0; at < all.size(); at += 7)
-    ASSERT_TRUE(d.discovery.push_bytes(chunk(all.substr(at, 7))));
+  for (std::size_t offset = 0; offset < objects.size(); offset += 7)
+    ASSERT_TRUE(d.discovery.push_bytes(chunk(objects.substr(offset, 7))));
   RequestSender requests(*d.program);
   EXPECT_TRUE(eventually([&] { return requests.status() == 200; }));
   ASSERT_TRUE(d.discovery.push_bytes(chunk(
       "\n" + indented(endpoint_list_json(10, false, endpoint_json("s0", server.address(), "draining"))))));
   EXPECT_TRUE(eventually([&] { return requests.status() == 503; }))
-      << "an object is complete at its last brace, whether or not a line ends there";
+      << "an object is complete at its closing brace, even without a line break";
   EXPECT_EQ(d.discovery.calls().size(), 1U) << d.program->log();
 }
 
-// A server that is listed twice has the state of its last entry.
+// If a list contains a server twice, the last entry applies.
 TEST(EndpointLists, LastEntryOfAServerWins) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   RequestSender requests(*d.program);
-  const std::string up = endpoint_json("s0", server.address()),
-                    drain = endpoint_json("s0", server.address(), "draining");
-  d.discovery.push(endpoint_list_json(8, true, up + "," + drain));
+  const std::string ready_entry = endpoint_json("s0", server.address()),
+                    draining_entry = endpoint_json("s0", server.address(), "draining");
+  d.discovery.push(endpoint_list_json(8, true, ready_entry + "," + draining_entry));
   EXPECT_TRUE(eventually([&] { return requests.status() == 503; }));
-  d.discovery.push(endpoint_list_json(9, true, drain + "," + up));
+  d.discovery.push(endpoint_list_json(9, true, draining_entry + "," + ready_entry));
   EXPECT_TRUE(eventually([&] { return requests.status() == 200; }));
-  d.discovery.push(endpoint_list_json(10, false, up) + endpoint_list_json(11, false, drain));
+  d.discovery.push(endpoint_list_json(10, false, ready_entry) +
+                   endpoint_list_json(11, false, draining_entry));
   EXPECT_TRUE(eventually([&] { return requests.status() == 503; }));
   d.discovery.push(endpoint_list_json(12, true, ""));
   EXPECT_TRUE(eventually([&] { return server.listener().open() == 0; }));
@@ -59,45 +61,47 @@
   EXPECT_EQ(d.discovery.calls().size(), 1U);
 }
 
-// A server whose entry cannot be read gets no new requests until it can be; the other entries of the same
-// list count.
+// A server with a malformed entry gets no new requests until a valid entry arrives. The other entries of the
+// list are applied.
 TEST(EndpointLists, UnreadableEntryDoesNotAffectTheOthers) {
   const char* const unreadable_entries[] = {
       R"({"name":"s0","address":"nowhere","status":"up"})", R"({"name":"s0","status":"up"})",
       R"({"name":"s0","address":"127.0.0.1:9","status":"resting"})",
       R"({"name":"s0","address":"127.0.0.1:9","status":"up","group":"x"})"};
-  for (const char* unread : unreadable_entries) {
-    FakeServer odd(replies(200, "odd")), other(replies(200, "other"));
-    Deployment d({&odd, &other});
+  for (const char* unreadable_entry : unreadable_entries) {
+    FakeServer server(replies(200, "recovered")), other_server(replies(200, "other"));
+    Deployment d({&server, &other_server});
     RequestSender requests(*d.program);
-    const std::string unnamed = R"({"status":"up"},7,{"name":"","address":"127.0.0.1:9","status":"up"})";
-    d.discovery.push(endpoint_list_json(
-        8, false, unread + ("," + unnamed) + "," + endpoint_json("s1", other.address(), "draining")));
-    EXPECT_TRUE(eventually([&] { return requests.status() == 503; })) << unread;
+    const std::string unnamed_entries =
+        R"({"status":"up"},7,{"name":"","address":"127.0.0.1:9","status":"up"})";
+    d.discovery.push(endpoint_list_json(8, false,
+                                        unreadable_entry + ("," + unnamed_entries) + "," +
+                                            endpoint_json("s1", other_server.address(), "draining")));
+    EXPECT_TRUE(eventually([&] { return requests.status() == 503; })) << unreadable_entry;
     EXPECT_GE(d.program->logged("endpoints[0]: field '"), 1) << d.program->log();
-    d.discovery.push(endpoint_list_json(9, false, endpoint_json("s0", odd.address())));
-    EXPECT_TRUE(eventually([&] { return body_of(requests.response()) == "odd"; })) << unread;
-    EXPECT_EQ(d.discovery.calls().size(), 1U) << "the list need not be requested again";
+    d.discovery.push(endpoint_list_json(9, false, endpoint_json("s0", server.address())));
+    EXPECT_TRUE(eventually([&] { return body_of(requests.response()) == "recovered"; })) << unreadable_entry;
+    EXPECT_EQ(d.discovery.calls().size(), 1U) << "a malformed entry must not end the watch";
   }
 }
 
-// A change that is older than the current list undoes nothing, such as a drain.
+// A delta that is older than the current list must not revert it, for example a drain.
 TEST(EndpointLists, OlderChangeIsIgnored) {
-  FakeServer drained(replies(200, "drained")), marker(replies(200, "marker"));
-  Deployment d({&drained, &marker});
-  d.discovery.push(endpoint_list_json(20, false, endpoint_json("s0", drained.address(), "draining")));
-  ASSERT_TRUE(eventually([&] { return drained.listener().open() == 0; }));
-  d.discovery.push(endpoint_list_json(19, false, endpoint_json("s0", drained.address())));
-  d.discovery.push(endpoint_list_json(21, false, endpoint_json("s1", marker.address(), "draining")));
-  // Once the last of these has been read, no server is ready.
+  FakeServer drained_server(replies(200, "drained")), marker_server(replies(200, "marker"));
+  Deployment d({&drained_server, &marker_server});
+  d.discovery.push(endpoint_list_json(20, false, endpoint_json("s0", drained_server.address(), "draining")));
+  ASSERT_TRUE(eventually([&] { return drained_server.listener().open() == 0; }));
+  d.discovery.push(endpoint_list_json(19, false, endpoint_json("s0", drained_server.address())));
+  d.discovery.push(endpoint_list_json(21, false, endpoint_json("s1", marker_server.address(), "draining")));
+  // Once the last delta has been read, no server is ready.
   RequestSender requests(*d.program);
   EXPECT_TRUE(eventually([&] { return requests.status() == 503; }));
-  const std::size_t before = drained.requests().size();
+  const std::size_t before = drained_server.requests().size();
   for (int i = 0; i < 10; ++i) EXPECT_EQ(requests.status(), 503);
-  EXPECT_EQ(drained.requests().size(), before);
+  EXPECT_EQ(drained_server.requests().size(), before);
 }
 
-// A watch that breaks within an object: the object is ignored and requested again.
+// A watch that ends within an object: the partial object is ignored and requested again.
 TEST(EndpointLists, TruncatedObjectIsRequestedAgain) {
   FakeServer server(replies(200, "ok"));
   const std::string change =
@@ -116,44 +120,45 @@
   EXPECT_NE(discovery.calls()[1].text.find("after=7 "), std::string::npos) << discovery.calls()[1].text;
 }
 
-// Neither further objects nor blank lines keep a watch whose last object was truncated.
+// A watch with a truncated object is replaced even if further objects or blank lines follow.
 TEST(EndpointLists, ObjectsBehindATruncatedOneAreRequestedAgain) {
   FakeServer server(replies(200, "ok"));
-  for (const bool more : {true, false}) {
-    std::atomic<bool> over = false;
-    const std::string drain =
+  for (const bool sends_more : {true, false}) {
+    std::atomic<bool> is_done = false;
+    const std::string draining_update =
         endpoint_list_json(8, false, endpoint_json("s0", server.address(), "draining")) + "\n";
     ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
-      connection.write(kWatchResponseHead + chunk(call == 0 ? drain.substr(0, 40) + "\n" : drain));
-      if (call == 0 && more) connection.write(chunk(drain + drain));
-      for (int i = 0; i < 200 && !over && connection.is_open(); ++i) {
+      connection.write(kWatchResponseHead +
+                       chunk(call == 0 ? draining_update.substr(0, 40) + "\n" : draining_update));
+      if (call == 0 && sends_more) connection.write(chunk(draining_update + draining_update));
+      for (int i = 0; i < 200 && !is_done && connection.is_open(); ++i) {
         if (!connection.write(chunk("\n"))) return;
         std::this_thread::sleep_for(100ms);
       }
     });
     {
       WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
-      EXPECT_TRUE(eventually([&] { return node.status() == 503; })) << more;
+      EXPECT_TRUE(eventually([&] { return node.status() == 503; })) << sends_more;
       EXPECT_EQ(discovery.calls().size(), 2U);
       EXPECT_NE(discovery.calls()[1].text.find("after=7 "), std::string::npos);
       EXPECT_LT(seconds_between(discovery.calls()[0].at, discovery.calls()[1].at), 6);
     }
-    over = true;
+    is_done = true;
   }
 }
 
-// A silent connection is replaced, and so is its replacement if that one is accepted and stays silent: two
-// attempts within the 6 s.
+// A silent connection is replaced, and so is its replacement if that is accepted but stays silent: two new
+// connections within 6 s.
 TEST(SilentWatch, SecondSilentConnectionIsReplacedInTime) {
   FakeServer server(replies(200, "ok"));
-  std::atomic<bool> over = false;
+  std::atomic<bool> is_done = false;
   ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
     if (call == 0) connection.write(kWatchResponseHead + chunk("\n"));
     if (call == 2)
       connection.write(
           kWatchResponseHead +
           chunk(endpoint_list_json(8, false, endpoint_json("s0", server.address(), "draining")) + "\n"));
-    while (!over && connection.receive_more()) {
+    while (!is_done && connection.receive_more()) {
     }
   });
   WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
@@ -161,22 +166,21 @@
   const auto calls = discovery.calls();
   EXPECT_LT(seconds_between(calls[0].at, calls[2].at), 6.2);
   EXPECT_TRUE(eventually([&] { return node.status() == 503; }));
-  over = true;
+  is_done = true;
 }
 
-// The backoff that has grown while discovery was down is reset by the first data of a watch, even a blank
-// line.
+// The backoff that grew while discovery was down is reset by the first data of a watch, even a blank line.
 TEST(SilentWatch, IsReopenedAtOnceAfterAnOutage) {
   FakeServer server(replies(200, "ok"));
-  constexpr int kDown = 4;
+  constexpr int kFailedCalls = 4;
   std::mutex mutex;
   Steady::time_point first_data;
   ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
-    if (call < kDown) {
+    if (call < kFailedCalls) {
       connection.write(http_response(503, ""));
       return;
     }
-    if (call == kDown) {
+    if (call == kFailedCalls) {
       const std::lock_guard lock(mutex);
       first_data = Steady::now();
     }
@@ -184,17 +188,17 @@
     connection.read_until_close();
   });
   WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
-  ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= kDown + 2; }));
+  ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= kFailedCalls + 2; }));
   const std::lock_guard lock(mutex);
-  EXPECT_LT(seconds_between(first_data, discovery.calls()[kDown + 1].at), 4);
+  EXPECT_LT(seconds_between(first_data, discovery.calls()[kFailedCalls + 1].at), 4);
 }
 
-// A watch falls silent, and an overloaded discovery rejects the next calls.
+// A watch becomes silent, and an overloaded discovery rejects the next requests.
 TEST(SilentWatch, IsRetriedSeveralTimesBeforeChangesCountAsNotified) {
   FakeServer server(replies(200, "ok"));
-  constexpr int kDown = 4;  // these fail first, so that the backoff has grown
+  constexpr int kFailedCalls = 4;  // failures that increase the backoff first
   ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
-    if (call != kDown && call < kDown + 3) {
+    if (call != kFailedCalls && call < kFailedCalls + 3) {
       connection.write(http_response(503, ""));
       return;
     }
@@ -202,19 +206,20 @@
     connection.read_until_close();
   });
   WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
-  ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= kDown + 4; }));
+  ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= kFailedCalls + 4; }));
   const auto calls = discovery.calls();
-  EXPECT_LT(seconds_between(calls[kDown].at, calls[kDown + 3].at), 6);
+  EXPECT_LT(seconds_between(calls[kFailedCalls].at, calls[kFailedCalls + 3].at), 6);
 }
 
-// After a new configuration the list of the new address counts as notified 4 s later, also where the first
-// calls there fail and the backoff at the old address had grown.
+// After a new configuration, the list at the new address counts as notified 4 s later, even if the first
+// requests there fail and the backoff has grown at the old address.
 TEST(MovedWatch, IsRetriedSeveralTimesWithinFourSeconds) {
   FakeServer server(replies(200, "ok"));
-  ScriptedDiscovery old([](RawConnection& connection, int) { connection.write(http_response(503, "")); });
-  WatchingNode node(old, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
-  ASSERT_TRUE(eventually([&] { return old.calls().size() >= 4; }));
-  ScriptedDiscovery moved([&](RawConnection& connection, int call) {
+  ScriptedDiscovery old_discovery(
+      [](RawConnection& connection, int) { connection.write(http_response(503, "")); });
+  WatchingNode node(old_discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
+  ASSERT_TRUE(eventually([&] { return old_discovery.calls().size() >= 4; }));
+  ScriptedDiscovery new_discovery([&](RawConnection& connection, int call) {
     if (call < 5) return;  // closed without a response
     connection.write(
         kWatchResponseHead +
@@ -222,16 +227,16 @@
     connection.read_until_close();
   });
   ConfigText text = node.text;
-  text.discovery = moved.address();
+  text.discovery = new_discovery.address();
   const auto start = Steady::now();
   node.program->reload(text.text());
-  ASSERT_TRUE(eventually([&] { return moved.calls().size() >= 6; }));
+  ASSERT_TRUE(eventually([&] { return new_discovery.calls().size() >= 6; }));
   EXPECT_LT(seconds_since(start), 4);
   EXPECT_TRUE(eventually([&] { return node.status() == 503; }));
 }
 
-// Where lists are pushed, the local agent's list counts as notified with or without a watch, so the backoff
-// has to be shorter than a drain's grace period.
+// If lists are pushed, the local agent's list counts as notified with or without an open watch, so the
+// backoff must be shorter than the grace period of a drain.
 TEST(PushedLists, BrokenWatchIsReopenedAtOnce) {
   FakeServer server(replies(200, "ok"));
   std::mutex mutex;
@@ -245,19 +250,19 @@
   WatchingNode node(agent, endpoint_list_json(7, true, endpoint_json("s0", server.address())), "automatic");
   ASSERT_TRUE(eventually([&] { return agent.calls().size() >= 6; }));
   const auto calls = agent.calls();
-  EXPECT_LT(seconds_between(calls[0].at, calls[5].at), 1.5) << "five backoffs";
+  EXPECT_LT(seconds_between(calls[0].at, calls[5].at), 1.5) << "five reconnects, each after a backoff";
 }
 
-// A new process starts with the list of its predecessor. A request that comes before the agent's first list
-// waits for it.
+// A new process starts with the list of its predecessor. Requests that arrive before the agent's first list
+// are deferred until that list arrives.
 TEST(PushedLists, NewProcessDefersRequestsUntilTheFirstList) {
   FakeServer server(replies(200, "ok"));
-  // The agent's list has to come while the node waits for it; a busy machine may miss that, and then the test
-  // makes another attempt.
-  constexpr double kInTime = 0.5;  // s
+  // The agent's list must arrive before the node's timeout for it. On a busy machine it may arrive too late,
+  // in which case the test tries again.
+  constexpr double kMaxListDelay = 0.5;  // s
   constexpr int kAttempts = 20;
-  bool in_time = false;
-  for (int i = 0; i < kAttempts && !in_time; ++i) {
+  bool is_list_in_time = false;
+  for (int i = 0; i < kAttempts && !is_list_in_time; ++i) {
     Gate gate;
     ScriptedDiscovery agent([&](RawConnection& connection, int) {
       if (!gate.wait()) return;
@@ -271,37 +276,37 @@
     config.mode = "automatic";
     config.discovery = agent.address();
     Program program(config.text(), 0, false);
-    // The node waits from when it logs that it listens.
+    // The node's timeout for the first list starts when it logs that it is listening.
     auto start = Steady::now();
     ASSERT_TRUE(eventually([&] {
-      const auto looked = Steady::now();
+      const auto checked_at = Steady::now();
       if (program.port() != 0) return true;
-      start = looked;
+      start = checked_at;
       return false;
     }));
     RawConnection client = RawConnection::connect_to(program.port());
     client.write(ClientRequest{}.text());
-    // Long enough for the response to a request that is not deferred.
+    // Long enough for the response to arrive if the request were not deferred.
     pollfd response{client.fd(), POLLIN, 0};
-    const bool is_early = ::poll(&response, 1, 50) > 0;
+    const bool is_answered_early = ::poll(&response, 1, 50) > 0;
     gate.open();
-    in_time = seconds_since(start) < kInTime;
-    if (!in_time) continue;
-    EXPECT_FALSE(is_early);
+    is_list_in_time = seconds_since(start) < kMaxListDelay;
+    if (!is_list_in_time) continue;
+    EXPECT_FALSE(is_answered_early);
     EXPECT_EQ(status_of(client.read_message()), 503);
     EXPECT_EQ(server.requests().size(), 0U) << "the agent's list counts as notified";
   }
-  EXPECT_TRUE(in_time);
+  EXPECT_TRUE(is_list_in_time);
 }
 
-// The agent is silent while discovery is down.
+// The agent sends no list while discovery is down.
 TEST(PushedLists, NewProcessServesFromTheKnownListWhenTheAgentIsSilent) {
   FakeServer server(replies(200, "ok"));
   ScriptedDiscovery agent([](RawConnection& connection, int) { connection.read_until_close(); });
   WatchingNode node(agent, endpoint_list_json(7, true, endpoint_json("s0", server.address())), "automatic");
   const auto start = Steady::now();
   EXPECT_EQ(node.status(), 200);
-  EXPECT_LT(seconds_since(start), 10) << "ready in time";
+  EXPECT_LT(seconds_since(start), 10) << "ready within 10 s";
 }
 
 TEST(PushedLists, RequestIsRejectedBeforeItsTimeoutWhenTheAgentIsSilent) {
@@ -315,7 +320,7 @@
   RawConnection client = RawConnection::connect_to(program.port());
   const auto start = Steady::now();
   client.write(ClientRequest{.id = "short_timeout", .timeout = "400"}.text());
-  EXPECT_EQ(status_of(client.read_message()), 503) << "nothing was sent: the client may retry";
+  EXPECT_EQ(status_of(client.read_message()), 503) << "no attempt was sent, so the client may retry";
   EXPECT_LT(seconds_since(start), 0.45);
   EXPECT_EQ(server.requests().size(), 0U);
 }
