--- a/tests/node/config_text.h
+++ b/tests/node/config_text.h
@@ -1,12 +1,12 @@
-// The node's configuration file as text.
+// Builds the text of a node's configuration file.
 #pragma once
 
 #include <string>
 
 namespace thymewood::node {
 
-// The classes and rules of one customer, as in the settings.
-struct Customer {
+// The request classes and rules of a deployment, as JSON in the format of the settings.
+struct SettingsProfile {
   const char* name;
   const char* categories;
   const char* rules = R"("askWithin":10.0)";
@@ -16,12 +16,12 @@
     R"({"name":"mark","aim":5.0,"giveUp":15.0,"effect":"keyed","group":"cell","dedupWindow":15.0,"lateWorth":0.5},)"
     R"({"name":"close","aim":5.0,"giveUp":15.0,"effect":"unsafe","lateWorth":0.5})";
 
-// The configuration of a node; the defaults fit most tests.
+// The fields of a node's configuration; the defaults suit most tests.
 struct ConfigText {
   std::string discovery = "127.0.0.1:9", known = "", listen = "127.0.0.1:0", mode = "subscribe";
   std::string seed = "8c1f30d27a5be964";
   int sockets = 256, memory_mb = 192, position = 0, total = 1;
-  std::string peers = "";  // further top-level fields
+  std::string peers = "";  // additional top-level fields, as JSON with a trailing comma
   std::string categories = kDefaultCategories, rules = R"("askWithin":10.0)";
   std::string bounds = R"("cancel":true,"maxAttempts":3,"maxRetryAfter":2.0,"retryAfter":true,)"
                        R"("secondCopies":true,"dialTimeout":0.5,"idleClose":60.0)";
--- a/tests/node/deployment.h
+++ b/tests/node/deployment.h
@@ -1,4 +1,4 @@
-// A node with servers and discovery, and the requests of its clients.
+// A node with fake servers and a fake discovery service, and the requests that clients send to it.
 #pragma once
 
 #include <sys/resource.h>
@@ -16,11 +16,12 @@
 
 namespace thymewood::node {
 
-// A node with the servers in its known list, and a discovery service without changes.
+// A node whose configured endpoint list names the servers, unless the configuration has a list already, and
+// which watches a fake discovery service. Discovery sends no update unless the test pushes one.
 class Deployment {
  public:
   explicit Deployment(const std::vector<FakeServer*>& servers, ConfigText initial_config = {},
-                      rlim_t descriptors = 0, void (*in_child)() = nullptr)
+                      rlim_t max_descriptors = 0, void (*before_exec)() = nullptr)
       : config(std::move(initial_config)) {
     std::string endpoints;
     for (std::size_t i = 0; i < servers.size(); ++i) {
@@ -28,7 +29,7 @@
     }
     if (config.known.empty()) config.known = endpoint_list_json(7, true, endpoints);
     config.discovery = discovery.address();
-    program = std::make_unique<Program>(config.text(), descriptors, true, "", in_child);
+    program = std::make_unique<Program>(config.text(), max_descriptors, true, "", before_exec);
   }
   RawConnection client(bool small_buffers = false) const {
     return RawConnection::connect_to(program->port(), small_buffers);
@@ -39,7 +40,7 @@
   std::unique_ptr<Program> program;
 };
 
-// A client's request; the defaults are valid.
+// A client's HTTP request; with the defaults it is valid.
 struct ClientRequest {
   std::string request_class = "close", id = "r1", method = "POST", body = "{}", path = "", fields = "";
   std::string timeout = "15000", key = "";
--- a/tests/node/deployments_test.cpp
+++ b/tests/node/deployments_test.cpp
@@ -1,23 +1,23 @@
-// Settings of other customers: request classes, idempotency, timeouts and limits come from there alone, and
-// what cannot be used is rejected with its field.
+// Guards against request classes or limits that are built into the node: classes, idempotency, timeouts and
+// limits come from the settings alone, and the error for an invalid setting names its field.
 #include "node_harness.h"
 
 namespace thymewood::node {
 namespace {
 
-// Three customers that have nothing in common: short timeouts, long ones, and a single class.
-const Customer kCustomers[] = {
-    {"Short",
+// Three profiles with no class in common: short timeouts, long timeouts, and a single class.
+const SettingsProfile kProfiles[] = {
+    {"ShortTimeouts",
      R"({"name":"peek","aim":0.1,"giveUp":0.3,"effect":"safe"},)"
      R"({"name":"fire","aim":0.2,"giveUp":0.4,"effect":"unsafe"},)"
      R"({"name":"note","aim":0.2,"giveUp":0.5,"effect":"keyed","group":"all","dedupWindow":0.4,"lateWorth":1})",
      R"("drainGrace":0.0,"startCapacity":1.0,"rampTime":0.0)"},
-    {"Long",
+    {"LongTimeouts",
      R"({"name":"seal","aim":6.0,"giveUp":12.0,"effect":"keyed","group":"zone","dedupWindow":60.0,"lateWorth":0.2},)"
      R"({"name":"read","aim":3.0,"giveUp":7.0,"effect":"safe","lateWorth":0.9,"note":null},)"
      R"({"name":"burn","aim":6.0,"giveUp":9.0,"effect":"unsafe"})",
      R"("drainGrace":30.0,"askWithin":120.0,"startCapacity":0.1,"rampTime":60.0,"tipMultiple":2.0,"tipAfter":5.0)"},
-    {"One", R"({"name":"only","aim":1e3,"giveUp":1e300,"effect":"keyed","group":"cell"})",
+    {"SingleClass", R"({"name":"only","aim":1e3,"giveUp":1e300,"effect":"keyed","group":"cell"})",
      R"("askWithin":0.0)"},
 };
 
@@ -25,15 +25,16 @@
   std::string name, idempotency;
 };
 
-std::vector<ClassUnderTest> classes_of(const Customer& customer) {
+std::vector<ClassUnderTest> classes_of(const SettingsProfile& profile) {
   std::vector<ClassUnderTest> out;
-  const std::string text = customer.categories;
+  const std::string json = profile.categories;
   const auto value = [&](std::size_t from, const std::string& field) {
-    const std::size_t at = text.find("\"" + field + "\":\"", from) + field.size() + 4;
-    return text.substr(at, text.find('"', at) - at);
+    const std::size_t pos = json.find("\"" + field + "\":\"", from) + field.size() + 4;
+    return json.substr(pos, json.find('"', pos) - pos);
   };
-  for (std::size_t at = text.find("{\"name\""); at != std::string::npos; at = text.find("{\"name\"", at + 1))
-    out.push_back({value(at, "name"), value(at, "effect")});
+  for (std::size_t pos = json.find("{\"name\""); pos != std::string::npos;
+       pos = json.find("{\"name\"", pos + 1))
+    out.push_back({value(pos, "name"), value(pos, "effect")});
   return out;
 }
 
@@ -44,7 +45,7 @@
   return out;
 }
 
-class CustomerSettings : public testing::TestWithParam<Customer> {
+class DeploymentSettings : public testing::TestWithParam<SettingsProfile> {
  protected:
   static ConfigText config() {
     ConfigText out;
@@ -54,35 +55,37 @@
   }
 };
 
-TEST_P(CustomerSettings, OnlyTheirOwnClassesAreServed) {
+TEST_P(DeploymentSettings, OnlyConfiguredClassesAreServed) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server}, config());
   RawConnection client = d.client();
   for (const ClassUnderTest& c : classes_of(GetParam())) {
     client.write(request_of(c, "r-" + c.name).text());
     EXPECT_EQ(status_of(client.read_message()), 200) << c.name;
-    // A key where the class has none, or none where it needs one, is an error.
+    // An idempotency key is rejected where the class takes none, and required where the class is keyed.
     ClientRequest invalid = request_of(c, "w-" + c.name);
     invalid.key = invalid.key.empty() ? "k" : "";
     client.write(invalid.text());
     EXPECT_EQ(status_of(client.read_message()), 400) << c.name;
   }
-  for (const char* foreign : {"look", "close", "dance"}) {
-    client.write(ClientRequest{.request_class = foreign, .id = std::string("f-") + foreign}.text());
+  for (const char* unknown_class : {"look", "close", "dance"}) {
+    client.write(
+        ClientRequest{.request_class = unknown_class, .id = std::string("f-") + unknown_class}.text());
     EXPECT_EQ(status_of(client.read_message()), 400);
   }
 }
 
-// A request that is not idempotent is sent once, one with an idempotency key within its scope and window, an
-// idempotent one as often as there are attempts; and only what may be repeated is rejected with a 503.
-TEST_P(CustomerSettings, RetriesFollowTheIdempotencyOfTheClass) {
+// A non-idempotent request is sent once. A request with an idempotency key is retried only within its
+// deduplication scope and window, and an idempotent one until its attempts are used up. Only a request that
+// the client may repeat gets a 503.
+TEST_P(DeploymentSettings, RetriesFollowTheIdempotencyOfTheClass) {
   FakeServer one(replies(500, "no")), two(replies(500, "no"));
-  ConfigText text = config();
-  text.known = endpoint_list_json(
+  ConfigText node_config = config();
+  node_config.known = endpoint_list_json(
       7, true,
       endpoint_json("s0", one.address(), "up", 1) + "," + endpoint_json("s1", two.address(), "up", 2));
-  Deployment d({}, text);
-  const auto sent = [&](const std::string& id) {
+  Deployment d({}, node_config);
+  const auto sent_count = [&](const std::string& id) {
     std::size_t out = 0;
     for (FakeServer* server : {&one, &two})
       for (const std::string& request : server->requests()) out += field_of(request, "X-Request-ID") == id;
@@ -94,16 +97,17 @@
     client.write(request_of(c, id).text());
     const int status = status_of(client.read_message());
     const bool can_retry = c.idempotency == "safe" || c.name == "note" || c.name == "seal";
-    EXPECT_GE(sent(id), 1U) << c.name;
-    EXPECT_LE(sent(id), can_retry ? 3U : 1U)
-        << c.name << ": the other server is in another cell, or the request is not idempotent";
+    EXPECT_GE(sent_count(id), 1U) << c.name;
+    EXPECT_LE(sent_count(id), can_retry ? 3U : 1U)
+        << c.name
+        << ": the other server is in another cell, or the request is not idempotent and must not be retried";
     EXPECT_EQ(status, c.idempotency == "safe" || c.name == "note" ? 503 : 502) << c.name;
   }
 }
 
-// A request that names no timeout has that of its class. That of the class "only" is too long for a
-// test, so its request names one.
-TEST_P(CustomerSettings, EveryRequestIsAnsweredWhenTheServerHangs) {
+// A request without X-Timeout-Ms gets the client timeout of its class. The timeout of the class "only" is too
+// long for a test, so that request sends its own.
+TEST_P(DeploymentSettings, EveryRequestIsAnsweredWhenTheServerHangs) {
   FakeServer hanging([](RawConnection&, const std::string&) { return true; });
   Deployment d({&hanging}, config());
   std::vector<RawConnection> clients;
@@ -119,14 +123,14 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(All, CustomerSettings, testing::ValuesIn(kCustomers),
+INSTANTIATE_TEST_SUITE_P(All, DeploymentSettings, testing::ValuesIn(kProfiles),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// The margins of the node leave most of a short timeout to the server.
-TEST(ShortTimeouts, AreMostlyLeftToTheServer) {
+// The node's safety margins are small against a short timeout: the server gets most of it.
+TEST(ShortTimeouts, LeaveMostOfTheTimeToTheServer) {
   FakeServer server(replies(200, "ok"));
   ConfigText config;
-  config.categories = kCustomers[0].categories;
+  config.categories = kProfiles[0].categories;
   Deployment d({&server}, config);
   RawConnection client = d.client();
   client.write(ClientRequest{.request_class = "fire", .timeout = "80"}.text());
@@ -139,38 +143,40 @@
   const char* name;
   const char* categories;
   const char* bounds;
-  const char* field;  // named in the error; null where the settings can be used
+  const char* field;  // that the error names; null for valid settings
 };
-constexpr const char* kGoodBounds = R"("maxAttempts":2)";
-constexpr const char* kGoodClass = R"({"name":"a","aim":1,"giveUp":2,"effect":"safe"})";
-const SettingsCase kSettings[] = {
-    {"NoDeadline", R"({"name":"a","aim":1,"effect":"safe"})", kGoodBounds, "giveUp"},
-    {"NoAim", R"({"name":"a","giveUp":1,"effect":"safe"})", kGoodBounds, "aim"},
-    {"NegativeDeadline", R"({"name":"a","aim":1,"giveUp":-2,"effect":"safe"})", kGoodBounds, "giveUp"},
-    {"DeadlineNoNumber", R"({"name":"a","aim":1,"giveUp":"2","effect":"safe"})", kGoodBounds, "giveUp"},
-    {"DeadlineZero", R"({"name":"a","aim":1,"giveUp":0,"effect":"safe"})", kGoodBounds, nullptr},
-    {"DeadlineHuge", R"({"name":"a","aim":1,"giveUp":1e300,"effect":"safe"})", kGoodBounds, nullptr},
-    {"NoEffect", R"({"name":"a","aim":1,"giveUp":2})", kGoodBounds, "effect"},
-    {"UnknownEffect", R"({"name":"a","aim":1,"giveUp":2,"effect":"maybe"})", kGoodBounds, "effect"},
-    {"NoGroup", R"({"name":"a","aim":1,"giveUp":2,"effect":"keyed"})", kGoodBounds, "group"},
-    {"NegativeWindow", R"({"name":"a","aim":1,"giveUp":2,"effect":"keyed","group":"all","dedupWindow":-1})",
-     kGoodBounds, "dedupWindow"},
-    {"WindowZero", R"({"name":"a","aim":1,"giveUp":2,"effect":"keyed","group":"all","dedupWindow":0})",
-     kGoodBounds, nullptr},
-    {"NoClass", "", kGoodBounds, nullptr},
-    {"IdleZero", kGoodClass, R"("idleClose":0)", "idleClose"},
-    {"IdleNegative", kGoodClass, R"("idleClose":-5)", "idleClose"},
-    {"IdleTiny", kGoodClass, R"("idleClose":0.0001)", nullptr},
-    {"IdleHuge", kGoodClass, R"("idleClose":1e300)", "idleClose"},
-    {"DialZero", kGoodClass, R"("dialTimeout":0)", "dialTimeout"},
-    {"NoAttempts", kGoodClass, R"("maxAttempts":0)", "maxAttempts"},
-    {"AdviceHuge", kGoodClass, R"("retryAfter":true,"maxRetryAfter":1e300)", nullptr},
-    {"AdviceNegative", kGoodClass, R"("retryAfter":true,"maxRetryAfter":-1)", "maxRetryAfter"},
+constexpr const char* kValidBounds = R"("maxAttempts":2)";
+constexpr const char* kValidClass = R"({"name":"a","aim":1,"giveUp":2,"effect":"safe"})";
+const SettingsCase kSettingsCases[] = {
+    {"NoClientTimeout", R"({"name":"a","aim":1,"effect":"safe"})", kValidBounds, "giveUp"},
+    {"NoLatencyObjective", R"({"name":"a","giveUp":1,"effect":"safe"})", kValidBounds, "aim"},
+    {"NegativeClientTimeout", R"({"name":"a","aim":1,"giveUp":-2,"effect":"safe"})", kValidBounds, "giveUp"},
+    {"ClientTimeoutNotANumber", R"({"name":"a","aim":1,"giveUp":"2","effect":"safe"})", kValidBounds,
+     "giveUp"},
+    {"ClientTimeoutZero", R"({"name":"a","aim":1,"giveUp":0,"effect":"safe"})", kValidBounds, nullptr},
+    {"ClientTimeoutHuge", R"({"name":"a","aim":1,"giveUp":1e300,"effect":"safe"})", kValidBounds, nullptr},
+    {"NoIdempotency", R"({"name":"a","aim":1,"giveUp":2})", kValidBounds, "effect"},
+    {"UnknownIdempotency", R"({"name":"a","aim":1,"giveUp":2,"effect":"maybe"})", kValidBounds, "effect"},
+    {"NoDedupScope", R"({"name":"a","aim":1,"giveUp":2,"effect":"keyed"})", kValidBounds, "group"},
+    {"NegativeDedupWindow",
+     R"({"name":"a","aim":1,"giveUp":2,"effect":"keyed","group":"all","dedupWindow":-1})", kValidBounds,
+     "dedupWindow"},
+    {"DedupWindowZero", R"({"name":"a","aim":1,"giveUp":2,"effect":"keyed","group":"all","dedupWindow":0})",
+     kValidBounds, nullptr},
+    {"NoClasses", "", kValidBounds, nullptr},
+    {"IdleTimeoutZero", kValidClass, R"("idleClose":0)", "idleClose"},
+    {"IdleTimeoutNegative", kValidClass, R"("idleClose":-5)", "idleClose"},
+    {"IdleTimeoutTiny", kValidClass, R"("idleClose":0.0001)", nullptr},
+    {"IdleTimeoutHuge", kValidClass, R"("idleClose":1e300)", "idleClose"},
+    {"ConnectTimeoutZero", kValidClass, R"("dialTimeout":0)", "dialTimeout"},
+    {"MaxAttemptsZero", kValidClass, R"("maxAttempts":0)", "maxAttempts"},
+    {"MaxRetryAfterHuge", kValidClass, R"("retryAfter":true,"maxRetryAfter":1e300)", nullptr},
+    {"MaxRetryAfterNegative", kValidClass, R"("retryAfter":true,"maxRetryAfter":-1)", "maxRetryAfter"},
 };
 
 class UnusualSettings : public testing::TestWithParam<SettingsCase> {};
 
-TEST_P(UnusualSettings, AreUsedOrRejectedWithTheirField) {
+TEST_P(UnusualSettings, AreAppliedOrRejectedWithTheFieldName) {
   FakeServer server(replies(200, "ok"));
   ConfigText config;
   config.categories = GetParam().categories;
@@ -185,17 +191,20 @@
   Program program(config.text());
   for (int i = 0; i < 3; ++i) {
     RawConnection client = RawConnection::connect_to(program.port());
-    const std::string key = std::string(GetParam().name) == "WindowZero" ? "k" : "";
+    const std::string key = std::string(GetParam().name) == "DedupWindowZero" ? "k" : "";
     ClientRequest request{.request_class = "a", .id = "r" + std::to_string(i), .timeout = "", .key = key};
     if (key.empty()) request.method = "GET", request.body = "";
     client.write(request.text());
     const int status = status_of(client.read_message());
-    const std::string what = GetParam().name;
-    EXPECT_EQ(status, what == "DeadlineZero" ? 503 : what == "NoClass" ? 400 : 200) << what;
+    const std::string case_name = GetParam().name;
+    EXPECT_EQ(status, case_name == "ClientTimeoutZero" ? 503
+                      : case_name == "NoClasses"       ? 400
+                                                       : 200)
+        << case_name;
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(All, UnusualSettings, testing::ValuesIn(kSettings),
+INSTANTIATE_TEST_SUITE_P(All, UnusualSettings, testing::ValuesIn(kSettingsCases),
                          [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
--- a/tests/node/fake_discovery.h
+++ b/tests/node/fake_discovery.h
@@ -1,4 +1,4 @@
-// A discovery service that a test controls.
+// A fake discovery service that the test controls.
 #pragma once
 
 #include <sys/socket.h>
@@ -31,31 +31,33 @@
   return size.str() + "\r\n" + bytes + "\r\n";
 }
 
-// Responds to each watch with a head and the configured response; push() sends a change.
+// Answers each watch request with the response that the test has set, by default a chunked response without a
+// list, and keeps the connection open. push() sends a line on the latest open watch.
 class FakeDiscovery {
  public:
   explicit FakeDiscovery(int port = 0)
       : listener_(
             [this](RawConnection& connection) {
-              const std::string call = connection.read_message();
-              if (call.empty()) return;
+              const std::string request = connection.read_message();
+              if (request.empty()) return;
               {
                 const std::lock_guard lock(mutex_);
-                calls_.push_back(call);
+                requests_.push_back(request);
                 std::string response = response_;
                 if (response.empty())
                   response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("\n");
-                connection.write(response);  // under the lock, so that no pushed chunk precedes the head
-                current_ = &connection;
+                // Under the lock, so that push() cannot write before the response head.
+                connection.write(response);
+                open_watch_ = &connection;
               }
               connection.read_until_close();
               const std::lock_guard lock(mutex_);
-              if (current_ == &connection) current_ = nullptr;
+              if (open_watch_ == &connection) open_watch_ = nullptr;
             },
             port) {}
   std::string address() const { return listener_.address(); }
   Listener& listener() { return listener_; }
-  // The response to all later calls, with its head.
+  // Sets the complete response, head included, to all later watch requests.
   void set_response(const std::string& bytes) {
     const std::lock_guard lock(mutex_);
     response_ = bytes;
@@ -63,24 +65,24 @@
   bool push_bytes(const std::string& bytes) {
     return eventually([&] {
       const std::lock_guard lock(mutex_);
-      return current_ != nullptr && current_->write(bytes);
+      return open_watch_ != nullptr && open_watch_->write(bytes);
     });
   }
   bool push(const std::string& line) { return push_bytes(chunk(line + "\n")); }
   void close_watch() {
     const std::lock_guard lock(mutex_);
-    if (current_ != nullptr) ::shutdown(current_->fd(), SHUT_RDWR);
+    if (open_watch_ != nullptr) ::shutdown(open_watch_->fd(), SHUT_RDWR);
   }
   std::vector<std::string> calls() {
     const std::lock_guard lock(mutex_);
-    return calls_;
+    return requests_;
   }
 
  private:
   std::mutex mutex_;
   std::string response_;
-  std::vector<std::string> calls_;
-  RawConnection* current_ = nullptr;
+  std::vector<std::string> requests_;
+  RawConnection* open_watch_ = nullptr;
   Listener listener_;
 };
 
--- a/tests/node/fake_server.h
+++ b/tests/node/fake_server.h
@@ -1,4 +1,4 @@
-// Servers that a test controls.
+// Fake servers that the test controls.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -21,76 +21,77 @@
 
 namespace thymewood::node {
 
-// Accepts connections, and runs `serve` for each on a thread of its own.
+// Accepts connections and runs `handler` for each on a separate thread.
 class Listener {
  public:
-  explicit Listener(std::function<void(RawConnection&)> serve, int port = 0) : serve_(std::move(serve)) {
+  explicit Listener(std::function<void(RawConnection&)> handler, int port = 0)
+      : handler_(std::move(handler)) {
     listen_ = Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-    const int on = 1;
-    ::setsockopt(listen_.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-    sockaddr_in where = loopback(port);
-    EXPECT_EQ(::bind(listen_.get(), reinterpret_cast<sockaddr*>(&where), sizeof where), 0);
+    const int enable = 1;
+    ::setsockopt(listen_.get(), SOL_SOCKET, SO_REUSEADDR, &enable, sizeof enable);
+    sockaddr_in bound_address = loopback(port);
+    EXPECT_EQ(::bind(listen_.get(), reinterpret_cast<sockaddr*>(&bound_address), sizeof bound_address), 0);
     EXPECT_EQ(::listen(listen_.get(), 128), 0);
-    socklen_t size = sizeof where;
-    ::getsockname(listen_.get(), reinterpret_cast<sockaddr*>(&where), &size);
-    port_ = ntohs(where.sin_port);
-    thread_ = std::thread([this] { run(); });
+    socklen_t size = sizeof bound_address;
+    ::getsockname(listen_.get(), reinterpret_cast<sockaddr*>(&bound_address), &size);
+    port_ = ntohs(bound_address.sin_port);
+    accept_thread_ = std::thread([this] { accept_connections(); });
   }
   ~Listener() { stop(); }
   void stop() {
-    if (!thread_.joinable()) return;
+    if (!accept_thread_.joinable()) return;
     stopping_ = true;
-    thread_.join();
+    accept_thread_.join();
     listen_.reset();
     {
       const std::lock_guard lock(mutex_);
-      for (const int fd : open_) ::shutdown(fd, SHUT_RDWR);
+      for (const int fd : open_fds_) ::shutdown(fd, SHUT_RDWR);
     }
-    for (std::thread& t : serving_) t.join();
-    serving_.clear();
+    for (std::thread& handler_thread : handler_threads_) handler_thread.join();
+    handler_threads_.clear();
   }
   int port() const { return port_; }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
   int accepted() const { return accepted_; }
   int open() {
     const std::lock_guard lock(mutex_);
-    return static_cast<int>(open_.size());
+    return static_cast<int>(open_fds_.size());
   }
 
  private:
-  void run() {
+  void accept_connections() {
     while (!stopping_) {
-      pollfd wait{listen_.get(), POLLIN, 0};
-      if (::poll(&wait, 1, 5) <= 0) continue;
+      pollfd poll_fd{listen_.get(), POLLIN, 0};
+      if (::poll(&poll_fd, 1, 5) <= 0) continue;
       Fd fd(::accept4(listen_.get(), nullptr, nullptr, SOCK_CLOEXEC));
       if (fd.get() < 0) continue;
       ++accepted_;
       const auto connection = std::make_shared<RawConnection>(std::move(fd));
-      const int number = connection->fd();
+      const int connection_fd = connection->fd();
       {
         const std::lock_guard lock(mutex_);
-        open_.push_back(number);
+        open_fds_.push_back(connection_fd);
       }
-      serving_.emplace_back([this, connection, number] {
-        serve_(*connection);
+      handler_threads_.emplace_back([this, connection, connection_fd] {
+        handler_(*connection);
         const std::lock_guard lock(mutex_);
-        std::erase(open_, number);
+        std::erase(open_fds_, connection_fd);
         connection->close();
       });
     }
   }
-  std::function<void(RawConnection&)> serve_;
+  std::function<void(RawConnection&)> handler_;
   Fd listen_;
   int port_ = 0;
   std::atomic<int> accepted_ = 0;
   std::atomic<bool> stopping_ = false;
   std::mutex mutex_;
-  std::vector<int> open_;
-  std::vector<std::thread> serving_;
-  std::thread thread_;
+  std::vector<int> open_fds_;
+  std::vector<std::thread> handler_threads_;
+  std::thread accept_thread_;
 };
 
-// Responds to each request by what `reply` writes; returning false ends the connection.
+// Passes each request to `reply`, which writes the response; the connection is closed if it returns false.
 class FakeServer {
  public:
   using Reply = std::function<bool(RawConnection&, const std::string& request)>;
@@ -106,7 +107,7 @@
                 }
                 if (!reply_(connection, request)) return;
               }
-              ++ended_;
+              ++closed_by_node_;
             },
             port) {}
   std::string address() const { return listener_.address(); }
@@ -115,13 +116,14 @@
     const std::lock_guard lock(mutex_);
     return requests_;
   }
-  int ended() const { return ended_; }  // connections that the node closed
+  // The number of connections that the node closed, or on which it sent nothing for kMaxWait.
+  int closed_by_node() const { return closed_by_node_; }
 
  private:
   Reply reply_;
   std::mutex mutex_;
   std::vector<std::string> requests_;
-  std::atomic<int> ended_ = 0;
+  std::atomic<int> closed_by_node_ = 0;
   Listener listener_;
 };
 
@@ -136,23 +138,24 @@
   };
 }
 
-// Delays responses until open() is called.
+// Blocks wait() until open() is called, for kMaxWait at most, so that a test decides when a response is
+// written.
 class Gate {
  public:
   void open() {
     const std::lock_guard lock(mutex_);
-    open_ = true;
+    is_open_ = true;
     changed_.notify_all();
   }
   bool wait() {
     std::unique_lock lock(mutex_);
-    return changed_.wait_for(lock, kMaxWait, [this] { return open_; });
+    return changed_.wait_for(lock, kMaxWait, [this] { return is_open_; });
   }
 
  private:
   std::mutex mutex_;
   std::condition_variable changed_;
-  bool open_ = false;
+  bool is_open_ = false;
 };
 
 }  // namespace thymewood::node
--- a/tests/node/full_listener.h
+++ b/tests/node/full_listener.h
@@ -1,4 +1,4 @@
-// A listener whose queue is full.
+// A listener whose accept queue a test can fill.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,52 +15,56 @@
 
 namespace thymewood::node {
 
-// A server whose listen queue is full: a connect to it stays pending until accept() frees a place.
+// A listener that accepts only when the test calls accept(). Its accept queue holds one connection: after
+// fill(), connects to it stay pending until accept() makes space.
 class FullListener {
  public:
-  // `small_buffers`: the connections that it accepts buffer little.
+  // `small_buffers`: accepted connections have small receive buffers.
   explicit FullListener(bool small_buffers = false)
       : listen_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     if (small_buffers) shrink_buffers(listen_.get());
-    sockaddr_in where = loopback(0);
-    EXPECT_EQ(::bind(listen_.get(), reinterpret_cast<sockaddr*>(&where), sizeof where), 0);
+    sockaddr_in listen_address = loopback(0);
+    EXPECT_EQ(::bind(listen_.get(), reinterpret_cast<sockaddr*>(&listen_address), sizeof listen_address), 0);
     EXPECT_EQ(::listen(listen_.get(), 0), 0);
-    socklen_t size = sizeof where;
-    ::getsockname(listen_.get(), reinterpret_cast<sockaddr*>(&where), &size);
-    port_ = ntohs(where.sin_port);
+    socklen_t size = sizeof listen_address;
+    ::getsockname(listen_.get(), reinterpret_cast<sockaddr*>(&listen_address), &size);
+    port_ = ntohs(listen_address.sin_port);
   }
   [[nodiscard]] std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
-  // Occupies the one place in the queue.
+  // Occupies the single slot of the accept queue.
   void fill() {
-    filler_ = Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-    const sockaddr_in where = loopback(port_);
-    ASSERT_EQ(::connect(filler_.get(), reinterpret_cast<const sockaddr*>(&where), sizeof where), 0);
+    backlog_connection_ = Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+    const sockaddr_in listen_address = loopback(port_);
+    ASSERT_EQ(::connect(backlog_connection_.get(), reinterpret_cast<const sockaddr*>(&listen_address),
+                        sizeof listen_address),
+              0);
   }
-  // The next connection that is not the filler's.
+  // Returns the next connection other than that of fill(), or an empty Fd after kMaxWait.
   Fd accept() {
     for (;;) {
-      pollfd wait{listen_.get(), POLLIN, 0};
-      if (::poll(&wait, 1, static_cast<int>(std::chrono::milliseconds(kMaxWait).count())) <= 0) return Fd();
-      sockaddr_in from{}, own{};
-      socklen_t size = sizeof from;
-      Fd fd(::accept4(listen_.get(), reinterpret_cast<sockaddr*>(&from), &size, SOCK_CLOEXEC));
-      if (filler_.get() < 0) return fd;
-      ::getsockname(filler_.get(), reinterpret_cast<sockaddr*>(&own), &size);
-      if (from.sin_port != own.sin_port) return fd;
+      pollfd poll_fd{listen_.get(), POLLIN, 0};
+      if (::poll(&poll_fd, 1, static_cast<int>(std::chrono::milliseconds(kMaxWait).count())) <= 0)
+        return Fd();
+      sockaddr_in peer_address{}, backlog_address{};
+      socklen_t size = sizeof peer_address;
+      Fd fd(::accept4(listen_.get(), reinterpret_cast<sockaddr*>(&peer_address), &size, SOCK_CLOEXEC));
+      if (backlog_connection_.get() < 0) return fd;
+      ::getsockname(backlog_connection_.get(), reinterpret_cast<sockaddr*>(&backlog_address), &size);
+      if (peer_address.sin_port != backlog_address.sin_port) return fd;
     }
   }
-  // How many connects to it are pending, by the kernel's table.
+  // Counts the pending connects to this listener, which are in state SYN_SENT (02) in /proc/net/tcp.
   [[nodiscard]] int pending_connects() const {
     std::ifstream table("/proc/net/tcp");
-    std::ostringstream to;
-    to << ':' << std::uppercase << std::hex << std::setw(4) << std::setfill('0') << port_ << " 02 ";
-    int out = 0;
-    for (std::string line; std::getline(table, line);) out += line.find(to.str()) != std::string::npos;
-    return out;
+    std::ostringstream entry;
+    entry << ':' << std::uppercase << std::hex << std::setw(4) << std::setfill('0') << port_ << " 02 ";
+    int count = 0;
+    for (std::string line; std::getline(table, line);) count += line.find(entry.str()) != std::string::npos;
+    return count;
   }
 
  private:
-  Fd listen_, filler_;
+  Fd listen_, backlog_connection_;
   int port_ = 0;
 };
 
--- a/tests/node/node_harness.h
+++ b/tests/node/node_harness.h
@@ -1,6 +1,6 @@
-// Everything that a test of a real node needs: the node as a child process, and servers, discovery and
-// clients on loopback sockets. Nothing here waits for a fixed time; it waits for a condition, with a generous
-// limit.
+// Includes everything that a test of the real node needs: the node as a child process, and servers, discovery
+// and clients on loopback sockets. The harness waits for conditions with a generous limit, never for a fixed
+// time.
 #pragma once
 
 #include <arpa/inet.h>
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -1,26 +1,27 @@
-// The node's basic behaviour over loopback sockets: clients, watch, lifecycle.
+// Basic behaviour of the node over loopback sockets: client connections, the discovery watch, and the
+// lifecycle.
 #include "node_harness.h"
 
 namespace thymewood::node {
 namespace {
 
 TEST(Node, ForwardsARequestUnchanged) {
-  FakeServer server(replies(200, "the answer", "Content-Type: text/x-mark\r\n"));
+  FakeServer server(replies(200, "the response", "Content-Type: text/x-mark\r\n"));
   Deployment d({&server});
   RawConnection client = d.client();
   client.write(
       ClientRequest{.request_class = "mark", .body = "payload", .timeout = "9000", .key = "k-77"}.text());
-  const std::string answer = client.read_message();
-  EXPECT_EQ(status_of(answer), 200) << answer;
-  EXPECT_EQ(body_of(answer), "the answer");
-  EXPECT_EQ(field_of(answer, "Content-Type"), "text/x-mark");
+  const std::string response = client.read_message();
+  EXPECT_EQ(status_of(response), 200) << response;
+  EXPECT_EQ(body_of(response), "the response");
+  EXPECT_EQ(field_of(response, "Content-Type"), "text/x-mark");
   ASSERT_EQ(server.requests().size(), 1U);
   const std::string request = server.requests()[0];
   EXPECT_EQ(request.rfind("POST /mark/k1?x=1 HTTP/1.1\r\n", 0), 0U) << request;
   EXPECT_EQ(field_of(request, "X-Request-ID"), "r1");
   EXPECT_EQ(field_of(request, "Idempotency-Key"), "k-77");
   EXPECT_EQ(body_of(request), "payload");
-  // The timeout of the attempt, which is shorter than that of the client.
+  // The node forwards the timeout of the attempt, which is shorter than the client's.
   const int timeout_ms = std::stoi(field_of(request, "X-Timeout-Ms"));
   EXPECT_GT(timeout_ms, 0);
   EXPECT_LT(timeout_ms, 9000);
@@ -59,19 +60,19 @@
   for (int i = 0; i < 20; ++i) EXPECT_EQ(body_of(client.read_message()), "r" + std::to_string(i));
 }
 
-TEST(Clients, DisconnectIsNoticedAndItsAttemptClosed) {
+TEST(Clients, DisconnectClosesTheConnectionOfTheAttempt) {
   FakeServer server([](RawConnection&, const std::string&) { return true; });
   Deployment d({&server});
   RawConnection client = d.client();
   client.write(ClientRequest{}.text());
   ASSERT_TRUE(eventually([&] { return server.requests().size() == 1; }));
   client.close();
-  EXPECT_TRUE(eventually([&] { return server.ended() == 1; }));
+  EXPECT_TRUE(eventually([&] { return server.closed_by_node() == 1; }));
 }
 
 // ---------------------------------------------------------------- discovery
 
-TEST(Watch, ResumesAfterTheKnownListAndReadsSplitAndJoinedLines) {
+TEST(Watch, ResumesAfterTheKnownListAndReassemblesSplitAndJoinedLines) {
   FakeServer old_server(replies(200, "old")), new_server(replies(200, "new"));
   Deployment d({&old_server});
   ASSERT_TRUE(eventually([&] { return !d.discovery.calls().empty(); }));
@@ -79,13 +80,13 @@
   const std::string lines =
       endpoint_list_json(8, false, endpoint_json("s0", old_server.address(), "draining")) + "\n\n" +
       endpoint_list_json(9, false, endpoint_json("s1", new_server.address())) + "\n";
-  const std::size_t cut = lines.size() / 3;
-  d.discovery.push_bytes(chunk(lines.substr(0, cut)));
-  d.discovery.push_bytes(chunk(lines.substr(cut)));
-  int n = 0;
+  const std::size_t split = lines.size() / 3;
+  d.discovery.push_bytes(chunk(lines.substr(0, split)));
+  d.discovery.push_bytes(chunk(lines.substr(split)));
+  int request_count = 0;
   EXPECT_TRUE(eventually([&] {
     RawConnection client = d.client();
-    client.write(ClientRequest{.id = "w" + std::to_string(++n)}.text());
+    client.write(ClientRequest{.id = "w" + std::to_string(++request_count)}.text());
     return body_of(client.read_message()) == "new";
   }));
   d.discovery.close_watch();
@@ -103,7 +104,7 @@
   ASSERT_TRUE(eventually([&] { return discovery.calls().size() == 1; }));
   discovery.set_response("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
                          chunk(endpoint_list_json(3, true, endpoint_json("s0", server.address())) + "\n"));
-  // The call may not be registered as the current one yet.
+  // close_watch() is repeated, because the fake discovery may not have registered the watch yet.
   EXPECT_TRUE(eventually([&] {
     discovery.close_watch();
     return discovery.calls().size() >= 2;
@@ -115,20 +116,21 @@
   }));
 }
 
-// The same for a server that drains.
+// A removed server that is listed again is used again, and so is a draining one.
 TEST(Watch, RemovedServerIsUsedAgainAfterItsReturn) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
-  int n = 0;
+  int request_count = 0;
   const auto status = [&] {
     RawConnection client = d.client();
-    client.write(ClientRequest{.id = "b" + std::to_string(++n)}.text());
+    client.write(ClientRequest{.id = "b" + std::to_string(++request_count)}.text());
     return status_of(client.read_message());
   };
   EXPECT_EQ(status(), 200);
   int index = 7;
-  for (const char* state : {"removed", "draining"}) {
-    d.discovery.push(endpoint_list_json(++index, false, endpoint_json("s0", server.address(), state)));
+  for (const char* server_status : {"removed", "draining"}) {
+    d.discovery.push(
+        endpoint_list_json(++index, false, endpoint_json("s0", server.address(), server_status)));
     EXPECT_TRUE(eventually([&] { return status() == 503; }));
     EXPECT_TRUE(eventually([&] { return server.listener().open() == 0; })) << "idle connections are closed";
     d.discovery.push(endpoint_list_json(++index, false, endpoint_json("s0", server.address())));
@@ -165,14 +167,14 @@
   config.discovery = discovery.address();
   Program program(config.text());
   ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= 2; }));
-  RawConnection early = RawConnection::connect_to(program.port());
-  early.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
-  EXPECT_EQ(status_of(early.read_message()), 503) << "there is no server yet";
+  RawConnection probe = RawConnection::connect_to(program.port());
+  probe.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
+  EXPECT_EQ(status_of(probe.read_message()), 503) << "there is no server yet";
   discovery.set_response("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
                          chunk(endpoint_list_json(3, true, endpoint_json("s0", server.address())) + "\n"));
   EXPECT_TRUE(eventually([&] {
-    early.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
-    return status_of(early.read_message()) == 200;
+    probe.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
+    return status_of(probe.read_message()) == 200;
   }));
 }
 
@@ -189,20 +191,21 @@
   accepted.write(ClientRequest{}.text());
   ASSERT_TRUE(eventually([&] { return server.requests().size() == 1; }));
   d.program->signal(SIGTERM);
-  RawConnection late = d.client();  // accepted during the accept period
+  RawConnection late = d.client();  // the node still accepts connections for a while after SIGTERM
   late.write(ClientRequest{.id = "late"}.text());
   ASSERT_TRUE(eventually([&] { return server.requests().size() == 2; }));
   ASSERT_TRUE(eventually([&] { return !d.client().is_open(); }));
-  EXPECT_TRUE(d.program->running()) << "two responses are due";
+  EXPECT_TRUE(d.program->running()) << "two requests are in flight";
   gate.open();
   for (RawConnection* client : {&accepted, &late}) {
-    const std::string answer = client->read_message();
-    EXPECT_EQ(status_of(answer), 200);
+    const std::string response = client->read_message();
+    EXPECT_EQ(status_of(response), 200);
   }
   EXPECT_EQ(d.program->exit_status(), 0);
 }
 
-// Clients go on using their connections until the last request that can be answered in time.
+// Clients may use their open connections during the drain, as long as a request can still be answered before
+// the node exits.
 TEST(Lifecycle, DrainingNodeServesOpenConnections) {
   std::atomic<bool> silent = false;
   FakeServer server([&](RawConnection& connection, const std::string&) {
@@ -221,8 +224,8 @@
   }
   silent = true;
   other.write(ClientRequest{.id = "unanswered", .timeout = "15000"}.text());
-  const std::string answer = other.read_message();
-  EXPECT_EQ(status_of(answer), 502) << answer;
+  const std::string response = other.read_message();
+  EXPECT_EQ(status_of(response), 502) << response;
   EXPECT_EQ(d.program->exit_status(), 0);
   EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client's timeout is 15 s";
 }
@@ -238,22 +241,22 @@
   EXPECT_EQ(d.program->exit_status(), 0);
 }
 
-TEST(Lifecycle, InvalidConfigurationEndsWithTheFieldsName) {
-  const auto fails = [](const std::string& config, const std::string& field) {
+TEST(Lifecycle, InvalidConfigurationExitsWithTheNameOfTheField) {
+  const auto expect_rejected = [](const std::string& config, const std::string& field) {
     Program program(config, 0, false);
     EXPECT_EQ(program.exit_status(), 2);
     const std::string log = program.log();
     EXPECT_NE(log.find(field), std::string::npos) << log;
     EXPECT_EQ(std::count(log.begin(), log.end(), '\n'), 1) << log;
   };
-  fails("{", "RELAY_CONFIG");
-  fails("{}", "listen");
-  fails(ConfigText{.listen = "nowhere"}.text(), "listen");
-  fails(ConfigText{.discovery = "1.2.3.4:999999"}.text(), "discovery");
-  fails(ConfigText{.known = "{\"index\":1}"}.text(), "endpoints");
-  fails(ConfigText{.bounds = R"("maxAttempts":0)"}.text(), "bounds.maxAttempts");
+  expect_rejected("{", "RELAY_CONFIG");
+  expect_rejected("{}", "listen");
+  expect_rejected(ConfigText{.listen = "nowhere"}.text(), "listen");
+  expect_rejected(ConfigText{.discovery = "1.2.3.4:999999"}.text(), "discovery");
+  expect_rejected(ConfigText{.known = "{\"index\":1}"}.text(), "endpoints");
+  expect_rejected(ConfigText{.bounds = R"("maxAttempts":0)"}.text(), "bounds.maxAttempts");
   Listener in_use([](RawConnection&) {});
-  fails(ConfigText{.listen = in_use.address()}.text(), "listen");
+  expect_rejected(ConfigText{.listen = in_use.address()}.text(), "listen");
 }
 
 TEST(Lifecycle, SurvivesDescriptorExhaustion) {
@@ -266,15 +269,16 @@
     for (int i = 0; i < 200; ++i) clients.push_back(d.client());
     ASSERT_TRUE(d.program->running());
   }
-  int n = 0;
+  int request_count = 0;
   EXPECT_TRUE(eventually([&] {
     RawConnection client = d.client();
-    client.write(ClientRequest{.id = "after" + std::to_string(++n)}.text());
+    client.write(ClientRequest{.id = "after" + std::to_string(++request_count)}.text());
     return status_of(client.read_message()) == 200;
   }));
 }
 
-// The attempt's timeout and its response coincide.
+// The response arrives about when the attempt times out, 1 ms before the timeout that the server was given.
+// The client must get exactly one response.
 TEST(Races, ExactlyOneResponse) {
   FakeServer server([](RawConnection& connection, const std::string& request) {
     std::this_thread::sleep_for(std::chrono::milliseconds(std::stoi(field_of(request, "X-Timeout-Ms")) - 1));
@@ -293,7 +297,7 @@
     EXPECT_TRUE(first == 200 || first == 502 || first == 503) << first;
     client.write("GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     const std::string remaining = client.read_until_close();
-    EXPECT_EQ(body_of(remaining), "ok\n") << "only the next response follows";
+    EXPECT_EQ(body_of(remaining), "ok\n") << "the response to the next request is the only one that follows";
   }
 }
 
--- a/tests/node/outcomes_test.cpp
+++ b/tests/node/outcomes_test.cpp
@@ -1,20 +1,20 @@
-// Outcomes as in the protocol's table: a request that was not processed may be retried, also one that is not
-// idempotent.
+// Outcomes of attempts, as in the protocol's table. A request that was not processed may be retried, even if
+// it is not idempotent.
 #include "node_harness.h"
 
 namespace thymewood::node {
 namespace {
 
-TEST(Outcomes, RejectedUnprocessedIsRetried) {
+TEST(Outcomes, RejectionWithoutProcessingIsRetried) {
   FakeServer full(replies(503, "", "X-Not-Processed: 1\r\n")),
       busy(replies(503, "", "X-Not-Processed: 1\r\n"));
   Deployment d({&full, &busy});
   RawConnection client = d.client();
   client.write(ClientRequest{}.text());
-  const std::string answer = client.read_message();
-  EXPECT_EQ(status_of(answer), 503);
-  EXPECT_FALSE(field_of(answer, "Retry-After").empty());
-  EXPECT_EQ(full.requests().size() + busy.requests().size(), 2U) << "each server once";
+  const std::string response = client.read_message();
+  EXPECT_EQ(status_of(response), 503);
+  EXPECT_FALSE(field_of(response, "Retry-After").empty());
+  EXPECT_EQ(full.requests().size() + busy.requests().size(), 2U) << "one attempt at each server";
 }
 
 TEST(Outcomes, RejectedByOneServerIsServedByAnother) {
@@ -28,65 +28,68 @@
   EXPECT_EQ(idle.requests().size(), 10U);
 }
 
-void expect_failed_once(const FakeServer::Reply& reply) {
+void expect_502_without_retry(const FakeServer::Reply& reply) {
   FakeServer server(reply);
   Deployment d({&server});
   RawConnection client = d.client();
   client.write(ClientRequest{}.text());
-  const std::string answer = client.read_message();
-  EXPECT_EQ(status_of(answer), 502) << answer;
+  const std::string response = client.read_message();
+  EXPECT_EQ(status_of(response), 502) << response;
   EXPECT_EQ(server.requests().size(), 1U)
       << "a request that is not idempotent and may have been processed is not retried";
   EXPECT_TRUE(d.program->running());
 }
 
-TEST(Outcomes, ErrorMayHaveBeenProcessed) { expect_failed_once(replies(500, "no")); }
-TEST(Outcomes, UnmarkedUnavailableMayHaveBeenProcessed) { expect_failed_once(replies(503, "no")); }
-TEST(Outcomes, OtherValueOfTheMarkIsIgnored) {
-  expect_failed_once(replies(504, "no", "X-Not-Processed: 0\r\n"));
+TEST(Outcomes, ErrorMayHaveBeenProcessed) { expect_502_without_retry(replies(500, "no")); }
+TEST(Outcomes, UnmarkedServiceUnavailableMayHaveBeenProcessed) {
+  expect_502_without_retry(replies(503, "no"));
+}
+TEST(Outcomes, OtherValueOfNotProcessedHeaderIsIgnored) {
+  expect_502_without_retry(replies(504, "no", "X-Not-Processed: 0\r\n"));
 }
 TEST(Outcomes, OtherStatusMayHaveBeenProcessed) {
-  expect_failed_once(replies(404, "no", "X-Not-Processed: 1\r\n"));
+  expect_502_without_retry(replies(404, "no", "X-Not-Processed: 1\r\n"));
 }
 TEST(Outcomes, CloseWithoutResponseMayHaveBeenProcessed) {
-  expect_failed_once([](RawConnection&, const std::string&) { return false; });
+  expect_502_without_retry([](RawConnection&, const std::string&) { return false; });
 }
 TEST(Outcomes, ResetMayHaveBeenProcessed) {
-  expect_failed_once([](RawConnection& connection, const std::string&) {
-    const linger hard{1, 0};
-    ::setsockopt(connection.fd(), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+  expect_502_without_retry([](RawConnection& connection, const std::string&) {
+    const linger abort_linger{1, 0};
+    ::setsockopt(connection.fd(), SOL_SOCKET, SO_LINGER, &abort_linger, sizeof abort_linger);
     return false;
   });
 }
 TEST(Outcomes, TruncatedResponseMayHaveBeenProcessed) {
-  expect_failed_once([](RawConnection& connection, const std::string&) {
+  expect_502_without_retry([](RawConnection& connection, const std::string&) {
     connection.write("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhalf");
     return false;
   });
 }
 TEST(Outcomes, ResponseWithoutLengthOrConnectionCloseIsTruncated) {
-  expect_failed_once([](RawConnection& connection, const std::string&) {
+  expect_502_without_retry([](RawConnection& connection, const std::string&) {
     connection.write("HTTP/1.1 200 OK\r\n\r\nperhaps half");
     return false;
   });
 }
 TEST(Outcomes, MalformedResponseMayHaveBeenProcessed) {
-  expect_failed_once([](RawConnection& connection, const std::string&) {
+  expect_502_without_retry([](RawConnection& connection, const std::string&) {
     return connection.write(std::string("\0\x7f~?\r\n\r\n", 8));
   });
 }
 TEST(Outcomes, EndlessHeadMayHaveBeenProcessed) {
-  expect_failed_once([](RawConnection& connection, const std::string&) {
+  expect_502_without_retry([](RawConnection& connection, const std::string&) {
     return connection.write("HTTP/1.1 200 OK\r\nX-Long: " + std::string(64 * 1024, 'x'));
   });
 }
 TEST(Outcomes, BodyBeyondTheLimitMayHaveBeenProcessed) {
-  expect_failed_once([](RawConnection& connection, const std::string&) {
+  expect_502_without_retry([](RawConnection& connection, const std::string&) {
     return connection.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx");
   });
 }
 
-// Larger than the largest request, and with text inside that looks like a response.
+// Returns a body that contains text which looks like responses. The tests make it larger than the largest
+// request.
 std::string large_body(std::size_t size) {
   std::string out;
   while (out.size() < size)
@@ -102,9 +105,10 @@
   RawConnection client = d.client();
   for (int i = 0; i < 3; ++i) {
     client.write(ClientRequest{.id = "r" + std::to_string(i)}.text());
-    const std::string answer = client.read_message();
-    EXPECT_EQ(status_of(answer), 200);
-    EXPECT_TRUE(body_of(answer) == body) << "unchanged, " << body_of(answer).size() << " bytes";
+    const std::string response = client.read_message();
+    EXPECT_EQ(status_of(response), 200);
+    EXPECT_TRUE(body_of(response) == body)
+        << "the body changed; received " << body_of(response).size() << " bytes";
   }
 }
 TEST(Outcomes, LargestResponseIsOneMebibyte) {
@@ -113,10 +117,10 @@
   RawConnection client = d.client();
   client.write(ClientRequest{}.text());
   EXPECT_EQ(body_of(client.read_message()).size(), 1024U * 1024U);
-  expect_failed_once(replies(200, large_body(1024 * 1024 + 1)));
+  expect_502_without_retry(replies(200, large_body(1024 * 1024 + 1)));
 }
 TEST(Outcomes, ChunkedBodyBeyondTheLimitMayHaveBeenProcessed) {
-  expect_failed_once([](RawConnection& connection, const std::string&) {
+  expect_502_without_retry([](RawConnection& connection, const std::string&) {
     connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     const std::string chunk = "10000\r\n" + std::string(0x10000, 'x') + "\r\n";
     for (int i = 0; i < 40 && connection.write(chunk); ++i) {
@@ -125,12 +129,12 @@
   });
 }
 
-// The attempt ends when the head has arrived, not with the client's timeout.
+// The attempt ends as soon as the response head has arrived, not at the client's timeout.
 TEST(Outcomes, BodyBeyondTheLimitIsAbandonedAtItsHead) {
   std::atomic<bool> is_open = true;
   FakeServer server([&](RawConnection& connection, const std::string&) {
     connection.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx");
-    connection.receive_more();  // returns at the node's close
+    connection.receive_more();  // returns when the node closes the connection
     is_open = false;
     return false;
   });
@@ -139,7 +143,7 @@
   const auto start = std::chrono::steady_clock::now();
   client.write(ClientRequest{}.text());
   EXPECT_EQ(status_of(client.read_message()), 502);
-  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client waits 15 s";
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client's timeout is 15 s";
   EXPECT_TRUE(eventually([&] { return !is_open; }));
 }
 
@@ -173,7 +177,7 @@
   }
 }
 
-TEST(Outcomes, SurplusBytesAreNotTheNextResponse) {
+TEST(Outcomes, SurplusBytesAreNotReadAsTheNextResponse) {
   FakeServer server([](RawConnection& connection, const std::string&) {
     return connection.write(http_response(200, "right") + http_response(200, "wrong"));
   });
@@ -198,7 +202,8 @@
   Program program(config.text());
   RawConnection client = RawConnection::connect_to(program.port());
   client.write(ClientRequest{}.text());
-  EXPECT_EQ(status_of(client.read_message()), 503) << "shed, not failed: the request was not processed";
+  EXPECT_EQ(status_of(client.read_message()), 503)
+      << "the request was not processed, so it is shed and not answered with a 502";
 }
 
 TEST(Outcomes, TimeoutMayHaveBeenProcessedAndClosesTheConnection) {
@@ -208,7 +213,7 @@
   client.write(ClientRequest{.timeout = "300"}.text());
   EXPECT_EQ(status_of(client.read_message()), 502);
   EXPECT_EQ(server.requests().size(), 1U);
-  EXPECT_TRUE(eventually([&] { return server.ended() == 1; }));
+  EXPECT_TRUE(eventually([&] { return server.closed_by_node() == 1; }));
 }
 
 }  // namespace
--- a/tests/node/scripted_discovery.h
+++ b/tests/node/scripted_discovery.h
@@ -1,4 +1,4 @@
-// Stand-ins for discovery whose behaviour a test scripts, and a node that follows one.
+// Fake discovery services whose behaviour a test scripts, and a node that watches one.
 #pragma once
 
 #include <algorithm>
@@ -17,42 +17,42 @@
   return std::chrono::duration<double>(to - from).count();
 }
 
-// Sends requests to a node, each with its own id on a connection of its own.
+// Sends requests to a node, each with a unique id on a new connection.
 class RequestSender {
  public:
   explicit RequestSender(Program& program) : program_(program) {}
-  // The response to the next request.
+  // Sends the next request and returns the response.
   std::string response() {
     RawConnection client = RawConnection::connect_to(program_.port());
-    client.write(ClientRequest{.id = "w" + std::to_string(++requests_)}.text());
+    client.write(ClientRequest{.id = "w" + std::to_string(++sent_requests_)}.text());
     return client.read_message();
   }
   int status() { return status_of(response()); }
 
  private:
   Program& program_;
-  int requests_ = 0;
+  int sent_requests_ = 0;
 };
 
 inline const std::string kWatchResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-// Discovery whose calls are handled by the test, one by one.
+// A discovery service that passes each call to a handler of the test.
 class ScriptedDiscovery {
  public:
-  // `call` is counted from 0; the connection is closed when the handler returns.
-  using Handler = std::function<void(RawConnection&, int call)>;
+  // `index` is the number of the call, counted from 0. The connection is closed when the handler returns.
+  using Handler = std::function<void(RawConnection&, int index)>;
   explicit ScriptedDiscovery(Handler handler, int port = 0)
       : listener_(
             [this, handler = std::move(handler)](RawConnection& connection) {
-              const std::string call = connection.read_message();
-              if (call.empty()) return;
-              int number = 0;
+              const std::string request = connection.read_message();
+              if (request.empty()) return;
+              int index = 0;
               {
                 const std::lock_guard lock(mutex_);
-                number = static_cast<int>(calls_.size());
-                calls_.push_back({call, Steady::now()});
+                index = static_cast<int>(received_calls_.size());
+                received_calls_.push_back({request, Steady::now()});
               }
-              handler(connection, number);
+              handler(connection, index);
             },
             port) {}
   struct Call {
@@ -61,18 +61,18 @@
   };
   std::vector<Call> calls() {
     const std::lock_guard lock(mutex_);
-    return calls_;
+    return received_calls_;
   }
   Listener& listener() { return listener_; }
   std::string address() const { return listener_.address(); }
 
  private:
   std::mutex mutex_;
-  std::vector<Call> calls_;
+  std::vector<Call> received_calls_;
   Listener listener_;
 };
 
-// A node that follows a scripted discovery.
+// A node that watches a scripted discovery service.
 struct WatchingNode {
   WatchingNode(ScriptedDiscovery& discovery, const std::string& known,
                const std::string& mode = "subscribe") {
@@ -82,39 +82,39 @@
     program = std::make_unique<Program>(text.text());
     requests = std::make_unique<RequestSender>(*program);
   }
-  // The status that the next request gets.
+  // Sends the next request and returns the status of the response.
   int status() { return requests->status(); }
   ConfigText text;
   std::unique_ptr<Program> program;
   std::unique_ptr<RequestSender> requests;
 };
 
-// Discovery that many nodes share. It serves calls from a queue, each in `cost`; a call that would wait for
-// more than `longest_wait` gets a 503 after that time, and still costs its work, as in a service that does
-// not notice that its client has timed out.
+// A discovery service that many nodes share. It processes calls one after another, each in `service_time`. A
+// call that would wait for more than `max_wait` gets a 503 after that time, but still takes its service time,
+// as in a service that does not notice that its client has timed out.
 class QueueingDiscovery {
  public:
-  QueueingDiscovery(std::chrono::milliseconds cost, std::chrono::milliseconds longest_wait)
-      : cost_(cost),
-        longest_wait_(longest_wait),
+  QueueingDiscovery(std::chrono::milliseconds service_time, std::chrono::milliseconds max_wait)
+      : service_time_(service_time),
+        max_wait_(max_wait),
         listener_([this](RawConnection& connection) { serve(connection); }) {}
   ~QueueingDiscovery() {
-    over_ = true;
+    stopping_ = true;
     listener_.stop();
   }
   std::string address() const { return listener_.address(); }
 
-  // All watches end, and calls get a 503 after `longest_wait` until it is up again.
-  void go_down() { down_ = true; }
-  // From now on each call gets this list and costs its work.
+  // Ends all watches; until come_up(), calls get a 503 after `max_wait`.
+  void go_down() { is_down_ = true; }
+  // Makes the service available again: from now on each call takes its service time and gets this list.
   void come_up(const std::string& list) {
     const std::lock_guard lock(mutex_);
     list_ = list;
-    free_at_ = Steady::now();
-    down_ = false;
-    ++generation_;
+    queue_empty_at_ = Steady::now();
+    is_down_ = false;
+    ++recoveries_;
   }
-  // How many watches are open.
+  // The number of open watches.
   int watches() const { return watches_; }
   int rejected_calls() const { return rejected_calls_; }
 
@@ -122,42 +122,42 @@
   void serve(RawConnection& connection) {
     if (connection.read_message().empty()) return;
     const auto now = Steady::now();
-    const int generation = generation_;
-    Steady::time_point done = now;
+    const int recoveries = recoveries_;
+    Steady::time_point completion = now;
     std::string list;
-    bool is_rejected = down_;
+    bool is_rejected = is_down_;
     if (!is_rejected) {
       const std::lock_guard lock(mutex_);
-      if (generation > 0) free_at_ = std::max(free_at_, now) + cost_;
-      done = std::max(free_at_, now);
-      is_rejected = done - now > longest_wait_;
+      if (recoveries > 0) queue_empty_at_ = std::max(queue_empty_at_, now) + service_time_;
+      completion = std::max(queue_empty_at_, now);
+      is_rejected = completion - now > max_wait_;
       list = list_;
     }
     if (is_rejected) {
-      if (generation > 0 && !down_) ++rejected_calls_;
-      if (sleep_until(now + longest_wait_)) connection.write(http_response(503, ""));
+      if (recoveries > 0 && !is_down_) ++rejected_calls_;
+      if (sleep_until(now + max_wait_)) connection.write(http_response(503, ""));
       return;
     }
-    if (!sleep_until(done) ||
+    if (!sleep_until(completion) ||
         !connection.write(kWatchResponseHead + chunk(list.empty() ? "\n" : list + "\n")))
       return;
     ++watches_;
-    while (!over_ && !down_ && connection.write(chunk("\n"))) {
-      for (int i = 0; i < 50 && !over_ && !down_; ++i) std::this_thread::sleep_for(20ms);
+    while (!stopping_ && !is_down_ && connection.write(chunk("\n"))) {
+      for (int i = 0; i < 50 && !stopping_ && !is_down_; ++i) std::this_thread::sleep_for(20ms);
     }
     --watches_;
   }
-  bool sleep_until(Steady::time_point then) const {
-    while (!over_ && Steady::now() < then) std::this_thread::sleep_for(5ms);
-    return !over_;
+  bool sleep_until(Steady::time_point deadline) const {
+    while (!stopping_ && Steady::now() < deadline) std::this_thread::sleep_for(5ms);
+    return !stopping_;
   }
 
-  std::chrono::milliseconds cost_, longest_wait_;
+  std::chrono::milliseconds service_time_, max_wait_;
   std::mutex mutex_;
   std::string list_;
-  Steady::time_point free_at_;
-  std::atomic<bool> down_ = false, over_ = false;
-  std::atomic<int> generation_ = 0, watches_ = 0, rejected_calls_ = 0;
+  Steady::time_point queue_empty_at_;
+  std::atomic<bool> is_down_ = false, stopping_ = false;
+  std::atomic<int> recoveries_ = 0, watches_ = 0, rejected_calls_ = 0;
   Listener listener_;
 };
 
--- a/tests/node/test_socket.h
+++ b/tests/node/test_socket.h
@@ -1,4 +1,4 @@
-// Loopback sockets of the tests, and waiting for a condition with a generous limit.
+// Helpers for loopback sockets, and for waiting for a condition with a generous limit.
 #pragma once
 
 #include <arpa/inet.h>
@@ -15,23 +15,23 @@
 namespace thymewood::node {
 
 using namespace std::chrono_literals;
-constexpr auto kMaxWait = 20s;  // for slow machines; only a failing test takes that long
+constexpr auto kMaxWait = 20s;  // generous for slow machines; only a failing test waits that long
 
-// Waits until the condition holds; false after kMaxWait.
+// Polls until the condition holds; returns false after kMaxWait.
 template <typename Condition>
 [[nodiscard]] bool eventually(Condition condition) {
-  const auto until = std::chrono::steady_clock::now() + kMaxWait;
+  const auto deadline = std::chrono::steady_clock::now() + kMaxWait;
   while (!condition()) {
-    if (std::chrono::steady_clock::now() > until) return false;
+    if (std::chrono::steady_clock::now() > deadline) return false;
     std::this_thread::sleep_for(2ms);
   }
   return true;
 }
 
-// Lets the time under test elapse.
+// Sleeps for a duration that is part of the tested scenario. To wait for a condition, use eventually().
 inline void sleep_for(std::chrono::milliseconds duration) { std::this_thread::sleep_for(duration); }
 
-// Owns a descriptor.
+// Owns a file descriptor and closes it on destruction.
 class Fd {
  public:
   explicit Fd(int fd = -1) : fd_(fd) {}
@@ -51,19 +51,19 @@
 };
 
 inline sockaddr_in loopback(int port) {
-  sockaddr_in out{};
-  out.sin_family = AF_INET;
-  out.sin_port = htons(static_cast<std::uint16_t>(port));
-  out.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  return out;
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_port = htons(static_cast<std::uint16_t>(port));
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  return address;
 }
 
-// Small segments and a small receive buffer, so that a peer of this socket, or of one that it accepts, blocks
-// after some tens of KiB. On loopback, send buffers grow to megabytes otherwise.
+// Sets small segments and a small receive buffer, so that the peer of this socket, or of one accepted from
+// it, blocks after some tens of KiB. On loopback, send buffers would otherwise grow to megabytes.
 inline void shrink_buffers(int socket) {
-  const int segment = 88, buffer = 1;  // bytes; the kernel's minima
-  ::setsockopt(socket, IPPROTO_TCP, TCP_MAXSEG, &segment, sizeof segment);
-  ::setsockopt(socket, SOL_SOCKET, SO_RCVBUF, &buffer, sizeof buffer);
+  const int max_segment = 88, receive_buffer = 1;  // bytes; the kernel's minima
+  ::setsockopt(socket, IPPROTO_TCP, TCP_MAXSEG, &max_segment, sizeof max_segment);
+  ::setsockopt(socket, SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
 }
 
 }  // namespace thymewood::node
