--- a/fleet_rig/history/answer_checkers.cpp
+++ b/fleet_rig/history/answer_checkers.cpp
@@ -9,10 +9,10 @@
 using What = Record::What;
 
 std::string describe(const Record& r) {
-  return r.id + " of " + bench::name_of(r.by) + " at " + bench::name_of(r.to);
+  return r.id + " from " + bench::name_of(r.by) + " to " + bench::name_of(r.to);
 }
 
-bool ends_request(What what) {
+bool is_request_end(What what) {
   return what == What::kResponse || what == What::kConnectionBroken || what == What::kClientLeft;
 }
 
@@ -23,34 +23,34 @@
     if (r.what == What::kRequestSent) {
       requests_[r.id] = {&r, false};
       ++verdict_.asked;
-    } else if (ends_request(r.what)) {
-      on_ended(r);
+    } else if (is_request_end(r.what)) {
+      on_request_end(r);
     }
   }
 }
 
-void FinalAnswerChecker::on_ended(const Record& end) {
+void FinalAnswerChecker::on_request_end(const Record& end) {
   const auto found = requests_.find(end.id);
   if (found == requests_.end()) {
-    verdict_.blind.push_back("an end of " + end.id + ", which nobody asked");
+    verdict_.blind.push_back("end of request " + end.id + ", which no client sent");
     return;
   }
   Request& request = found->second;
   const Record& sent = *request.sent;
   if (end.what == What::kResponse && std::exchange(request.answered, true))
-    return report(sent, "has two answers", end.t);
+    return report(sent, "got more than one response", end.t);
   const bool late = end.what == What::kResponse && end.t > sent.limit + slack_;
-  const bool lost = end.what == What::kConnectionBroken && !request.answered;
-  const bool missing = end.what == What::kClientLeft && !request.answered && end.t >= sent.limit + slack_;
-  if (!late && !lost && !missing) return;
-  if (faults_.excuse(sent.by, sent.to, sent.t, std::min(end.t, sent.limit + slack_))) {
+  const bool connection_lost = end.what == What::kConnectionBroken && !request.answered;
+  const bool unanswered = end.what == What::kClientLeft && !request.answered && end.t >= sent.limit + slack_;
+  if (!late && !connection_lost && !unanswered) return;
+  if (faults_.fault_affects(sent.by, sent.to, sent.t, std::min(end.t, sent.limit + slack_))) {
     ++verdict_.excused;
     return;
   }
   report(sent,
-         late   ? "was answered after its caller's time"
-         : lost ? "was lost"
-                : "was never answered",
+         late              ? "got its response after its deadline"
+         : connection_lost ? "lost its connection without a response"
+                           : "got no response",
          end.t);
 }
 
@@ -67,14 +67,15 @@
 
 void AbandonmentChecker::on_received(const Record& attempt) {
   const auto found = disconnected_.find(attempt.id);
-  if (found == disconnected_.end() || attempt.left <= found->second->t + allowed_) return;
-  // A close that can't reach the node is not known to it; that the node was paused is no excuse.
-  const Record& close = *found->second;
-  if (faults_.link_faulty(close.by, close.to, close.t, attempt.left)) return;
-  verdict_.broken.push_back(
-      {"abandoned",
-       attempt.id + " was sent " + std::to_string(attempt.left - close.t) + " s after its caller had closed",
-       attempt.t});
+  if (found == disconnected_.end() || attempt.left <= found->second->t + grace_) return;
+  // A node can't see a disconnect that is lost on a faulty link. A paused node is not excused: it can see
+  // the disconnect as soon as it resumes.
+  const Record& disconnect = *found->second;
+  if (faults_.link_faulty(disconnect.by, disconnect.to, disconnect.t, attempt.left)) return;
+  verdict_.broken.push_back({"abandoned",
+                             attempt.id + " was sent " + std::to_string(attempt.left - disconnect.t) +
+                                 " s after its client disconnected",
+                             attempt.t});
 }
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/history/answer_checkers.h
+++ b/fleet_rig/history/answer_checkers.h
@@ -1,5 +1,5 @@
-// Invariants of what clients see: every request has one final answer in time, and nothing is sent for a
-// client that has disconnected.
+// Invariants seen from the clients: every request gets exactly one final response by its deadline, and no
+// attempt is sent for a client that has disconnected.
 #pragma once
 
 #include <string>
@@ -10,10 +10,10 @@
 
 namespace thymewood::fleet {
 
-// one-final-answer: each request that a client has sent is answered once, by its deadline.
+// one-final-answer: each request that a client has sent gets exactly one response, by its deadline.
 class FinalAnswerChecker {
  public:
-  // All outlive it.
+  // All arguments must outlive the checker.
   FinalAnswerChecker(const History& history, const Rules& rules, Verdict& verdict)
       : history_(history), verdict_(verdict), faults_(history), slack_(rules.slack + verdict.latest) {}
   void check();
@@ -24,7 +24,7 @@
     bool answered = false;
   };
 
-  void on_ended(const Record& end);
+  void on_request_end(const Record& end);
   void report(const Record& request, const std::string& what, double at);
 
   const History& history_;
@@ -34,12 +34,12 @@
   std::unordered_map<std::string, Request> requests_;
 };
 
-// abandoned: no attempt leaves a node long after its client has disconnected.
+// abandoned: a node sends no attempt later than Rules::abandoned after the client has disconnected.
 class AbandonmentChecker {
  public:
-  // All outlive it.
+  // All arguments must outlive the checker.
   AbandonmentChecker(const History& history, const Rules& rules, Verdict& verdict)
-      : history_(history), verdict_(verdict), faults_(history), allowed_(rules.abandoned + verdict.latest) {}
+      : history_(history), verdict_(verdict), faults_(history), grace_(rules.abandoned + verdict.latest) {}
   void check();
 
  private:
@@ -48,7 +48,7 @@
   const History& history_;
   Verdict& verdict_;
   FaultWindows faults_;
-  double allowed_;  // s
+  double grace_;  // s
   std::unordered_map<std::string, const Record*> disconnected_;
 };
 
--- a/fleet_rig/history/checkers.cpp
+++ b/fleet_rig/history/checkers.cpp
@@ -30,7 +30,7 @@
 
 Verdict check_history(const History& history, const Rules& rules) {
   Verdict out;
-  // First, for the slacks of all others depend on the rig's lateness.
+  // Runs first: it sets Verdict::latest, which the other checkers add to their tolerances.
   CompletenessChecker(history, rules, out).check();
   FinalAnswerChecker(history, rules, out).check();
   DoubleEffectChecker(history, rules, out).check();
@@ -39,7 +39,7 @@
   AbandonmentChecker(history, rules, out).check();
   check_views(history, rules, out);
   UsageChecker(history, out).check();
-  if (out.asked == 0) out.blind.emplace_back("nobody asked anything");
+  if (out.asked == 0) out.blind.emplace_back("no client sent a request");
   return out;
 }
 
--- a/fleet_rig/history/fault_windows.cpp
+++ b/fleet_rig/history/fault_windows.cpp
@@ -5,8 +5,8 @@
 
 using What = Record::What;
 
-// s after SIGTERM; a request that a node accepts within it still has to be answered.
-constexpr double kGracefulShutdown = 0.7;
+// s after SIGTERM; a request that a node accepts within this time still has to get a response.
+constexpr double kGracefulShutdownSeconds = 0.7;
 
 }  // namespace
 
@@ -23,7 +23,7 @@
         actors_.end(r.by, r.t);
         break;
       case What::kTerm:
-        draining_.begin(r.by, r.t + kGracefulShutdown);
+        shut_down_.begin(r.by, r.t + kGracefulShutdownSeconds);
         break;
       case What::kBadLink:
         links_.begin({r.by, r.to}, r.t);
@@ -37,9 +37,9 @@
   }
 }
 
-bool FaultWindows::excuse(const Actor& a, const Actor& b, double from, double to) const {
-  return actors_.overlap(a, from, to) || actors_.overlap(b, from, to) || draining_.overlap(a, from, from) ||
-         draining_.overlap(b, from, from) || links_.overlap({a, b}, from, to) ||
+bool FaultWindows::fault_affects(const Actor& a, const Actor& b, double from, double to) const {
+  return actors_.overlap(a, from, to) || actors_.overlap(b, from, to) || shut_down_.overlap(a, from, from) ||
+         shut_down_.overlap(b, from, from) || links_.overlap({a, b}, from, to) ||
          links_.overlap({b, a}, from, to);
 }
 
--- a/fleet_rig/history/fault_windows.h
+++ b/fleet_rig/history/fault_windows.h
@@ -1,4 +1,4 @@
-// When a fault of a node, a server or a link excuses what could not be promised: collected from a history.
+// The time windows in a history during which faults of nodes, servers or links excuse violations.
 #pragma once
 
 #include <limits>
@@ -10,16 +10,16 @@
 
 namespace thymewood::fleet {
 
-// The time windows during which a condition held, for each of many keys.
+// For each key, the time windows during which a condition held.
 template <class Key>
 class TimeWindows {
  public:
-  void begin(const Key& key, double at) { windows_[key].push_back({at, kOpen}); }
+  void begin(const Key& key, double at) { windows_[key].push_back({at, kStillOpen}); }
   void end(const Key& key, double at) {
     const auto found = windows_.find(key);
     if (found == windows_.end()) return;
     for (Window& window : found->second) {
-      if (window.to == kOpen) window.to = at;
+      if (window.to == kStillOpen) window.to = at;
     }
   }
   bool overlap(const Key& key, double from, double to) const {
@@ -32,9 +32,9 @@
   }
 
  private:
-  static constexpr double kOpen = std::numeric_limits<double>::infinity();
+  static constexpr double kStillOpen = std::numeric_limits<double>::infinity();
   struct Window {
-    double from = 0, to = kOpen;
+    double from = 0, to = kStillOpen;
   };
   std::map<Key, std::vector<Window>> windows_;
 };
@@ -43,16 +43,16 @@
  public:
   explicit FaultWindows(const History& history);
 
-  // Whether an exchange between `a` and `b` met a fault of either or of the link between them.
-  bool excuse(const Actor& a, const Actor& b, double from, double to) const;
+  // Whether a fault of `a`, of `b` or of the link between them may have affected an exchange between them.
+  bool fault_affects(const Actor& a, const Actor& b, double from, double to) const;
   // Whether the link from `a` to `b` was faulty.
   bool link_faulty(const Actor& a, const Actor& b, double from, double to) const {
     return links_.overlap({a, b}, from, to);
   }
 
  private:
-  TimeWindows<Actor> actors_;    // killed, crashed or paused
-  TimeWindows<Actor> draining_;  // past the end of a graceful shutdown
+  TimeWindows<Actor> actors_;     // killed, crashed or paused
+  TimeWindows<Actor> shut_down_;  // from the end of a graceful shutdown on
   TimeWindows<std::pair<Actor, Actor>> links_;
 };
 
--- a/fleet_rig/history/figures.h
+++ b/fleet_rig/history/figures.h
@@ -1,4 +1,5 @@
-// How a fleet did, from its history: shares, amplification, fairness, recovery. Pure.
+// Summary figures of a run, computed from its history alone: served shares, request amplification, fairness
+// and recovery time.
 #pragma once
 
 #include <map>
@@ -10,37 +11,39 @@
 
 namespace thymewood::fleet {
 
-// One second of a run, by when the clients wanted.
+// Figures for one second of a run. Operations count in the second in which they began.
 struct Second {
   double wanted = 0, served = 0, in_time = 0, rejected = 0, failed = 0;
   double client_attempts = 0, first_tier = 0,
-         second_tier = 0;  // requests that came to nodes, servers, backends in it
-  double connections = 0;  // open at servers at its end
+         second_tier = 0;  // requests that reached nodes, servers and backends
+  double connections = 0;  // maximum seen open at servers in this second
 };
 
 struct Figures {
   double wanted = 0, served = 0, in_time = 0, rejected = 0, failed = 0;
-  double client_attempts = 0;              // by clients, a first attempt
-  double first_tier = 0, second_tier = 0;  // attempts that came to servers and to backends, a first attempt
-  double most_first_tier = 0;              // the highest of any second with at least a tenth of the mean load
-  double p50 = 0, p99 = 0;                 // s; of what was served
-  double worst_second = 1;  // least part served of any second with at least a tenth of the mean load
-  double recovery = 0;      // s after the last fault's end until well again; -1: never, see below
-  double most_server = 1;   // requests that came to the first-tier server with the most, against the mean
-  double least_node = 1, most_node = 1;  // least and most served part of any node that was up all the time
-  double least_tenant = 1;               // least served part of any tenant that does not flood
+  double client_attempts = 0;              // by clients, per operation
+  double first_tier = 0, second_tier = 0;  // attempts that reached servers and backends, per operation
+  double max_first_tier = 0;               // maximum over the seconds with at least a tenth of the mean load
+  double p50 = 0, p99 = 0;                 // s; latency of served operations
+  double worst_second = 1;  // minimum served share of the seconds with at least a tenth of the mean load
+  double recovery = 0;      // s from the end of the last fault until recovered, see figures_of(); -1: never
+  double most_server = 1;   // attempts at the busiest first-tier server, relative to the mean
+  double least_node = 1, max_node = 1;  // minimum and maximum served share of the nodes
+                                        // that were never down, paused or sent SIGTERM
+  double least_tenant = 1;              // minimum served share of the tenants that don't flood
   double memory_kb = 0,
-         memory_grown_kb = 0;  // the largest node's at the end, and the most that one has grown
-  int descriptors = 0;         // the most that any node had at the end
-  double cpu_us = 0;           // of all nodes, for each attempt
+         max_memory_growth_kb = 0;  // maximum at the end, and maximum growth, of any node
+  int descriptors = 0;              // maximum of any node at the end
+  double cpu_us = 0;                // us of all nodes, per client attempt
   std::vector<Second> seconds;
-  std::vector<std::pair<double, double>> faults;  // from, to
+  std::vector<std::pair<double, double>> faults;  // s; begin and end
   double served_part() const { return wanted > 0 ? served / wanted : 1; }
   double in_time_part() const { return wanted > 0 ? in_time / wanted : 1; }
 };
 
-// Well again: from that second on, every three seconds together, the part served is 0.98 of what it was
-// before the first fault; without a second before it, of all.
+// A run has recovered at the first second from which on the served share of every window of three seconds is
+// at least 0.98 of the served share before the first fault. If the first fault begins in the first second,
+// the share of the whole run takes its place.
 Figures figures_of(const History& history, const bench::Scenario& scenario);
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/history/history_writer.cpp
+++ b/fleet_rig/history/history_writer.cpp
@@ -5,7 +5,7 @@
 namespace thymewood::fleet {
 
 HistoryWriter::HistoryWriter(const std::string& path) : path_(path), out_(path, std::ios::trunc) {
-  if (!out_) throw std::runtime_error(path + ": cannot be written");
+  if (!out_) throw std::runtime_error(path + ": can't open the history file for writing");
 }
 
 HistoryWriter::Steady::time_point HistoryWriter::time_of(double seconds) const {
@@ -16,16 +16,16 @@
   begin_ = Steady::now();
   begin_ = time_of(after);
   begun_ = true;
-  for (auto& [time, record] : held_) {
+  for (auto& [time, record] : buffered_) {
     record.t = at(time);
     out_ << to_line(record) << '\n';
   }
-  held_.clear();
+  buffered_.clear();
 }
 
 void HistoryWriter::add(Record record) {
   if (!begun_) {
-    held_.emplace_back(Steady::now(), std::move(record));
+    buffered_.emplace_back(Steady::now(), std::move(record));
     return;
   }
   if (record.t == 0) record.t = now();
@@ -33,7 +33,7 @@
 }
 
 void HistoryWriter::flush() {
-  if (!out_.flush()) throw std::runtime_error(path_ + ": could not be written whole");
+  if (!out_.flush()) throw std::runtime_error(path_ + ": writing the history failed");
 }
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/history/history_writer.h
+++ b/fleet_rig/history/history_writer.h
@@ -1,4 +1,4 @@
-// Writes a fleet's history as it happens, so that a run that is killed leaves what it saw up to then.
+// Writes the history of a fleet while the run goes on, so that a killed run leaves its records up to then.
 #pragma once
 
 #include <chrono>
@@ -17,24 +17,24 @@
   // Throws std::runtime_error when the file can't be written.
   explicit HistoryWriter(const std::string& path);
 
-  // The run begins `after` seconds from now. Until then records are buffered, and times count from the
-  // making of this; no time that now() gave before may be used after.
+  // Sets the start of the run, time 0, to `after` seconds from now. Until this call records are buffered, and
+  // times count from construction; a time that now() returned before the call must not be used after it.
   void begin(double after);
 
   double now() const { return at(Steady::now()); }
   double at(Steady::time_point time) const { return std::chrono::duration<double>(time - begin_).count(); }
   Steady::time_point time_of(double seconds) const;
 
-  // Its time is now, unless it has one already.
+  // Sets the record's time to now if it is 0.
   void add(Record record);
-  // Checkers would miss what could not be written.
+  // Throws std::runtime_error if anything could not be written: checkers would miss those records.
   void flush();
 
  private:
   std::string path_;
   Steady::time_point begin_ = Steady::now();
   bool begun_ = false;
-  std::vector<std::pair<Steady::time_point, Record>> held_;  // from before the beginning
+  std::vector<std::pair<Steady::time_point, Record>> buffered_;  // records added before begin()
   std::ofstream out_;
 };
 
--- a/fleet_rig/history/record.cpp
+++ b/fleet_rig/history/record.cpp
@@ -12,7 +12,7 @@
 namespace thymewood::fleet {
 namespace {
 
-constexpr std::array<const char*, 26> kWords{
+constexpr std::array<const char*, 26> kRecordNames{
     "begin",  "party",    "want",      "end",   "ask",  "answer", "broken", "gave_up", "came",
     "done",   "told",     "up",        "down",  "term", "away",   "back",   "crash",   "fault",
     "healed", "bad_link", "good_link", "usage", "open", "view",   "late",   "closed"};
@@ -56,9 +56,9 @@
   } else if constexpr (std::is_same_v<T, std::string>) {
     if (value.IsString()) out.assign(value.GetString(), value.GetStringLength());
   } else {
-    constexpr int kKinds = 6;
+    constexpr int kActorKinds = 6;
     if (value.IsArray() && value.Size() == 2 && value[0].IsInt() && value[1].IsInt() &&
-        value[0].GetInt() >= 0 && value[0].GetInt() < kKinds)
+        value[0].GetInt() >= 0 && value[0].GetInt() < kActorKinds)
       out = {static_cast<ActorKind>(value[0].GetInt()), value[1].GetInt()};
   }
 }
@@ -68,12 +68,12 @@
 std::string to_line(const Record& r) {
   rapidjson::StringBuffer buffer;
   Writer out(buffer);
-  constexpr int kMicro = 6;
-  out.SetMaxDecimalPlaces(kMicro);
+  constexpr int kTimeDecimals = 6;
+  out.SetMaxDecimalPlaces(kTimeDecimals);
   out.StartObject();
   out.Key("t");
   out.Double(r.t);
-  put(out, "what", std::string(kWords[static_cast<std::size_t>(r.what)]));
+  put(out, "what", std::string(kRecordNames[static_cast<std::size_t>(r.what)]));
   put(out, "by", r.by);
   put(out, "to", r.to);
   put(out, "id", r.id);
@@ -102,11 +102,11 @@
   in.Parse(line.data(), line.size());
   if (in.HasParseError() || !in.IsObject()) return std::nullopt;
   Record out;
-  std::string word;
-  get(in, "what", word);
-  const auto at = std::find(kWords.begin(), kWords.end(), word);
-  if (at == kWords.end() || !in.HasMember("t")) return std::nullopt;
-  out.what = static_cast<Record::What>(at - kWords.begin());
+  std::string name;
+  get(in, "what", name);
+  const auto at = std::find(kRecordNames.begin(), kRecordNames.end(), name);
+  if (at == kRecordNames.end() || !in.HasMember("t")) return std::nullopt;
+  out.what = static_cast<Record::What>(at - kRecordNames.begin());
   get(in, "t", out.t);
   get(in, "by", out.by);
   get(in, "to", out.to);
@@ -129,7 +129,7 @@
 
 History History::read(const std::string& path) {
   std::ifstream in(path);
-  if (!in) throw std::runtime_error(path + ": cannot be read");
+  if (!in) throw std::runtime_error(path + ": can't open the history file for reading");
   History out;
   for (std::string line; std::getline(in, line);) {
     if (std::optional<Record> record = from_line(line)) {
--- a/fleet_rig/history/run_checkers.cpp
+++ b/fleet_rig/history/run_checkers.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 using What = Record::What;
-constexpr double kMinBaseline = 2;  // s of a run before its first fault, for a level to compare with
-constexpr double kSettleTime = 8;   // s; idle connections are closed within 5 s, then their memory is free
-constexpr double kLastUsageWithin = 2;  // s before the run's end; a node without one had ended
+constexpr double kMinBaseline = 2;      // s before the first fault that a baseline needs
+constexpr double kSettleTime = 8;       // s; idle connections close within 5 s, and then release their memory
+constexpr double kMaxLastUsageAge = 2;  // s at the end of the run; an older last record: the node had ended
 constexpr double kDescriptorFactor = 1.5, kDescriptorMargin = 32;
-constexpr double kMemoryFactor = 1.25, kMemoryMarginKb = 8192;  // an allocator retains freed memory
+constexpr double kMemoryFactor = 1.25, kMemoryMarginKb = 8192;  // the allocator retains freed memory
 
-bool disturbs(const Record& r) {
+bool is_disturbance(const Record& r) {
   switch (r.what) {
     case What::kFault:
     case What::kHealed:
@@ -24,7 +24,7 @@
       return true;
     case What::kUp:
     case What::kDown:
-      return r.t > 0;  // all start before
+      return r.t > 0;  // all actors start before time 0
     default:
       return false;
   }
@@ -43,19 +43,19 @@
     if (r.what == What::kCrash)
       verdict_.broken.push_back({"crash", bench::name_of(r.by) + ": " + r.note, r.t});
   }
-  if (!begun) verdict_.blind.emplace_back("the run's beginning is not there");
+  if (!begun) verdict_.blind.emplace_back("the history has no record of the beginning of the run");
   if (history_.unread > 0)
-    verdict_.blind.push_back(std::to_string(history_.unread) + " lines of the history could not be read");
+    verdict_.blind.push_back(std::to_string(history_.unread) + " lines of the history could not be parsed");
   for (const Actor& actor : open)
-    verdict_.blind.push_back(bench::name_of(actor) + " has not written to its end");
-  verdict_.void_run = verdict_.latest > rules_.most_late;
+    verdict_.blind.push_back(bench::name_of(actor) + " did not write its last record");
+  verdict_.void_run = verdict_.latest > rules_.max_rig_lateness;
 }
 
 UsageChecker::Phases UsageChecker::phases() const {
   Phases out;
   out.first_fault = std::numeric_limits<double>::infinity();
   for (const Record& r : history_.records) {
-    if (disturbs(r)) {
+    if (is_disturbance(r)) {
       out.first_fault = std::min(out.first_fault, r.t);
       out.last_fault = std::max(out.last_fault, r.t);
     }
@@ -79,15 +79,15 @@
   if (phases.first_fault < kMinBaseline || phases.end < phases.last_fault + kSettleTime) return;
   const Baseline before = baseline_before(phases.first_fault);
   if (before.descriptors == 0) {
-    verdict_.blind.emplace_back("no node's usage before the first fault");
+    verdict_.blind.emplace_back("no node recorded its usage before the first fault");
     return;
   }
-  std::map<Actor, const Record*> newest;
+  std::map<Actor, const Record*> last_usage;
   for (const Record& r : history_.records) {
-    if (r.what == What::kUsage) newest[r.by] = &r;
+    if (r.what == What::kUsage) last_usage[r.by] = &r;
   }
-  for (const auto& [actor, usage] : newest) {
-    if (usage->t >= phases.end - kLastUsageWithin) check_node(*usage, before);
+  for (const auto& [actor, usage] : last_usage) {
+    if (usage->t >= phases.end - kMaxLastUsageAge) check_node(*usage, before);
   }
 }
 
@@ -95,15 +95,17 @@
   const int descriptors = usage.count - usage.tier;  // without those that clients keep open
   if (descriptors > kDescriptorFactor * before.descriptors + kDescriptorMargin)
     verdict_.broken.push_back({"levels",
-                               bench::name_of(usage.by) + " holds " + std::to_string(descriptors) +
-                                   " descriptors at the end, and none held more than " +
-                                   std::to_string(static_cast<int>(before.descriptors)) + " before",
+                               bench::name_of(usage.by) + " has " + std::to_string(descriptors) +
+                                   " descriptors open at the end; no node had more than " +
+                                   std::to_string(static_cast<int>(before.descriptors)) +
+                                   " before the first fault",
                                usage.t});
   if (usage.status > kMemoryFactor * before.memory_kb + kMemoryMarginKb)
     verdict_.broken.push_back({"levels",
-                               bench::name_of(usage.by) + " takes " + std::to_string(usage.status) +
-                                   " kB at the end, and none took more than " +
-                                   std::to_string(static_cast<int>(before.memory_kb)) + " before",
+                               bench::name_of(usage.by) + " uses " + std::to_string(usage.status) +
+                                   " kB of memory at the end; no node used more than " +
+                                   std::to_string(static_cast<int>(before.memory_kb)) +
+                                   " before the first fault",
                                usage.t});
 }
 
--- a/fleet_rig/history/run_checkers.h
+++ b/fleet_rig/history/run_checkers.h
@@ -1,5 +1,5 @@
-// Checks of the run as a whole: whether the history is complete, whether a node crashed, and whether nodes
-// leak memory or descriptors.
+// Checks of the run as a whole: that the history is complete, that no node crashed, and that no node leaks
+// memory or descriptors.
 #pragma once
 
 #include <map>
@@ -8,13 +8,14 @@
 
 namespace thymewood::fleet {
 
-// crash; and whether all actors wrote to the end of the run and the rig itself was in time.
+// crash: reports crashed nodes. Also checks that all actors wrote records up to the end of the run and that
+// the rig itself was not late.
 class CompletenessChecker {
  public:
-  // All outlive it.
+  // All arguments must outlive the checker.
   CompletenessChecker(const History& history, const Rules& rules, Verdict& verdict)
       : history_(history), rules_(rules), verdict_(verdict) {}
-  // Sets `latest` and `void_run` of the verdict.
+  // Sets Verdict::latest and Verdict::void_run.
   void check();
 
  private:
@@ -23,16 +24,17 @@
   Verdict& verdict_;
 };
 
-// levels: a node that has more descriptors open or memory in use long after the last fault than any had
-// before the first. A run that begins with a fault, or ends soon after one, has no such levels to compare.
+// levels: reports a node that has considerably more descriptors open or memory in use well after the last
+// fault than any node had before the first. A run that begins with a fault, or ends soon after one, has no
+// baseline or no settled usage and is not checked.
 class UsageChecker {
  public:
-  // All outlive it.
+  // All arguments must outlive the checker.
   UsageChecker(const History& history, Verdict& verdict) : history_(history), verdict_(verdict) {}
   void check();
 
  private:
-  // The times of the run that matter here; s.
+  // s
   struct Phases {
     double first_fault = 0, last_fault = 0, end = 0;
   };
--- a/fleet_rig/history/server_checkers.cpp
+++ b/fleet_rig/history/server_checkers.cpp
@@ -7,10 +7,10 @@
 
 using What = Record::What;
 
-// A zone or a cell, by the server's number.
-int place_of(const std::vector<int>& places, const Actor& server) {
+// The zone or cell of a server.
+int location_of(const std::vector<int>& locations, const Actor& server) {
   const auto at = static_cast<std::size_t>(server.number);
-  return at < places.size() ? places[at] : 0;
+  return at < locations.size() ? locations[at] : 0;
 }
 
 bool may_rerun_anywhere(const RequestClass& c) {
@@ -26,29 +26,29 @@
     if (r.what != What::kServerReceived && r.what != What::kResponse) continue;
     const auto found = requests_.find(r.id);
     if (found == requests_.end()) {
-      verdict_.blind.push_back(r.id + " came to " + bench::name_of(r.by) + ", and nobody asked it");
+      verdict_.blind.push_back(r.id + " reached " + bench::name_of(r.by) + ", but no client sent it");
       continue;
     }
     Request& request = found->second;
     const RequestClass& c = rules_.classes.at(static_cast<std::size_t>(request.request_class));
     if (r.what == What::kResponse) {
-      on_answered(r, c, request);
+      on_response(r, c, request);
     } else {
       on_received(r, c, request);
     }
   }
 }
 
-void DoubleEffectChecker::on_answered(const Record& answer, const RequestClass& c, Request& request) {
-  request.answered = std::min(request.answered, answer.t);
-  const bool rejected = answer.status == 429 || answer.status == 503;
+void DoubleEffectChecker::on_response(const Record& response, const RequestClass& c, Request& request) {
+  request.answered = std::min(request.answered, response.t);
+  const bool rejected = response.status == 429 || response.status == 503;
   if (rejected && !may_rerun_anywhere(c) && !request.runs.empty())
-    report(answer, "was refused though it may have run");
+    report(response, "was rejected although it may have run");
 }
 
 void DoubleEffectChecker::on_received(const Record& attempt, const RequestClass& c, Request& request) {
   ++verdict_.came;
-  if (attempt.left > request.answered + slack_) report(attempt, "was sent after its answer");
+  if (attempt.left > request.answered + slack_) report(attempt, "was sent after its response");
   if (!attempt.yes) return;  // rejected without having run
   for (const Run& earlier : request.runs) check_rerun(attempt, earlier, c);
   request.runs.push_back({attempt.left > 0 ? attempt.left : attempt.t, attempt.by});
@@ -58,19 +58,19 @@
   if (c.idempotency == Idempotency::kNotIdempotent) return report(attempt, "ran twice");
   if (c.idempotency != Idempotency::kIdempotentWithKey) return;
   if (attempt.left > earlier.at + c.dedup_window + slack_) {
-    report(attempt, "was sent again when its key may be forgotten");
+    report(attempt, "was sent again after its deduplication window");
   } else if (!in_same_scope(earlier.server, attempt.by, c.dedup_scope)) {
-    report(attempt, "was sent again to where its key is not known");
+    report(attempt, "was sent again to a server outside the scope of its key");
   }
 }
 
 bool DoubleEffectChecker::in_same_scope(const Actor& a, const Actor& b, DedupScope scope) const {
   if (scope == DedupScope::kAll) return true;
   const bool backend = b.kind == ActorKind::kBackend;
-  const std::vector<int>& places = scope == DedupScope::kCell
-                                       ? (backend ? rules_.backend_cells : rules_.server_cells)
-                                       : (backend ? rules_.backend_zones : rules_.server_zones);
-  return place_of(places, a) == place_of(places, b);
+  const std::vector<int>& locations = scope == DedupScope::kCell
+                                          ? (backend ? rules_.backend_cells : rules_.server_cells)
+                                          : (backend ? rules_.backend_zones : rules_.server_zones);
+  return location_of(locations, a) == location_of(locations, b);
 }
 
 void DoubleEffectChecker::report(const Record& at, const std::string& what) {
@@ -81,7 +81,7 @@
   for (const Record& r : history_.records) {
     if (r.what == What::kNotified && r.yes) not_ready_since_.erase({r.by, r.to});
     if (r.what == What::kNotified && !r.yes) not_ready_since_.try_emplace({r.by, r.to}, r.t);
-    // A node that restarts has only the endpoint list that it is started with.
+    // A restarted node knows only the endpoint list that it is started with.
     if (r.what == What::kDown || r.what == What::kCrash)
       std::erase_if(not_ready_since_, [&](const auto& entry) { return entry.first.first == r.by; });
     if (r.what == What::kServerReceived) on_received(r);
@@ -90,11 +90,12 @@
 
 void DrainChecker::on_received(const Record& attempt) {
   const auto found = not_ready_since_.find({attempt.to, attempt.by});
-  if (found == not_ready_since_.end() || attempt.left <= found->second + allowed_) return;
+  if (found == not_ready_since_.end() || attempt.left <= found->second + grace_) return;
   verdict_.broken.push_back({"drains-kept",
-                             attempt.id + " left " + bench::name_of(attempt.to) + " for " +
+                             attempt.id + " was sent by " + bench::name_of(attempt.to) + " to " +
                                  bench::name_of(attempt.by) + " " +
-                                 std::to_string(attempt.left - found->second) + " s after its end was told",
+                                 std::to_string(attempt.left - found->second) +
+                                 " s after the notification that the server is not ready",
                              attempt.t});
 }
 
@@ -116,13 +117,13 @@
     recent.work -= recent.arrivals.front().work;
     recent.arrivals.pop_front();
   }
-  // A single request may be larger than what a cold server can do in a second.
+  // A single request is no overload: it may be larger than what a cold server can do in a second.
   if (recent.arrivals.size() < 2 || recent.work <= rules_.fall_multiple * attempt.cold * rules_.fall_s)
     return;
   if (std::exchange(recent.reported, true)) return;
   verdict_.broken.push_back({"cold-servers",
-                             bench::name_of(attempt.by) + " was sent " + std::to_string(recent.work) +
-                                 " s of work in a second, by all nodes together, and can do " +
+                             bench::name_of(attempt.by) + " received " + std::to_string(recent.work) +
+                                 " s of work from all nodes within a second while its capacity was " +
                                  std::to_string(attempt.cold),
                              attempt.t});
 }
--- a/fleet_rig/history/server_checkers.h
+++ b/fleet_rig/history/server_checkers.h
@@ -1,5 +1,5 @@
-// Invariants of what servers receive: no double effect, nothing new while draining, no overload while warming
-// up.
+// Invariants of what servers receive: no double effect, no new attempts while draining, no overload while
+// warming up.
 #pragma once
 
 #include <deque>
@@ -14,11 +14,11 @@
 
 namespace thymewood::fleet {
 
-// no-double-effect: a request that is not idempotent runs once, and one with a key again only where and while
-// the key is known.
+// no-double-effect: a request that is not idempotent runs at most once; one with an idempotency key runs
+// again only within the scope and the deduplication window of its key.
 class DoubleEffectChecker {
  public:
-  // All outlive it.
+  // All arguments must outlive the checker.
   DoubleEffectChecker(const History& history, const Rules& rules, Verdict& verdict)
       : history_(history), rules_(rules), verdict_(verdict), slack_(rules.slack + verdict.latest) {}
   void check();
@@ -34,7 +34,7 @@
     double answered = std::numeric_limits<double>::infinity();
   };
 
-  void on_answered(const Record& answer, const RequestClass& c, Request& request);
+  void on_response(const Record& response, const RequestClass& c, Request& request);
   void on_received(const Record& attempt, const RequestClass& c, Request& request);
   void check_rerun(const Record& attempt, const Run& earlier, const RequestClass& c);
   bool in_same_scope(const Actor& a, const Actor& b, DedupScope scope) const;
@@ -47,12 +47,13 @@
   std::unordered_map<std::string, Request> requests_;
 };
 
-// drains-kept: a node sends nothing new to a server once the drain grace after its notification is over.
+// drains-kept: a node sends no new attempt to a server after Rules::drain_grace from the notification that
+// the server is not ready.
 class DrainChecker {
  public:
-  // All outlive it.
+  // All arguments must outlive the checker.
   DrainChecker(const History& history, const Rules& rules, Verdict& verdict)
-      : history_(history), verdict_(verdict), allowed_(rules.drain_grace + rules.slack + verdict.latest) {}
+      : history_(history), verdict_(verdict), grace_(rules.drain_grace + rules.slack + verdict.latest) {}
   void check();
 
  private:
@@ -60,25 +61,25 @@
 
   const History& history_;
   Verdict& verdict_;
-  double allowed_;                                             // s
-  std::map<std::pair<Actor, Actor>, double> not_ready_since_;  // by node and server
+  double grace_;                                               // s
+  std::map<std::pair<Actor, Actor>, double> not_ready_since_;  // key: node, server
 };
 
-// cold-servers: all nodes together do not overload a server that warms up.
+// cold-servers: the nodes together don't overload a server that is warming up.
 class ColdServerChecker {
  public:
-  // All outlive it.
+  // All arguments must outlive the checker.
   ColdServerChecker(const History& history, const Rules& rules, Verdict& verdict)
       : history_(history), rules_(rules), verdict_(verdict) {}
   void check();
 
  private:
   struct Arrival {
-    double at = 0, work = 0;  // s; s
+    double at = 0, work = 0;  // s
   };
   struct RecentArrivals {
-    std::deque<Arrival> arrivals;  // of the last Rules::fall_s
-    double work = 0;               // s, in all
+    std::deque<Arrival> arrivals;  // within the last Rules::fall_s
+    double work = 0;               // s; their sum
     bool reported = false;
   };
 
--- a/fleet_rig/history/views.cpp
+++ b/fleet_rig/history/views.cpp
@@ -14,12 +14,12 @@
 
 using What = Record::What;
 
-// s; for so long a node that starts may be unknown to the others, and a log line may be unread.
+// s; for so long the other nodes may not know a started node yet, and a log line may not have been read yet.
 constexpr double kDiscoveryDelay = 2;
 
 bool is_node(const Actor& actor) { return actor.kind == ActorKind::kNode; }
 
-// The value of `key=value`; empty where the key is absent.
+// Returns the value of `key=value`, or an empty string if the key is absent.
 std::string_view field_of(std::string_view fields, std::string_view key) {
   std::size_t at = 0;
   while (at < fields.size()) {
@@ -81,7 +81,7 @@
   return out;
 }
 
-// Replays a history and compares each node's newest view with the nodes that really run.
+// Replays a history and compares each node's last view with the nodes that are running.
 class ViewChecker {
  public:
   ViewChecker(const Rules& rules, Verdict& verdict) : rules_(rules), verdict_(verdict) {}
@@ -120,7 +120,7 @@
   void on_view(const Record& record) {
     const auto view = parse_view(record);
     if (!view) {
-      verdict_.blind.push_back("a view of " + bench::name_of(record.by) + " can't be read: " + record.note);
+      verdict_.blind.push_back("can't parse a view of " + bench::name_of(record.by) + ": " + record.note);
       return;
     }
     check_if_settled(record.t);
@@ -128,15 +128,16 @@
     check_max_count(record, *view);
   }
 
-  // A node never counts fewer nodes than run for sure: limits are divided by this count.
+  // max_count must never be below the number of nodes known to run: limits are divided by it.
   void check_max_count(const Record& record, const ObservedView& view) {
     const auto running = std::count_if(up_since_.begin(), up_since_.end(), [&](const auto& node) {
       return node.second < record.t - kDiscoveryDelay && !leaving_.contains(node.first);
     });
     if (view.max_count >= running) return;
     verdict_.broken.push_back({"fleet-views",
-                               bench::name_of(record.by) + " counts " + std::to_string(view.max_count) +
-                                   " nodes, and " + std::to_string(running) + " run",
+                               bench::name_of(record.by) + " has max_count " +
+                                   std::to_string(view.max_count) + " while " + std::to_string(running) +
+                                   " nodes run",
                                record.t});
   }
 
@@ -164,10 +165,10 @@
         leaving_.insert(record.by);
         break;
       case What::kBadLink:
-        ++broken_links_;
+        ++faulty_links_;
         break;
       case What::kGoodLink:
-        --broken_links_;
+        --faulty_links_;
         break;
       default:
         break;
@@ -176,9 +177,9 @@
 
   [[nodiscard]] double settled_at() const { return changed_at_ + rules_.views_within + verdict_.latest; }
 
-  // Once after each change: every node's view has to agree with the nodes that run.
+  // Checks once after each change that every node's view agrees with the running nodes.
   void check_if_settled(double now) {
-    if (is_checked_ || broken_links_ > 0 || now < settled_at()) return;
+    if (is_checked_ || faulty_links_ > 0 || now < settled_at()) return;
     is_checked_ = true;
     const int running = static_cast<int>(up_since_.size() - paused_.size());
     for (const auto& [actor, since] : up_since_) {
@@ -189,7 +190,7 @@
       } else if (view->second.reachable_count != running) {
         verdict_.broken.push_back({"fleet-views",
                                    bench::name_of(actor) + " reaches " +
-                                       std::to_string(view->second.reachable_count) + " nodes, and " +
+                                       std::to_string(view->second.reachable_count) + " nodes while " +
                                        std::to_string(running) + " run",
                                    now});
       }
@@ -198,9 +199,9 @@
 
   void finish() {
     if (is_checked_) return;
-    // A run that ends too soon after its last change has shown nothing.
-    if (broken_links_ == 0 && end_ < settled_at())
-      verdict_.blind.emplace_back("the run ends before the views can have converged");
+    // A run that ends too soon after its last change is inconclusive.
+    if (faulty_links_ == 0 && end_ < settled_at())
+      verdict_.blind.emplace_back("the run ends before the views must have converged");
     check_if_settled(end_);
   }
 
@@ -210,7 +211,7 @@
   std::set<Actor> paused_;
   std::set<Actor> leaving_;
   std::map<Actor, ObservedView> views_;
-  int broken_links_ = 0;
+  int faulty_links_ = 0;
   double changed_at_ = 0;
   double end_ = 0;
   bool is_checked_ = true;
--- a/fleet_rig/history/views.h
+++ b/fleet_rig/history/views.h
@@ -1,4 +1,4 @@
-// The views of the replica set that nodes write into their logs.
+// The views of the replica set that nodes log.
 #pragma once
 
 #include <optional>
@@ -8,7 +8,7 @@
 
 namespace thymewood::fleet {
 
-// As a node logs it, see docs/operators/log.md, event replica_set_changed.
+// The fields of the log event replica_set_changed, see docs/operators/log.md.
 struct ObservedView {
   int epoch = 0;
   int rank = 0;
@@ -20,8 +20,8 @@
   bool is_settling = false;
 };
 
-// Reads a record's note: the fields of the event, or the sentence that earlier versions recorded. Nothing
-// where the record is no view, or can't be read.
+// Parses a record's note: the fields of the event, or the sentence that earlier versions recorded. Returns
+// nullopt if the record is not a view or can't be parsed.
 [[nodiscard]] std::optional<ObservedView> parse_view(const Record& record);
 
 }  // namespace thymewood::fleet
