--- a/fleet_rig/plan/planner.cpp
+++ b/fleet_rig/plan/planner.cpp
@@ -12,7 +12,7 @@
 using bench::Scenario;
 using bench::Topology;
 
-bool is_of_links(Fault::What what) {
+bool is_link_fault(Fault::What what) {
   switch (what) {
     case Fault::What::kCut:
     case Fault::What::kCutTo:
@@ -50,18 +50,21 @@
   return out;
 }
 
-// The ways between `who` and `to` (nobody: all others) that there are. One way alone: from `who` to `to`.
+// The link directions between `who` and `to`; an empty `to` stands for all other actors. With `one_way`, only
+// those from `who` to `to`.
 std::vector<Way> ways_between(const Topology& topology, const std::vector<Actor>& who,
                               const std::vector<Actor>& to, bool one_way) {
-  const std::set<Actor> left(who.begin(), who.end()), named(to.begin(), to.end());
-  const auto is_right = [&](const Actor& p) { return named.empty() ? !left.contains(p) : named.contains(p); };
+  const std::set<Actor> sources(who.begin(), who.end()), targets(to.begin(), to.end());
+  const auto is_target = [&](const Actor& actor) {
+    return targets.empty() ? !sources.contains(actor) : targets.contains(actor);
+  };
   std::set<Way> out;
   for (const Way& link : links_of(topology)) {
-    if (left.contains(link.from) && is_right(link.to)) {
+    if (sources.contains(link.from) && is_target(link.to)) {
       out.insert(link);
       if (!one_way) out.insert({link.to, link.from});
     }
-    if (left.contains(link.to) && is_right(link.from)) {
+    if (sources.contains(link.to) && is_target(link.from)) {
       out.insert({link.to, link.from});
       if (!one_way) out.insert(link);
     }
@@ -69,8 +72,8 @@
   return {out.begin(), out.end()};
 }
 
-// When it holds: once, or on and off in turn.
-std::vector<std::pair<double, double>> stretches(const Fault& f) {
+// The intervals during which a fault is active: one, or alternating ones of length `flap`.
+std::vector<std::pair<double, double>> active_intervals(const Fault& f) {
   if (f.flap <= 0) return {{f.at, f.at + f.lasts}};
   std::vector<std::pair<double, double>> out;
   for (double at = f.at; at < f.at + f.lasts; at += 2 * f.flap)
@@ -78,8 +81,9 @@
   return out;
 }
 
-// What is over in the moment in which it begins: connections are reset once, a process gets SIGTERM once.
-bool is_once(Fault::What what) {
+// Whether a fault ends at the moment at which it begins: connections are reset once, a process gets SIGTERM
+// or SIGHUP once.
+bool is_instantaneous(Fault::What what) {
   return what == Fault::What::kReset || what == Fault::What::kRestart || what == Fault::What::kHangup;
 }
 
@@ -130,32 +134,32 @@
     Random random(seed * 1000003 + i);
     const std::vector<Actor> who = f.who.pick(topology, random);
     const std::vector<Actor> to = f.to.pick(topology, random);
-    // One after another, or all together.
-    std::vector<std::vector<Actor>> turns;
+    // With `stagger` the actors are affected one after another, otherwise all at once.
+    std::vector<std::vector<Actor>> groups;
     if (f.stagger > 0) {
-      for (const Actor& actor : who) turns.push_back({actor});
+      for (const Actor& actor : who) groups.push_back({actor});
     } else {
-      turns.push_back(who);
+      groups.push_back(who);
     }
-    const std::vector<std::pair<double, double>> spans = stretches(f);
-    std::size_t part = 0;
-    for (std::size_t turn = 0; turn < turns.size(); ++turn) {
-      for (const auto& [from, end] : spans) {
+    const std::vector<std::pair<double, double>> intervals = active_intervals(f);
+    std::size_t index = 0;
+    for (std::size_t group = 0; group < groups.size(); ++group) {
+      for (const auto& [from, end] : intervals) {
         Step step;
         step.fault = i;
         step.number = ++number;
-        step.at = from + static_cast<double>(turn) * f.stagger;
-        step.note =
-            f.text + ", " + std::to_string(++part) + " of " + std::to_string(turns.size() * spans.size());
-        if (is_of_links(f.what)) {
-          step.ways = ways_between(topology, turns[turn], to, f.what == Fault::What::kCutTo);
+        step.at = from + static_cast<double>(group) * f.stagger;
+        step.note = f.text + ", " + std::to_string(++index) + " of " +
+                    std::to_string(groups.size() * intervals.size());
+        if (is_link_fault(f.what)) {
+          step.ways = ways_between(topology, groups[group], to, f.what == Fault::What::kCutTo);
           step.shape = shape_of(f);
         } else {
-          step.who = turns[turn];
+          step.who = groups[group];
         }
         out.push_back(step);
         step.what = Step::What::kEnds;
-        step.at = is_once(f.what) ? step.at : end + static_cast<double>(turn) * f.stagger;
+        step.at = is_instantaneous(f.what) ? step.at : end + static_cast<double>(group) * f.stagger;
         if (std::isfinite(step.at)) out.push_back(step);
       }
     }
--- a/fleet_rig/plan/planner.h
+++ b/fleet_rig/plan/planner.h
@@ -1,6 +1,6 @@
-// From a scenario to the moments at which something is done to the fleet, in order. Pure: the same scenario
-// and seed give the same plan. Whom a share such as 'node:70%' meets is drawn once a fault, by its place in
-// the file.
+// Expands a scenario into the timed steps that the rig applies to the fleet, in order. Deterministic: the
+// same scenario and seed give the same plan. The actors of a share such as 'node:70%' are drawn once per
+// fault, from the seed and the index of the fault in the file.
 #pragma once
 
 #include <cstdint>
@@ -16,33 +16,35 @@
 using bench::Fault;
 using bench::Shape;
 
-// One way between two actors.
+// One direction of the link between two actors.
 struct Way {
   Actor from, to;
-  auto operator<=>(const Way&) const = default;  // NOLINT(modernize-use-nullptr): a false alarm of the check
+  auto operator<=>(const Way&) const = default;  // NOLINT(modernize-use-nullptr): false positive
 };
 
 struct Step {
   enum class What {
-    kBegins,  // of `fault`
-    kEnds,
-    kChange  // of servers, `change` of the scenario
+    kBegins,  // `fault` begins
+    kEnds,    // `fault` ends
+    kChange   // `change` of the scenario is applied to servers
   };
   double at = 0;
   What what = What::kBegins;
-  std::size_t fault = 0, change = 0;  // by their places in the file
-  std::uint64_t number = 0;           // tells this stretch of a fault from all others
-  std::vector<Actor> who;             // machines, or discovery
-  std::vector<Way> ways;              // links, each way by itself
-  Shape shape;                        // what is laid on `ways`
-  std::string note;                   // "cut zone:1, 2nd of 5"
+  std::size_t fault = 0, change = 0;  // indices in the scenario
+  std::uint64_t number = 0;           // identifies one active interval of a fault
+  std::vector<Actor> who;             // actors that the fault affects: machines or discovery
+  std::vector<Way> ways;              // link directions that the fault affects
+  Shape shape;                        // applied to `ways`
+  std::string note;                   // such as "cut zone:1, 2 of 5"
 };
 
-// All links that there are: clients to nodes, nodes to servers, discovery and each other; nodes of servers to
-// the second tier and to discovery. Each pair once, as it is dialled.
+// All links of the topology: clients to nodes; nodes to servers, discovery and each other; the servers'
+// sidecar nodes to backends, discovery and each other. Each pair occurs once, in the direction in which it
+// connects.
 std::vector<Way> links_of(const bench::Topology& topology);
 
-// What [[link]] rules lay on each way from the beginning; a later rule is laid on top of an earlier one.
+// The shapes that [[link]] rules apply to each direction from the beginning; those of later rules come on top
+// of those of earlier ones.
 std::vector<std::pair<Way, Shape>> standing_shapes(const bench::Scenario& scenario);
 
 std::vector<Step> plan(const bench::Scenario& scenario, std::uint64_t seed);
--- a/fleet_rig/soak/soak_scenario.h
+++ b/fleet_rig/soak/soak_scenario.h
@@ -1,6 +1,5 @@
-// A fleet's run that is drawn from a seed, as the text of a scenario: the size of the fleet, what its clients
-// ask and for how long they wait, and several faults, some of them at once. Pure: the same seed gives the
-// same run.
+// Generates the text of a random scenario from a seed: the size of the fleet, its request classes and client
+// timeouts, and several faults, which may overlap. Deterministic: the same seed gives the same scenario.
 #pragma once
 
 #include <cstdint>
