--- a/tests/fleet_rig/model_test.cpp
+++ b/tests/fleet_rig/model_test.cpp
@@ -1,4 +1,4 @@
-// The pure parts of the fleet rig: who is meant, when what happens, what a link does to what passes.
+// The deterministic parts of the fleet rig: selection of actors, planning of faults, and link shaping.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -18,19 +18,21 @@
 using bench::Scenario;
 using bench::Selector;
 
-constexpr const char* kHead =
+constexpr const char* kBaseScenario =
     "seconds = 10\n[[class]]\nname = \"c\"\n[[load]]\nrate = 5\n[[servers]]\ncount = 3\nzone = "
     "0\n[[servers]]\n"
     "count = 2\nzone = 1\n[[node]]\ncount = 2\nzone = 0\n[[node]]\ncount = 2\nzone = 1\n";
 
-Scenario scenario_of(const std::string& rest) { return bench::parse_scenario(kHead + rest, "t.toml"); }
+Scenario scenario_of(const std::string& rest) {
+  return bench::parse_scenario(kBaseScenario + rest, "t.toml");
+}
 
 std::string error_of(const std::string& rest) {
   try {
     scenario_of(rest);
     return "";
-  } catch (const std::runtime_error& problem) {
-    return problem.what();
+  } catch (const std::runtime_error& error) {
+    return error.what();
   }
 }
 
@@ -48,7 +50,7 @@
   return numbers(selector->pick(scenario_of("").topology(), random));
 }
 
-// ---------------------------------------------------------------- who
+// ---------------------------------------------------------------- selectors
 
 TEST(Selectors, SelectOneARangeAllAndAShare) {
   EXPECT_EQ(picked("node:2"), std::vector<int>{2});
@@ -58,10 +60,10 @@
   EXPECT_EQ(picked(""), std::vector<int>{});
   EXPECT_EQ(picked("node:50%").size(), 2u);
   EXPECT_EQ(picked("server:100%").size(), 5u);
-  EXPECT_EQ(picked("server:40%", 7), picked("server:40%", 7)) << "the seed decides";
+  EXPECT_EQ(picked("server:40%", 7), picked("server:40%", 7)) << "the seed determines the draw";
   std::set<std::vector<int>> drawn;
   for (std::uint64_t seed = 0; seed < 50; ++seed) drawn.insert(picked("node:25%", seed));
-  EXPECT_EQ(drawn.size(), 4u) << "each is drawn now and then";
+  EXPECT_EQ(drawn.size(), 4u) << "every node is drawn with some seed";
 }
 
 TEST(Selectors, OfAZoneSelectItsNodesAndServers) {
@@ -84,10 +86,10 @@
   }
 }
 
-// ---------------------------------------------------------------- the tables of a fleet
+// ---------------------------------------------------------------- fleet tables of a scenario
 
 TEST(FleetTables, InvalidValueIsAnErrorThatNamesTheLine) {
-  const std::pair<const char*, const char*> wrong[] = {
+  const std::pair<const char*, const char*> invalid[] = {
       {"[[fault]]\nwhat = \"explode\"\nwho = \"node:0\"\n", "has to be one of kill"},
       {"[[fault]]\nwhat = \"pause\"\nwho = \"server:0\"\n", "meets nodes alone"},
       {"[[fault]]\nwhat = \"pause\"\nwho = \"zone:0\"\n", "meets nodes alone"},
@@ -104,12 +106,12 @@
       {"[[backend]]\ncount = 2\n", "[chain]"},
       {"[[link]]\nfrom = \"node:0\"\nto = \"server:9\"\n", "there are 5 of these"},
       {"[[link]]\nfrom = \"node:0\"\nloss = 2\n", "from 0 to 1"}};
-  for (const auto& [text, what] : wrong) {
+  for (const auto& [text, what] : invalid) {
     const std::string error = error_of(text);
     EXPECT_NE(error.find(what), std::string::npos) << text << error;
     EXPECT_EQ(error.find("t.toml:"), 0u) << error;
   }
-  EXPECT_NE(error_of("copies = 2\n"), "") << "beside [[node]]";
+  EXPECT_NE(error_of("copies = 2\n"), "") << "not allowed together with [[node]]";
 }
 
 TEST(FleetTables, VirtualTimePlayerNamesUnsupportedTables) {
@@ -120,28 +122,28 @@
         "t.toml");
     try {
       bench::play(s, bench::Front::kModule, 1);
-      FAIL() << "left out in silence: " << text;
-    } catch (const std::runtime_error& problem) {
-      EXPECT_EQ(std::string(problem.what()).find("t.toml:8: "), 0u) << problem.what();
+      FAIL() << "ignored without an error: " << text;
+    } catch (const std::runtime_error& error) {
+      EXPECT_EQ(std::string(error.what()).find("t.toml:8: "), 0u) << error.what();
     }
   }
 }
 
 TEST(FleetTables, AllScenariosCanBeReadAndPlanned) {
-  int days = 0;
+  int scenario_count = 0;
   for (const auto& entry : std::filesystem::directory_iterator(FLEET_SCENARIOS)) {
     const Scenario s = bench::read_scenario(entry.path());
     const std::vector<Step> steps = plan(s, 1);
     for (const Step& step : steps) {
       EXPECT_GE(step.at, 0) << entry.path();
-      EXPECT_LE(step.at, s.seconds) << entry.path() << ": a fault that nobody sees the end of";
+      EXPECT_LE(step.at, s.seconds) << entry.path() << ": a fault that ends after the run";
     }
-    ++days;
+    ++scenario_count;
   }
-  EXPECT_GE(days, 12);
+  EXPECT_GE(scenario_count, 12);
 }
 
-// ---------------------------------------------------------------- when
+// ---------------------------------------------------------------- planning
 
 TEST(Planner, PlanIsDeterminedByTheSeed) {
   const Scenario s = scenario_of(
@@ -155,7 +157,7 @@
   EXPECT_EQ(who(3), who(3));
   std::set<std::vector<std::vector<int>>> all;
   for (std::uint64_t seed = 1; seed < 40; ++seed) all.insert(who(seed));
-  EXPECT_GT(all.size(), 10u) << "the two faults are drawn apart from each other";
+  EXPECT_GT(all.size(), 10u) << "the actors of the two faults are drawn independently";
 }
 
 TEST(Planner, FaultEndsForTheSameActorsItBeganFor) {
@@ -207,23 +209,26 @@
            1)
           .front()
           .ways;
-  EXPECT_EQ(back, (std::vector<Way>{{server, node}})) << "the other way than it is dialled";
-  EXPECT_TRUE(has(ways("cut", ""), clients, node)) << "from everyone else";
+  EXPECT_EQ(back, (std::vector<Way>{{server, node}})) << "against the direction in which the link connects";
+  EXPECT_TRUE(has(ways("cut", ""), clients, node)) << "from all other actors";
 }
 
 TEST(Planner, ZonePartitionLeavesLinksWithinTheZone) {
   const std::vector<Way> ways =
       plan(scenario_of("[[fault]]\nat = 1\nwhat = \"cut\"\nwho = \"zone:1\"\n"), 1).front().ways;
-  const Actor inside{ActorKind::kNode, 2}, outside{ActorKind::kNode, 0}, own{ActorKind::kServer, 3},
-      other{ActorKind::kServer, 0};
-  EXPECT_TRUE(has(ways, inside, other) && has(ways, other, inside) && has(ways, own, outside));
-  EXPECT_TRUE(has(ways, inside, outside) && has(ways, outside, inside)) << "datagrams too";
-  EXPECT_FALSE(has(ways, inside, own) || has(ways, own, inside) || has(ways, outside, other));
-  // A bridge: clients and discovery stand in no zone; they are cut off too, unless 'to' says whom.
+  const Actor inside{ActorKind::kNode, 2}, outside{ActorKind::kNode, 0}, inside_server{ActorKind::kServer, 3},
+      outside_server{ActorKind::kServer, 0};
+  EXPECT_TRUE(has(ways, inside, outside_server) && has(ways, outside_server, inside) &&
+              has(ways, inside_server, outside));
+  EXPECT_TRUE(has(ways, inside, outside) && has(ways, outside, inside))
+      << "the datagram links between nodes too";
+  EXPECT_FALSE(has(ways, inside, inside_server) || has(ways, inside_server, inside) ||
+               has(ways, outside, outside_server));
+  // Clients and discovery belong to no zone, so they are cut off too, unless 'to' selects other actors.
   EXPECT_TRUE(has(ways, inside, {ActorKind::kDiscovery, 0}));
 }
 
-// ---------------------------------------------------------------- what a link does
+// ---------------------------------------------------------------- link shaping
 
 TEST(Direction, CombinesActiveFaultsAndDropsEndedOnes) {
   Direction d;
@@ -257,7 +262,7 @@
   slow.lay(1, {.rate = 1000});
   free = 0;
   for (int i = 0; i < 10; ++i) last = slow.due_in_stream(0, 100, free, random);
-  EXPECT_NEAR(last, 1, 1e-9) << "1,000 bytes at 1,000 a second";
+  EXPECT_NEAR(last, 1, 1e-9) << "1,000 bytes at 1,000 bytes a second";
 }
 
 TEST(Direction, DatagramLossDuplicationAndReorderingMatchTheirShares) {
@@ -265,25 +270,26 @@
   const auto count = [&random](const Shape& shape) {
     Direction d;
     d.lay(1, shape);
-    int lost = 0, doubled = 0, overtaken = 0;
+    int lost = 0, duplicated = 0, reordered = 0;
     double latest = 0;
-    constexpr int kAll = 20000;
-    for (int i = 0; i < kAll; ++i) {
+    constexpr int kDatagrams = 20000;
+    for (int i = 0; i < kDatagrams; ++i) {
       const std::vector<double> dues = d.due_datagrams(i * 0.001, 10, random);
       lost += dues.empty() ? 1 : 0;
-      doubled += dues.size() == 2 ? 1 : 0;
+      duplicated += dues.size() == 2 ? 1 : 0;
       if (dues.empty()) continue;
-      overtaken += dues[0] < latest ? 1 : 0;
+      reordered += dues[0] < latest ? 1 : 0;
       latest = std::max(latest, dues[0]);
     }
-    return std::vector<double>{lost / double{kAll}, doubled / double{kAll}, overtaken / double{kAll}};
+    return std::vector<double>{lost / double{kDatagrams}, duplicated / double{kDatagrams},
+                               reordered / double{kDatagrams}};
   };
   EXPECT_EQ(count({}), (std::vector<double>{0, 0, 0}));
   EXPECT_EQ(count({.cut = true})[0], 1);
   EXPECT_NEAR(count({.loss = 0.2})[0], 0.2, 0.02);
   EXPECT_NEAR(count({.duplicate = 0.3})[1], 0.3, 0.02);
   EXPECT_GT(count({.reorder = 0.1})[2], 0.05);
-  EXPECT_EQ(count({.delay = 0.01})[2], 0) << "a steady delay overtakes nobody";
+  EXPECT_EQ(count({.delay = 0.01})[2], 0) << "a constant delay reorders no datagrams";
 }
 
 }  // namespace
--- a/tests/fleet_rig/views_test.cpp
+++ b/tests/fleet_rig/views_test.cpp
@@ -1,4 +1,4 @@
-// The checker of the nodes' views of the replica set, on constructed histories.
+// The checker of the nodes' views of the replica set (fleet-views), on constructed histories.
 #include "views.h"
 
 #include <gtest/gtest.h>
@@ -29,8 +29,8 @@
   return r;
 }
 
-// Three nodes that see each other, and what comes then.
-Verdict judged(std::vector<Record> more, double end = 20) {
+// Checks a history of three nodes that all reach each other, followed by the records of `more`.
+Verdict verdict_with(std::vector<Record> more, double end = 20) {
   History h;
   for (int i = 0; i < 3; ++i) h.records.push_back(of(0, What::kUp, i));
   for (int i = 0; i < 3; ++i) h.records.push_back(view(1, i, 3, 3, 3));
@@ -79,45 +79,48 @@
 }
 
 TEST(ReplicaSetViews, ThatFollowTheRunningNodesPass) {
-  const Verdict v = judged({of(8, What::kDown, 1), view(10, 0, 2, 3, 2), view(11, 2, 2, 3, 2)});
+  const Verdict v = verdict_with({of(8, What::kDown, 1), view(10, 0, 2, 3, 2), view(11, 2, 2, 3, 2)});
   EXPECT_TRUE(v.passed()) << (v.broken.empty() ? v.blind.front() : v.broken.front().what);
 }
 
 TEST(ReplicaSetViews, ThatStayOutdatedAreReported) {
-  EXPECT_EQ(judged({of(8, What::kDown, 1), view(10, 0, 2, 3, 2)}).of("fleet-views"), 1u)
-      << "node 2 has not noticed";
-  EXPECT_EQ(judged({of(8, What::kDown, 1), view(10, 0, 2, 3, 2), view(11, 2, 2, 3, 2), of(13, What::kUp, 1),
-                    view(14, 0, 3, 3, 3), view(14, 1, 3, 3, 3)})
+  EXPECT_EQ(verdict_with({of(8, What::kDown, 1), view(10, 0, 2, 3, 2)}).of("fleet-views"), 1u)
+      << "node 2 has not noticed that node 1 is down";
+  EXPECT_EQ(verdict_with({of(8, What::kDown, 1), view(10, 0, 2, 3, 2), view(11, 2, 2, 3, 2),
+                          of(13, What::kUp, 1), view(14, 0, 3, 3, 3), view(14, 1, 3, 3, 3)})
                 .of("fleet-views"),
             1u)
-      << "node 2 has not noticed that it is back";
+      << "node 2 has not noticed that node 1 is up again";
 }
 
 TEST(ReplicaSetViews, AreNotCheckedDuringChangesOrBrokenLinks) {
-  EXPECT_TRUE(judged({of(8, What::kDown, 1), of(12, What::kUp, 1), of(16, What::kDown, 1),
-                      view(17, 0, 2, 3, 2), view(18, 2, 2, 3, 2)},
-                     22)
+  EXPECT_TRUE(verdict_with({of(8, What::kDown, 1), of(12, What::kUp, 1), of(16, What::kDown, 1),
+                            view(17, 0, 2, 3, 2), view(18, 2, 2, 3, 2)},
+                           22)
                   .passed());
-  EXPECT_TRUE(judged({of(8, What::kBadLink, 1)}).passed());
+  EXPECT_TRUE(verdict_with({of(8, What::kBadLink, 1)}).passed());
 }
 
 TEST(ReplicaSetViews, ThatCountFewerNodesThanRunAreReportedAtOnce) {
-  EXPECT_EQ(judged({view(9, 0, 2, 2, 3), view(9.5, 0, 3, 3, 3)}).of("fleet-views"), 1u);
-  EXPECT_EQ(judged({of(8, What::kTerm, 1), view(9, 0, 2, 2, 2), view(9, 2, 2, 2, 2), of(9.5, What::kDown, 1)})
-                .of("fleet-views"),
-            0u)
-      << "a node that was sent SIGTERM need not be counted";
+  EXPECT_EQ(verdict_with({view(9, 0, 2, 2, 3), view(9.5, 0, 3, 3, 3)}).of("fleet-views"), 1u);
+  EXPECT_EQ(
+      verdict_with({of(8, What::kTerm, 1), view(9, 0, 2, 2, 2), view(9, 2, 2, 2, 2), of(9.5, What::kDown, 1)})
+          .of("fleet-views"),
+      0u)
+      << "a node that was sent SIGTERM does not have to be counted";
   // A paused node continues when it resumes, so it has to be counted.
-  EXPECT_EQ(judged({of(8, What::kPaused, 1), view(10, 0, 2, 2, 2), view(10, 2, 2, 3, 2)}).of("fleet-views"),
-            1u);
+  EXPECT_EQ(
+      verdict_with({of(8, What::kPaused, 1), view(10, 0, 2, 2, 2), view(10, 2, 2, 3, 2)}).of("fleet-views"),
+      1u);
 }
 
 TEST(ReplicaSetViews, ThatAreMissingOrUnreadableLeaveTheCheckInconclusive) {
-  Record odd = view(9, 0, 3, 3, 3);
-  odd.note = "all is well";
-  EXPECT_EQ(judged({odd}).blind.size(), 1u);
-  EXPECT_EQ(judged({of(8, What::kUp, 3)}).blind.size(), 1u) << "a fourth node logs no view";
-  EXPECT_EQ(judged({of(18, What::kDown, 1)}).blind.size(), 1u) << "the run ends too soon";
+  Record unreadable = view(9, 0, 3, 3, 3);
+  unreadable.note = "all is well";
+  EXPECT_EQ(verdict_with({unreadable}).blind.size(), 1u);
+  EXPECT_EQ(verdict_with({of(8, What::kUp, 3)}).blind.size(), 1u) << "a fourth node logs no view";
+  EXPECT_EQ(verdict_with({of(18, What::kDown, 1)}).blind.size(), 1u)
+      << "the run ends too soon after the last change";
 }
 
 }  // namespace
