--- a/fleet_rig/net/address_block.cpp
+++ b/fleet_rig/net/address_block.cpp
@@ -7,27 +7,28 @@
 namespace thymewood::fleet {
 namespace {
 
-constexpr int kFirst = 16, kLast = 239;   // 127.16 to 127.239; the low ones are left to others
-constexpr unsigned short kClaim = 47111;  // the port of the claim; any fixed one does
+constexpr int kFirstBlock = 16,
+              kLastBlock = 239;  // 127.16 to 127.239; lower blocks are left to other programs
+constexpr unsigned short kReservationPort = 47111;  // arbitrary, but the same in every process
 constexpr unsigned kLoopback = 127U << 24;
 
 }  // namespace
 
-AddressBlock::AddressBlock(boost::asio::io_context& io) : claim_(io) {
-  // Processes begin at different places, so that many that start at once do not all probe the same block
+AddressBlock::AddressBlock(boost::asio::io_context& io) : reservation_(io) {
+  // Processes start at different blocks, so that many that start at once don't all probe the same block
   // first.
-  const int begin = static_cast<int>(::getpid());
-  for (int i = 0; i <= kLast - kFirst; ++i) {
-    number_ = kFirst + (begin + i) % (kLast - kFirst + 1);
-    boost::system::error_code bad;
-    claim_.open(boost::asio::ip::tcp::v4(), bad);
-    // Without reuse_address: a second listener has to fail.
-    claim_.bind({at(0, 1), kClaim}, bad);
-    if (!bad) claim_.listen(1, bad);
-    if (!bad) return;
-    claim_.close(bad);
+  const int offset = static_cast<int>(::getpid());
+  for (int i = 0; i <= kLastBlock - kFirstBlock; ++i) {
+    number_ = kFirstBlock + (offset + i) % (kLastBlock - kFirstBlock + 1);
+    boost::system::error_code error;
+    reservation_.open(boost::asio::ip::tcp::v4(), error);
+    // No reuse_address: the bind must fail if another process holds the block.
+    reservation_.bind({at(0, 1), kReservationPort}, error);
+    if (!error) reservation_.listen(1, error);
+    if (!error) return;
+    reservation_.close(error);
   }
-  throw std::runtime_error("no block of loopback addresses is free: too many fleets at once");
+  throw std::runtime_error("no free block of loopback addresses: too many fleets are running");
 }
 
 boost::asio::ip::address_v4 AddressBlock::at(int group, int member) const {
--- a/fleet_rig/net/address_block.h
+++ b/fleet_rig/net/address_block.h
@@ -1,6 +1,7 @@
-// A block of loopback addresses, 127.B.x.y, that this process alone uses: each actor of a fleet has an
-// address of its own, so that no port has to be sought, and none can be taken between choice and use. The
-// claim is a socket that listens on 127.B.0.1; the kernel frees it when the process ends, however it ends.
+// Reserves a block of loopback addresses, 127.B.x.y, for this process. Each actor of a fleet has an address
+// of its own, so ports can be fixed: there is no search for a free port, and no race between choosing and
+// binding one. The reservation is a listening socket on 127.B.0.1, which the kernel closes however the
+// process ends.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,7 +27,7 @@
 
  private:
   int number_ = 0;
-  boost::asio::ip::tcp::acceptor claim_;
+  boost::asio::ip::tcp::acceptor reservation_;
 };
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/net/http_messages.h
+++ b/fleet_rig/net/http_messages.h
@@ -1,5 +1,5 @@
-// The HTTP messages that the rigs' stand-ins for clients and servers exchange with a node, as PROTOCOL has
-// them.
+// The HTTP messages that the fake clients and servers of the rigs exchange with a node, as PROTOCOL
+// specifies.
 #pragma once
 
 #include <boost/beast/http.hpp>
@@ -7,16 +7,16 @@
 
 namespace thymewood::fleet {
 
-// What a client says of one attempt.
+// The headers of one attempt of a client.
 struct RequestHead {
-  std::string host, class_name, operation;  // `operation`: the path's last part
+  std::string host, class_name, operation;  // `operation`: the last path segment
   std::string id;                           // of this attempt
-  std::string tenant, key;                  // empty: the header is left out
+  std::string tenant, key;                  // if empty, the header is omitted
   long timeout_ms = 0;
   bool has_body = true;  // false: a GET
 };
 
-// The complete request, with a body of four bytes where it has one.
+// Serializes the request; a request with a body has one of four bytes.
 inline std::string request_text(const RequestHead& head) {
   std::string text = (head.has_body ? "POST /" : "GET /") + head.class_name + "/" + head.operation +
                      " HTTP/1.1\r\nHost: " + head.host + "\r\nX-Request-ID: " + head.id +
@@ -27,7 +27,7 @@
   return text + (head.has_body ? "Content-Length: 4\r\n\r\nbody" : "\r\n");
 }
 
-// A server's response, with the request's id as its body. 503 says that the request was not processed.
+// A server's response with the request ID as its body. A 503 is marked as not processed.
 inline boost::beast::http::response<boost::beast::http::string_body> server_response(
     boost::beast::http::status status, const std::string& id) {
   constexpr unsigned kHttp11 = 11;
--- a/fleet_rig/net/link_table.h
+++ b/fleet_rig/net/link_table.h
@@ -1,9 +1,9 @@
-// What happens to what passes between any two actors, one way at a time. Pure: no sockets, no clock. Relays
-// ask it for each piece when it is to be delivered; the rig sets it as faults begin and end.
+// Network conditions between any two actors, per direction. Pure logic: no sockets, no clock. Relays query it
+// for the delivery time of each chunk; the rig updates it as faults begin and end.
 //
-// Several faults may hold on one link. Each is laid on under a number of its own and taken off by it, so that
-// the end of one does not heal another: delays add up, losses are independent of each other, the lowest rate
-// binds, and one cut is enough.
+// Several faults may be active on one link. Each is added and removed under its own ID, so that the end of
+// one does not heal another: delays add up, losses are independent of each other, the lowest rate applies,
+// and a single cut suffices.
 #pragma once
 
 #include <cstdint>
@@ -21,38 +21,38 @@
 using bench::Random;
 using bench::Shape;
 
-// One way of one pair.
+// One direction of the link between a pair of actors.
 class Direction {
  public:
-  const Shape& shape() const { return sum_; }
-  bool cut() const { return sum_.cut; }
+  const Shape& shape() const { return combined_; }
+  bool cut() const { return combined_.cut; }
   void lay(std::uint64_t fault, const Shape& shape);
   void lift(std::uint64_t fault);
 
-  // For a piece of a stream that comes now: when it is to be delivered. A stream stays in order, so that a
-  // lost piece (it comes Shape::kResend later) holds up those behind it. `free` is the stream's own, 0 at its
-  // start: when what came before will have been delivered.
-  double due_in_stream(double now, std::size_t bytes, double& free, Random& random) const;
-  // For a datagram: when it is to be delivered, once, twice or not at all.
+  // The delivery time of a stream chunk that arrives now. A stream stays in order, so a lost chunk, which is
+  // delivered Shape::kResend later, delays those after it. `free_at` is state of the stream, 0 at its start:
+  // the time at which the preceding chunk is delivered.
+  double due_in_stream(double now, std::size_t bytes, double& free_at, Random& random) const;
+  // The delivery times of a datagram: one, two if it is duplicated, none if it is lost.
   std::vector<double> due_datagrams(double now, std::size_t bytes, Random& random);
 
  private:
-  void add_up();
-  double draw_delay(Random& random) const { return sum_.delay + sum_.jitter * random.unit(); }
+  void combine_shapes();
+  double draw_delay(Random& random) const { return combined_.delay + combined_.jitter * random.unit(); }
 
-  std::map<std::uint64_t, Shape> laid_;
-  Shape sum_;
-  double wire_free_ = 0;  // of datagrams, where a rate binds
+  std::map<std::uint64_t, Shape> shapes_by_fault_;
+  Shape combined_;
+  double link_free_at_ = 0;  // when a rate-limited link can send the next datagram
 };
 
 class LinkTable {
  public:
-  // Stays where it is for as long as the table lives.
-  Direction& way(const Actor& from, const Actor& to) { return ways_[{from, to}]; }
+  // The reference stays valid for the lifetime of the table.
+  Direction& way(const Actor& from, const Actor& to) { return directions_[{from, to}]; }
   bool both_open(const Actor& a, const Actor& b) { return !way(a, b).cut() && !way(b, a).cut(); }
 
  private:
-  std::map<std::pair<Actor, Actor>, Direction> ways_;
+  std::map<std::pair<Actor, Actor>, Direction> directions_;
 };
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/net/tcp_relay.cpp
+++ b/fleet_rig/net/tcp_relay.cpp
@@ -34,13 +34,13 @@
     while (!connections_.empty())
       std::shared_ptr<Connection>(connections_.front())->close(Connection::Close::kReset);
   } catch (const std::exception&) {
-    connections_.clear();  // nothing in it does throw, but the checker can't know
+    connections_.clear();  // nothing above throws, but the static analyzer can't prove it
   }
 }
 
 void TcpRelay::open() {
   listen_at(acceptor_, where_);
-  ++turn_;
+  ++generation_;
   accepting_ = false;
   accept();
 }
@@ -48,10 +48,10 @@
 void TcpRelay::accept() {
   if (accepting_ || blocked_ || !acceptor_.is_open()) return;
   accepting_ = true;
-  acceptor_.async_accept([this, turn = turn_](error_code bad, tcp::socket socket) {
-    if (bad == asio::error::operation_aborted || turn != turn_) return;
+  acceptor_.async_accept([this, generation = generation_](error_code error, tcp::socket socket) {
+    if (error == asio::error::operation_aborted || generation != generation_) return;
     accepting_ = false;
-    if (!bad) add_connection(std::move(socket));
+    if (!error) add_connection(std::move(socket));
     accept();
   });
 }
@@ -68,41 +68,42 @@
     blocked_ = block;
     if (acceptor_.is_open()) block ? fill_backlog() : drain_backlog();
   }
-  // A connection may close as it resumes.
+  // Iterates over a copy: a connection may close, and so remove itself, as it resumes.
   const std::vector<std::shared_ptr<Connection>> all(connections_.begin(), connections_.end());
   for (const std::shared_ptr<Connection>& connection : all) connection->resume();
 }
 
-// A queue of length 0 holds one connection, and the kernel drops what comes beyond it (listen(2),
-// tcp_abort_on_overflow off). One that an actor opened a moment ago may hold that place already.
+// A backlog of 0 holds one connection, and the kernel drops further attempts (listen(2), with
+// tcp_abort_on_overflow off). A connection that an actor has just opened may already occupy that slot.
 void TcpRelay::fill_backlog() {
   error_code ignored;
-  ++turn_;
+  ++generation_;
   accepting_ = false;
   acceptor_.cancel(ignored);
   acceptor_.listen(0, ignored);
   fillers_.emplace_back(io_);
   fillers_.back().open(tcp::v4(), ignored);
-  // Not asio's connect, which waits for the end of the attempt even on a non-blocking socket: minutes, where
-  // an actor's own attempt has taken the one place.
+  // Not asio's connect, which waits for the attempt to end even on a non-blocking socket: that takes minutes
+  // if an actor's connection occupies the only slot.
   fillers_.back().native_non_blocking(true, ignored);
-  // Whether it is established or waits behind another, the backlog is full.
+  // The backlog is full whether this connection is established or waits behind another.
   std::ignore =
       ::connect(fillers_.back().native_handle(), where_.data(), static_cast<socklen_t>(where_.size()));
 }
 
 void TcpRelay::drain_backlog() {
   error_code ignored;
-  std::vector<Endpoint> own;
-  for (tcp::socket& filler : fillers_) own.push_back(filler.local_endpoint(ignored));
+  std::vector<Endpoint> filler_endpoints;
+  for (tcp::socket& filler : fillers_) filler_endpoints.push_back(filler.local_endpoint(ignored));
   acceptor_.non_blocking(true, ignored);
   for (;;) {
     tcp::socket socket(io_);
-    error_code bad;
-    acceptor_.accept(socket, bad);
-    if (bad) break;
+    error_code error;
+    acceptor_.accept(socket, error);
+    if (error) break;
     bool filler = false;
-    for (const Endpoint& endpoint : own) filler = filler || socket.remote_endpoint(ignored) == endpoint;
+    for (const Endpoint& endpoint : filler_endpoints)
+      filler = filler || socket.remote_endpoint(ignored) == endpoint;
     if (!filler) add_connection(std::move(socket));
   }
   for (tcp::socket& filler : fillers_) reset_connection(filler);
@@ -121,7 +122,7 @@
   refusing_ = on;
   if (on) {
     error_code ignored;
-    ++turn_;
+    ++generation_;
     fillers_.clear();
     acceptor_.close(ignored);
     return;
--- a/fleet_rig/net/tcp_relay.h
+++ b/fleet_rig/net/tcp_relay.h
@@ -1,10 +1,10 @@
-// Carries TCP connections between two actors, and does to them what the link table says. One listener stands
-// for one pair: `from` uses its address as that of `to`.
+// Forwards TCP connections between two actors under the conditions of the link table. There is one listener
+// per pair: `from` connects to its address instead of that of `to`.
 //
-// What a relay can't do as a broken network does: an actor's kernel sees the relay's kernel, so that bytes
-// are acknowledged by the relay, and what a cut holds back comes at once when it is healed, without the
-// pauses of a sender that has backed off. New connections are as in a network: while either way is cut a
-// connection attempt never comes up, for the listener's backlog stays full and the kernel drops what comes.
+// Limits of the emulation: an actor's kernel talks to the relay's kernel, so the relay acknowledges bytes,
+// and data held back by a cut is delivered at once when it heals, without the retransmission backoff of a
+// real sender. New connections behave as in a real network: while either direction is cut, a connection
+// attempt is never established, because the listener's backlog is kept full and the kernel drops the SYN.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -25,13 +25,13 @@
  public:
   using Endpoint = boost::asio::ip::tcp::endpoint;
   using Steady = std::chrono::steady_clock;
-  // Of a connection that a relay has made to a target.
+  // The source of a connection that a relay has opened to its target.
   struct Origin {
     Actor from;
-    Steady::time_point last_read;  // when the last piece that was delivered to the target had left `from`
+    Steady::time_point last_read;  // when the relay read the last chunk delivered to the target
   };
 
-  // Listens at `where`, on a port of the system's choice if it is 0. The table outlives the relay. Throws
+  // Listens at `where`; the system chooses the port if it is 0. The table outlives the relay. Throws
   // boost::system::system_error.
   TcpRelay(boost::asio::io_context& io, LinkTable& table, const Actor& from, const Actor& to,
            const Endpoint& where, const Endpoint& target, std::uint64_t seed);
@@ -43,14 +43,14 @@
   const Actor& to() const { return to_; }
   const Endpoint& where() const { return where_; }
 
-  // The table has changed for this pair: in force when this returns.
+  // Applies a change of the table for this pair before it returns.
   void changed();
-  // Both ends of each open connection get a reset.
+  // Resets both ends of each open connection.
   void reset();
-  // New connections are refused: the target does not listen, or is made to look so.
+  // Refuses new connections, as a target that does not listen.
   void refuse(bool on);
   std::size_t connections() const { return connections_.size(); }
-  // By the port that the relay's connection to the target goes out from.
+  // Looks up a connection by the local port of the relay's connection to the target.
   std::optional<Origin> origin(unsigned short port) const;
 
  private:
@@ -67,10 +67,10 @@
   Endpoint where_, target_;
   Random random_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  std::vector<boost::asio::ip::tcp::socket> fillers_;  // they keep the queue full while the link is cut
+  std::vector<boost::asio::ip::tcp::socket> fillers_;  // they keep the backlog full while the link is cut
   std::list<std::shared_ptr<Connection>> connections_;
   bool refusing_ = false, blocked_ = false, accepting_ = false;
-  std::uint64_t turn_ = 0;  // tells an accept of this listener from one of an earlier one
+  std::uint64_t generation_ = 0;  // distinguishes the accepts of successive listeners
 };
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/net/tcp_relay_connection.h
+++ b/fleet_rig/net/tcp_relay_connection.h
@@ -10,41 +10,42 @@
 
 namespace thymewood::fleet {
 
-// One TCP connection through a relay: what each end writes goes to the other when the link table says.
+// One TCP connection through a relay. The bytes of each end are delivered to the other at the times that the
+// link table yields.
 class TcpRelay::Connection : public std::enable_shared_from_this<Connection> {
  public:
   enum class Close { kReset, kGraceful };
 
-  Connection(TcpRelay& owner, boost::asio::ip::tcp::socket near)
-      : owner_(&owner),
-        near_(std::move(near)),
-        far_(owner.io_),
-        forward_(owner.io_, near_, far_, owner.table_.way(owner.from_, owner.to_)),
-        backward_(owner.io_, far_, near_, owner.table_.way(owner.to_, owner.from_)) {}
+  Connection(TcpRelay& relay, boost::asio::ip::tcp::socket downstream)
+      : relay_(&relay),
+        downstream_(std::move(downstream)),
+        upstream_(relay.io_),
+        forward_(relay.io_, downstream_, upstream_, relay.table_.way(relay.from_, relay.to_)),
+        backward_(relay.io_, upstream_, downstream_, relay.table_.way(relay.to_, relay.from_)) {}
 
   std::list<std::shared_ptr<Connection>>::iterator position;  // in its relay's list
 
   void start();
   void resume();
   // Removes it from its relay.
-  void close(Close how);
+  void close(Close close_kind);
   unsigned short port() const { return port_; }
   Steady::time_point last_read() const { return forward_.last_read; }
 
  private:
-  static constexpr std::size_t kMaxPieceBytes = std::size_t{16} * 1024;
-  // Bytes that wait for one way of one connection; beyond, its sender is no longer read, as with a full
-  // window.
+  static constexpr std::size_t kMaxChunkBytes = std::size_t{16} * 1024;
+  // Limit of the bytes queued for one direction of a connection. Above it the relay stops reading from the
+  // sender, as a full receive window does.
   static constexpr std::size_t kMaxQueuedBytes = std::size_t{256} * 1024;
 
-  enum class PieceEnd { kNone, kClosed, kReset };
-  struct Piece {
+  enum class ChunkEnd { kNone, kClosed, kReset };
+  struct Chunk {
     double due = 0;
     Steady::time_point read;
     std::string bytes;
-    PieceEnd end = PieceEnd::kNone;
+    ChunkEnd end = ChunkEnd::kNone;
   };
-  // One way: what is read from `in` and goes to `out`.
+  // One direction: reads from `in` and writes to `out`.
   struct Pipe {
     Pipe(boost::asio::io_context& io, boost::asio::ip::tcp::socket& from, boost::asio::ip::tcp::socket& to,
          Direction& way)
@@ -52,27 +53,27 @@
     boost::asio::ip::tcp::socket &in, &out;
     Direction& direction;
     boost::asio::steady_timer timer;
-    std::array<char, kMaxPieceBytes> buffer{};
-    std::deque<Piece> queue;
+    std::array<char, kMaxChunkBytes> buffer{};
+    std::deque<Chunk> queue;
     std::size_t queued = 0;
-    double free = 0;
-    bool reading = false, writing = false, waiting = false, closed_by_sender = false,
+    double free_at = 0;
+    bool reading = false, writing = false, timer_pending = false, closed_by_sender = false,
          closed_to_receiver = false;
     Steady::time_point last_read;
   };
 
   void read(Pipe& pipe);
-  void on_read(Pipe& pipe, boost::system::error_code bad, std::size_t n);
+  void on_read(Pipe& pipe, boost::system::error_code error, std::size_t size);
   void deliver(Pipe& pipe);
   void pop(Pipe& pipe);
   void wait(Pipe& pipe, double due);
-  void finish(Pipe& pipe, PieceEnd how);
-  // Passes the receiver's reset to the sender, by the other way and with that way's delay or cut. It
-  // overtakes what waits there for the sender.
+  void finish(Pipe& pipe, ChunkEnd close_kind);
+  // Forwards the receiver's reset to the sender in the opposite direction, subject to that direction's delay
+  // or cut. It discards the bytes queued there for the sender.
   void on_receiver_reset(Pipe& pipe);
 
-  TcpRelay* owner_;
-  boost::asio::ip::tcp::socket near_, far_;
+  TcpRelay* relay_;
+  boost::asio::ip::tcp::socket downstream_, upstream_;
   Pipe forward_, backward_;
   bool established_ = false;
   unsigned short port_ = 0;
--- a/fleet_rig/net/udp_hub.h
+++ b/fleet_rig/net/udp_hub.h
@@ -1,7 +1,7 @@
-// Carries datagrams between nodes as the link table says. Each node has one face, an address at which all
-// others reach it; what comes to it from a peer goes to the node from that peer's own face, so that a node
-// sees a datagram come from the sender's address in `peers` (PROTOCOL, Between nodes). What comes to the
-// address of all goes to each.
+// Forwards datagrams between nodes under the conditions of the link table. Each node has one proxy address
+// (face) at which all others reach it. A datagram for it is sent on from the proxy address of the sending
+// peer, so that the source is the sender's address in `peers` (PROTOCOL, Between nodes). A datagram to the
+// broadcast address, all(), goes to every other node.
 #pragma once
 
 #include <array>
@@ -22,14 +22,15 @@
   using Endpoint = boost::asio::ip::udp::endpoint;
   struct Peer {
     Actor actor;
-    Endpoint face;     // where the others send to
-    Endpoint listens;  // the node itself; it sends from here
+    Endpoint face;           // proxy address that the other nodes send to
+    Endpoint node_endpoint;  // the node's own socket, which it also sends from
   };
   struct Counts {
-    std::uint64_t came = 0, delivered = 0, dropped = 0, strange = 0, longest = 0, bytes = 0;
+    std::uint64_t received = 0, delivered = 0, dropped = 0, unknown_sender = 0, max_datagram_bytes = 0,
+                  bytes = 0;
   };
 
-  // Ports of faces that are 0 are chosen by the system; see face(). Throws boost::system::system_error.
+  // The system chooses proxy ports that are 0; see face(). Throws boost::system::system_error.
   UdpHub(boost::asio::io_context& io, LinkTable& table, std::vector<Peer> peers, const Endpoint& all,
          std::uint64_t seed);
   ~UdpHub();
@@ -42,15 +43,15 @@
 
  private:
   struct Socket;
-  void receive(std::size_t at);
-  void pass_on(std::size_t from, std::size_t to, const std::string& bytes);
+  void receive(std::size_t socket_index);
+  void forward(std::size_t from, std::size_t to, const std::string& bytes);
 
   boost::asio::io_context& io_;
   LinkTable& table_;
   std::vector<Peer> peers_;
   Endpoint all_;
   Random random_;
-  std::vector<std::unique_ptr<Socket>> sockets_;  // a face a peer, then that of all
+  std::vector<std::unique_ptr<Socket>> sockets_;  // one per peer, then that of the broadcast address
   Counts counts_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/tests/fleet_rig/net_test.cpp
+++ b/tests/fleet_rig/net_test.cpp
@@ -1,5 +1,4 @@
-// Each fault of a link on real sockets, alone: that it does what it says, in the direction it says, and
-// nothing else.
+// Each link fault alone on real sockets: it has its effect in the given direction and no other effect.
 #include <gtest/gtest.h>
 
 #include <boost/asio/post.hpp>
@@ -23,22 +22,23 @@
 using node::RawConnection;
 namespace asio = boost::asio;
 
-const Actor kNear{ActorKind::kNode, 0}, kFar{ActorKind::kServer, 0};
-constexpr auto kAWhile = 150ms;  // for what must not come
+const Actor kClient{ActorKind::kNode, 0}, kServer{ActorKind::kServer, 0};
+constexpr auto kNoDataWait = 150ms;  // how long to wait to show that nothing arrives
 
-// An event loop in a thread of its own; what is done to relays is done there, and is done when in() returns.
-class Loop {
+// Event loop on its own thread. Relays are only used on that thread; run_in_loop() returns when its function
+// has run there.
+class EventLoop {
  public:
-  Loop() : work_(asio::make_work_guard(io)), thread_([this] { io.run(); }) {}
-  ~Loop() {
+  EventLoop() : work_(asio::make_work_guard(io)), thread_([this] { io.run(); }) {}
+  ~EventLoop() {
     io.stop();
     thread_.join();
   }
-  template <class Do>
-  void in(Do what) {
+  template <class Function>
+  void run_in_loop(Function function) {
     std::promise<void> done;
     asio::post(io, [&] {
-      what();
+      function();
       done.set_value();
     });
     done.get_future().get();
@@ -51,11 +51,12 @@
 };
 
 bool has_bytes(int fd, std::chrono::milliseconds wait) {
-  pollfd look{fd, POLLIN, 0};
-  return ::poll(&look, 1, static_cast<int>(wait.count())) > 0;
+  pollfd poll_request{fd, POLLIN, 0};
+  return ::poll(&poll_request, 1, static_cast<int>(wait.count())) > 0;
 }
 
-// One byte or more within the patience of a test; empty at an end, "!" at a reset.
+// Reads one byte or more within the test's time limit; returns "" at end of stream, "!" at a reset and
+// "nothing" at a timeout.
 std::string read_some(RawConnection& connection) {
   if (!has_bytes(connection.fd(), std::chrono::milliseconds(node::kMaxWait))) return "nothing";
   char buffer[65536];
@@ -63,7 +64,7 @@
   return n < 0 ? "!" : std::string(buffer, static_cast<std::size_t>(n));
 }
 
-// A relay between a client and a listener of the test's own.
+// A relay between a client and a listener of the test.
 class TcpLink : public testing::Test {
  protected:
   TcpLink() {
@@ -74,26 +75,26 @@
     socklen_t size = sizeof where;
     ::getsockname(listen_.get(), reinterpret_cast<sockaddr*>(&where), &size);
     const asio::ip::tcp::endpoint target(asio::ip::address_v4::loopback(), ntohs(where.sin_port));
-    loop_.in([&] {
+    loop_.run_in_loop([&] {
       relay_ =
-          std::make_unique<TcpRelay>(loop_.io, table_, kNear, kFar,
+          std::make_unique<TcpRelay>(loop_.io, table_, kClient, kServer,
                                      asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), 0), target, 1);
     });
   }
   ~TcpLink() override {
-    loop_.in([&] { relay_.reset(); });
+    loop_.run_in_loop([&] { relay_.reset(); });
   }
-  void lay(bool forth, bool back, const Shape& shape) {
-    loop_.in([&] {
-      if (forth) table_.way(kNear, kFar).lay(1, shape);
-      if (back) table_.way(kFar, kNear).lay(1, shape);
+  void set_fault(bool forward, bool backward, const Shape& shape) {
+    loop_.run_in_loop([&] {
+      if (forward) table_.way(kClient, kServer).lay(1, shape);
+      if (backward) table_.way(kServer, kClient).lay(1, shape);
       relay_->changed();
     });
   }
-  void lift() {
-    loop_.in([&] {
-      table_.way(kNear, kFar).lift(1);
-      table_.way(kFar, kNear).lift(1);
+  void clear_fault() {
+    loop_.run_in_loop([&] {
+      table_.way(kClient, kServer).lift(1);
+      table_.way(kServer, kClient).lift(1);
       relay_->changed();
     });
   }
@@ -105,28 +106,28 @@
     return RawConnection(Fd(::accept4(listen_.get(), nullptr, nullptr, SOCK_CLOEXEC)));
   }
   struct Pair {
-    RawConnection near, far;
+    RawConnection client, server;
   };
   Pair connect() {
-    RawConnection near = connect_client();
-    RawConnection far = accept();
-    EXPECT_TRUE(near.is_open() && far.is_open());
-    return {std::move(near), std::move(far)};
+    RawConnection client = connect_client();
+    RawConnection server = accept();
+    EXPECT_TRUE(client.is_open() && server.is_open());
+    return {std::move(client), std::move(server)};
   }
-  // A connection attempt that does not wait: whether it comes up within a while.
-  bool comes_up(std::chrono::milliseconds wait) {
+  // Starts a non-blocking connection attempt; returns whether it is established within `wait`.
+  bool connects_within(std::chrono::milliseconds wait) {
     pending_ = Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
     const sockaddr_in where = node::loopback(relay_->where().port());
     if (::connect(pending_.get(), reinterpret_cast<const sockaddr*>(&where), sizeof where) == 0) return true;
-    pollfd look{pending_.get(), POLLOUT, 0};
-    if (errno != EINPROGRESS || ::poll(&look, 1, static_cast<int>(wait.count())) <= 0) return false;
-    int problem = 0;
-    socklen_t size = sizeof problem;
-    ::getsockopt(pending_.get(), SOL_SOCKET, SO_ERROR, &problem, &size);
-    return problem == 0;
+    pollfd poll_request{pending_.get(), POLLOUT, 0};
+    if (errno != EINPROGRESS || ::poll(&poll_request, 1, static_cast<int>(wait.count())) <= 0) return false;
+    int error = 0;
+    socklen_t size = sizeof error;
+    ::getsockopt(pending_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
+    return error == 0;
   }
 
-  Loop loop_;
+  EventLoop loop_;
   LinkTable table_;
   Fd listen_, pending_;
   std::unique_ptr<TcpRelay> relay_;
@@ -134,209 +135,209 @@
 
 TEST_F(TcpLink, ForwardsBothWaysWithoutFaults) {
   Pair p = connect();
-  p.near.write("there");
-  EXPECT_EQ(read_some(p.far), "there");
-  p.far.write("back");
-  EXPECT_EQ(read_some(p.near), "back");
+  p.client.write("there");
+  EXPECT_EQ(read_some(p.server), "there");
+  p.server.write("back");
+  EXPECT_EQ(read_some(p.client), "back");
   EXPECT_EQ(relay_->connections(), 1u);
 }
 
 TEST_F(TcpLink, ForwardsMegabytesBothWaysConcurrently) {
   Pair p = connect();
-  constexpr std::size_t kAll = 3'000'000;
+  constexpr std::size_t kTotalBytes = 3'000'000;
   const auto pump = [](RawConnection& connection, char c) {
-    return std::thread([&connection, c] { EXPECT_TRUE(connection.write(std::string(kAll, c))); });
+    return std::thread([&connection, c] { EXPECT_TRUE(connection.write(std::string(kTotalBytes, c))); });
   };
   const auto drain = [](RawConnection& connection, char c) {
-    std::size_t got = 0;
-    while (got < kAll) {
-      const std::string piece = read_some(connection);
-      if (piece.empty() || piece == "nothing" || piece == "!") break;
-      EXPECT_EQ(piece.find_first_not_of(c), std::string::npos);
-      got += piece.size();
+    std::size_t received_bytes = 0;
+    while (received_bytes < kTotalBytes) {
+      const std::string chunk = read_some(connection);
+      if (chunk.empty() || chunk == "nothing" || chunk == "!") break;
+      EXPECT_EQ(chunk.find_first_not_of(c), std::string::npos);
+      received_bytes += chunk.size();
     }
-    return got;
+    return received_bytes;
   };
-  std::thread there = pump(p.near, 'a'), back = pump(p.far, 'b');
-  std::size_t at_far = 0;
-  std::thread reader([&] { at_far = drain(p.far, 'a'); });
-  const std::size_t at_near = drain(p.near, 'b');
+  std::thread client_writer = pump(p.client, 'a'), server_writer = pump(p.server, 'b');
+  std::size_t server_received = 0;
+  std::thread reader([&] { server_received = drain(p.server, 'a'); });
+  const std::size_t client_received = drain(p.client, 'b');
   reader.join();
-  there.join();
-  back.join();
-  EXPECT_EQ(at_near, kAll);
-  EXPECT_EQ(at_far, kAll);
+  client_writer.join();
+  server_writer.join();
+  EXPECT_EQ(client_received, kTotalBytes);
+  EXPECT_EQ(server_received, kTotalBytes);
 }
 
 TEST_F(TcpLink, PartitionDelaysBothWaysAndLosesNothingOnceHealed) {
   Pair p = connect();
-  lay(true, true, {.cut = true});
-  p.near.write("there");
-  p.far.write("back");
-  EXPECT_FALSE(has_bytes(p.far.fd(), kAWhile));
-  EXPECT_FALSE(has_bytes(p.near.fd(), kAWhile));
-  lift();
-  EXPECT_EQ(read_some(p.far), "there");
-  EXPECT_EQ(read_some(p.near), "back");
+  set_fault(true, true, {.cut = true});
+  p.client.write("there");
+  p.server.write("back");
+  EXPECT_FALSE(has_bytes(p.server.fd(), kNoDataWait));
+  EXPECT_FALSE(has_bytes(p.client.fd(), kNoDataWait));
+  clear_fault();
+  EXPECT_EQ(read_some(p.server), "there");
+  EXPECT_EQ(read_some(p.client), "back");
 }
 
 TEST_F(TcpLink, OneWayPartitionLeavesTheOtherWayOpen) {
   Pair p = connect();
-  lay(true, false, {.cut = true});
-  p.near.write("there");
-  p.far.write("back");
-  EXPECT_EQ(read_some(p.near), "back");
-  EXPECT_FALSE(has_bytes(p.far.fd(), kAWhile));
-  lift();
-  EXPECT_EQ(read_some(p.far), "there");
-  lay(false, true, {.cut = true});
-  p.far.write("again");
-  p.near.write("forth");
-  EXPECT_EQ(read_some(p.far), "forth");
-  EXPECT_FALSE(has_bytes(p.near.fd(), kAWhile));
+  set_fault(true, false, {.cut = true});
+  p.client.write("there");
+  p.server.write("back");
+  EXPECT_EQ(read_some(p.client), "back");
+  EXPECT_FALSE(has_bytes(p.server.fd(), kNoDataWait));
+  clear_fault();
+  EXPECT_EQ(read_some(p.server), "there");
+  set_fault(false, true, {.cut = true});
+  p.server.write("again");
+  p.client.write("forth");
+  EXPECT_EQ(read_some(p.server), "forth");
+  EXPECT_FALSE(has_bytes(p.client.fd(), kNoDataWait));
 }
 
-// A real network drops what opens a connection, whichever way is cut.
+// A real network drops a SYN or its SYN-ACK, whichever direction is cut.
 TEST_F(TcpLink, NoConnectionIsEstablishedThroughAPartition) {
-  for (const bool forth : {true, false}) {
-    lay(forth, !forth, {.cut = true});
-    EXPECT_FALSE(comes_up(300ms)) << forth;
-    lift();
-    // The kernel attempts again after a second; and who connection attempt now comes up at once.
-    EXPECT_TRUE(comes_up(5000ms)) << forth;
+  for (const bool forward : {true, false}) {
+    set_fault(forward, !forward, {.cut = true});
+    EXPECT_FALSE(connects_within(300ms)) << forward;
+    clear_fault();
+    // The kernel resends the SYN after one second; a new connection attempt is established at once.
+    EXPECT_TRUE(connects_within(5000ms)) << forward;
   }
 }
 
 TEST_F(TcpLink, CloseAndResetAreDelayedByAPartition) {
   Pair p = connect();
   Pair q = connect();
-  lay(true, true, {.cut = true});
-  p.near.close();
-  q.near.reset();
-  EXPECT_FALSE(has_bytes(p.far.fd(), kAWhile));
-  EXPECT_FALSE(has_bytes(q.far.fd(), kAWhile));
-  lift();
-  EXPECT_EQ(read_some(p.far), "");
-  EXPECT_EQ(read_some(q.far), "!");
+  set_fault(true, true, {.cut = true});
+  p.client.close();
+  q.client.reset();
+  EXPECT_FALSE(has_bytes(p.server.fd(), kNoDataWait));
+  EXPECT_FALSE(has_bytes(q.server.fd(), kNoDataWait));
+  clear_fault();
+  EXPECT_EQ(read_some(p.server), "");
+  EXPECT_EQ(read_some(q.server), "!");
 }
 
 TEST_F(TcpLink, HalfCloseIsForwardedAndTheOtherHalfStaysOpen) {
   Pair p = connect();
-  p.near.write("last");
-  ::shutdown(p.near.fd(), SHUT_WR);
-  EXPECT_EQ(read_some(p.far), "last");
-  EXPECT_EQ(read_some(p.far), "");
-  p.far.write("still");
-  EXPECT_EQ(read_some(p.near), "still");
-  p.far.close();
-  EXPECT_EQ(read_some(p.near), "");
+  p.client.write("last");
+  ::shutdown(p.client.fd(), SHUT_WR);
+  EXPECT_EQ(read_some(p.server), "last");
+  EXPECT_EQ(read_some(p.server), "");
+  p.server.write("still");
+  EXPECT_EQ(read_some(p.client), "still");
+  p.server.close();
+  EXPECT_EQ(read_some(p.client), "");
   EXPECT_TRUE(eventually([&] {
     std::size_t open = 1;
-    loop_.in([&] { open = relay_->connections(); });
+    loop_.run_in_loop([&] { open = relay_->connections(); });
     return open == 0;
   }));
 }
 
 TEST_F(TcpLink, ResetIsForwardedInEitherDirection) {
   Pair p = connect();
-  p.near.reset();
-  EXPECT_EQ(read_some(p.far), "!");
+  p.client.reset();
+  EXPECT_EQ(read_some(p.server), "!");
   Pair q = connect();
-  q.far.reset();
-  EXPECT_EQ(read_some(q.near), "!");
+  q.server.reset();
+  EXPECT_EQ(read_some(q.client), "!");
 }
 
-// A relay buffer must not hide a reset: the sender gets it although its bytes were read.
+// The relay's buffer must not hide a reset: the sender sees it even though the relay has read its bytes.
 TEST_F(TcpLink, ResetReachesASenderThatKeepsSending) {
   Pair p = connect();
-  lay(true, false, {.delay = 0.05});
-  p.near.write(std::string(100000, 'x'));
-  p.far.reset();
-  EXPECT_TRUE(eventually([&] { return !p.near.write("more"); }));
+  set_fault(true, false, {.delay = 0.05});
+  p.client.write(std::string(100000, 'x'));
+  p.server.reset();
+  EXPECT_TRUE(eventually([&] { return !p.client.write("more"); }));
 }
 
 TEST_F(TcpLink, ResetClosesOnlyOpenConnections) {
   Pair p = connect();
-  p.near.write("x");
-  EXPECT_EQ(read_some(p.far), "x");
-  loop_.in([&] { relay_->reset(); });
-  EXPECT_EQ(read_some(p.near), "!");
-  EXPECT_EQ(read_some(p.far), "!");
+  p.client.write("x");
+  EXPECT_EQ(read_some(p.server), "x");
+  loop_.run_in_loop([&] { relay_->reset(); });
+  EXPECT_EQ(read_some(p.client), "!");
+  EXPECT_EQ(read_some(p.server), "!");
   Pair q = connect();
-  q.near.write("y");
-  EXPECT_EQ(read_some(q.far), "y");
+  q.client.write("y");
+  EXPECT_EQ(read_some(q.server), "y");
 }
 
 TEST_F(TcpLink, RefusesNewConnectionsAndLeavesOpenOnes) {
   Pair p = connect();
-  loop_.in([&] { relay_->refuse(true); });
+  loop_.run_in_loop([&] { relay_->refuse(true); });
   EXPECT_FALSE(connect_client().is_open());
-  p.near.write("x");
-  EXPECT_EQ(read_some(p.far), "x");
-  loop_.in([&] { relay_->refuse(false); });
+  p.client.write("x");
+  EXPECT_EQ(read_some(p.server), "x");
+  loop_.run_in_loop([&] { relay_->refuse(false); });
   Pair q = connect();
-  q.near.write("y");
-  EXPECT_EQ(read_some(q.far), "y");
+  q.client.write("y");
+  EXPECT_EQ(read_some(q.server), "y");
 }
 
 TEST_F(TcpLink, PartitionOutlastsARefusal) {
-  lay(true, true, {.cut = true});
-  loop_.in([&] { relay_->refuse(true); });
+  set_fault(true, true, {.cut = true});
+  loop_.run_in_loop([&] { relay_->refuse(true); });
   EXPECT_FALSE(connect_client().is_open());
-  loop_.in([&] { relay_->refuse(false); });
-  EXPECT_FALSE(comes_up(300ms)) << "it listens again, and is still cut off";
-  lift();
-  EXPECT_TRUE(comes_up(5000ms));
+  loop_.run_in_loop([&] { relay_->refuse(false); });
+  EXPECT_FALSE(connects_within(300ms)) << "listens again, but the link is still cut";
+  clear_fault();
+  EXPECT_TRUE(connects_within(5000ms));
 }
 
 TEST_F(TcpLink, DelayAppliesToOneDirectionOnly) {
   Pair p = connect();
-  lay(true, false, {.delay = 0.2});
+  set_fault(true, false, {.delay = 0.2});
   auto begin = std::chrono::steady_clock::now();
-  p.far.write("back");
-  EXPECT_EQ(read_some(p.near), "back");
+  p.server.write("back");
+  EXPECT_EQ(read_some(p.client), "back");
   const auto back = std::chrono::steady_clock::now() - begin;
   begin = std::chrono::steady_clock::now();
-  p.near.write("there");
-  EXPECT_EQ(read_some(p.far), "there");
+  p.client.write("there");
+  EXPECT_EQ(read_some(p.server), "there");
   EXPECT_GE(std::chrono::steady_clock::now() - begin, 200ms);
   EXPECT_LT(back, 200ms);
 }
 
 TEST_F(TcpLink, RateLimitIsRespected) {
   Pair p = connect();
-  lay(true, false, {.rate = 50000});
+  set_fault(true, false, {.rate = 50000});
   const auto begin = std::chrono::steady_clock::now();
-  p.near.write(std::string(20000, 'x'));
-  std::size_t got = 0;
-  while (got < 20000) got += read_some(p.far).size();
+  p.client.write(std::string(20000, 'x'));
+  std::size_t received_bytes = 0;
+  while (received_bytes < 20000) received_bytes += read_some(p.server).size();
   EXPECT_GE(std::chrono::steady_clock::now() - begin, 390ms);
 }
 
 TEST_F(TcpLink, ReportsItsOriginAndWhenItsLastBytesLeft) {
   Pair p = connect();
-  lay(true, false, {.delay = 0.2});
+  set_fault(true, false, {.delay = 0.2});
   sockaddr_in peer{};
   socklen_t size = sizeof peer;
-  ::getpeername(p.far.fd(), reinterpret_cast<sockaddr*>(&peer), &size);
+  ::getpeername(p.server.fd(), reinterpret_cast<sockaddr*>(&peer), &size);
   const auto before = std::chrono::steady_clock::now();
-  p.near.write("x");
+  p.client.write("x");
   const auto after = std::chrono::steady_clock::now();
-  EXPECT_EQ(read_some(p.far), "x");
+  EXPECT_EQ(read_some(p.server), "x");
   std::optional<TcpRelay::Origin> origin;
-  loop_.in([&] { origin = relay_->origin(ntohs(peer.sin_port)); });
+  loop_.run_in_loop([&] { origin = relay_->origin(ntohs(peer.sin_port)); });
   ASSERT_TRUE(origin);
-  EXPECT_EQ(origin->from, kNear);
+  EXPECT_EQ(origin->from, kClient);
   EXPECT_GE(origin->last_read, before);
-  EXPECT_LT(origin->last_read, after + 100ms) << "not when they were delivered, 0.2 s later";
-  loop_.in([&] { origin = relay_->origin(1); });
+  EXPECT_LT(origin->last_read, after + 100ms) << "must be the time of sending, not of delivery 0.2 s later";
+  loop_.run_in_loop([&] { origin = relay_->origin(1); });
   EXPECT_FALSE(origin);
 }
 
 TEST_F(TcpLink, ConnectionEndsWhenTheTargetDoesNotListen) {
   listen_.reset();
-  RawConnection near = connect_client();
-  EXPECT_EQ(read_some(near), "!");
+  RawConnection client = connect_client();
+  EXPECT_EQ(read_some(client), "!");
 }
 
 TEST(RelayCost, IsMeasuredWhileConnectionsAreOpen) {
@@ -358,7 +359,7 @@
   const int number = first->number();
   first.reset();
   const AddressBlock third(io);
-  EXPECT_EQ(third.number(), number) << "what was given back can be had again";
+  EXPECT_EQ(third.number(), number) << "a released block can be reserved again";
 }
 
 // ---------------------------------------------------------------- datagrams
@@ -376,13 +377,13 @@
       const auto local = asio::ip::address_v4::loopback();
       peers.push_back({actor(i), {local, 0}, {local, ntohs(where.sin_port)}});
     }
-    loop_.in([&] {
+    loop_.run_in_loop([&] {
       hub_ = std::make_unique<UdpHub>(loop_.io, table_, peers,
                                       UdpHub::Endpoint(asio::ip::address_v4::loopback(), 0), 1);
     });
   }
   ~Datagrams() override {
-    loop_.in([&] { hub_.reset(); });
+    loop_.run_in_loop([&] { hub_.reset(); });
   }
   static Actor actor(int i) { return {ActorKind::kNode, i}; }
   void send(int from, const UdpHub::Endpoint& to, const std::string& text) {
@@ -390,7 +391,7 @@
     ::sendto(sockets_[from].get(), text.data(), text.size(), 0, reinterpret_cast<const sockaddr*>(&where),
              sizeof where);
   }
-  // The text and the port that it came from; an empty text where nothing comes.
+  // Returns the text and the source port; an empty text if nothing arrives within `wait`.
   std::pair<std::string, int> receive(int at, std::chrono::milliseconds wait = node::kMaxWait) {
     if (!has_bytes(sockets_[at].get(), wait)) return {"", 0};
     char buffer[2048];
@@ -400,11 +401,11 @@
         ::recvfrom(sockets_[at].get(), buffer, sizeof buffer, 0, reinterpret_cast<sockaddr*>(&from), &size);
     return {std::string(buffer, static_cast<std::size_t>(std::max<ssize_t>(n, 0))), ntohs(from.sin_port)};
   }
-  void lay(int from, int to, const Shape& shape) {
-    loop_.in([&] { table_.way(actor(from), actor(to)).lay(1, shape); });
+  void set_fault(int from, int to, const Shape& shape) {
+    loop_.run_in_loop([&] { table_.way(actor(from), actor(to)).lay(1, shape); });
   }
 
-  Loop loop_;
+  EventLoop loop_;
   LinkTable table_;
   Fd sockets_[3];
   std::unique_ptr<UdpHub> hub_;
@@ -416,43 +417,43 @@
   send(2, hub_->all(), "all");
   EXPECT_EQ(receive(0).first, "all");
   EXPECT_EQ(receive(1), std::make_pair(std::string("all"), static_cast<int>(hub_->face(2).port())));
-  EXPECT_EQ(receive(2, kAWhile).first, "") << "not to oneself";
+  EXPECT_EQ(receive(2, kNoDataWait).first, "") << "a broadcast must not return to its sender";
 }
 
 TEST_F(Datagrams, FromAnUnknownSenderAreDropped) {
-  const Fd stranger(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
+  const Fd unknown_sender(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
   const sockaddr_in where = node::loopback(hub_->face(1).port());
-  ::sendto(stranger.get(), "x", 1, 0, reinterpret_cast<const sockaddr*>(&where), sizeof where);
+  ::sendto(unknown_sender.get(), "x", 1, 0, reinterpret_cast<const sockaddr*>(&where), sizeof where);
   send(0, hub_->face(1), "one");
   EXPECT_EQ(receive(1).first, "one");
-  EXPECT_EQ(receive(1, kAWhile).first, "");
-  EXPECT_EQ(hub_->counts().strange, 1u);
+  EXPECT_EQ(receive(1, kNoDataWait).first, "");
+  EXPECT_EQ(hub_->counts().unknown_sender, 1u);
 }
 
 TEST_F(Datagrams, ArePartitionedPerPairAndDirection) {
-  lay(0, 1, {.cut = true});
+  set_fault(0, 1, {.cut = true});
   send(0, hub_->face(1), "lost");
   send(1, hub_->face(0), "back");
   send(0, hub_->face(2), "other");
   EXPECT_EQ(receive(0).first, "back");
   EXPECT_EQ(receive(2).first, "other");
-  EXPECT_EQ(receive(1, kAWhile).first, "");
+  EXPECT_EQ(receive(1, kNoDataWait).first, "");
 }
 
 TEST_F(Datagrams, AreDelayedDuplicatedAndReordered) {
-  lay(0, 1, {.delay = 0.2});
+  set_fault(0, 1, {.delay = 0.2});
   const auto begin = std::chrono::steady_clock::now();
   send(0, hub_->face(1), "slow");
   EXPECT_EQ(receive(1).first, "slow");
   EXPECT_GE(std::chrono::steady_clock::now() - begin, 200ms);
-  lay(0, 1, {.duplicate = 1});
+  set_fault(0, 1, {.duplicate = 1});
   send(0, hub_->face(1), "twice");
   EXPECT_EQ(receive(1).first, "twice");
   EXPECT_EQ(receive(1).first, "twice");
-  lay(0, 1, {.delay = 0.05, .reorder = 1});
+  set_fault(0, 1, {.delay = 0.05, .reorder = 1});
   send(0, hub_->face(1), "first");
-  EXPECT_TRUE(eventually([&] { return hub_->counts().came == 3; }));
-  lay(0, 1, {});
+  EXPECT_TRUE(eventually([&] { return hub_->counts().received == 3; }));
+  set_fault(0, 1, {});
   send(0, hub_->face(1), "second");
   EXPECT_EQ(receive(1).first, "second");
   EXPECT_EQ(receive(1).first, "first");
