--- a/fleet_rig/shim/call_plan.h
+++ b/fleet_rig/shim/call_plan.h
@@ -1,5 +1,5 @@
-// What the shim of system calls does to the sockets of a process, in memory that the test and the process
-// share.
+// Fault injection plan of the system call shim for the sockets and timers of a process, in memory that the
+// test and the process share.
 #pragma once
 
 #include <atomic>
@@ -21,16 +21,16 @@
   kCount
 };
 
-// In force while `call` is set: the `nth` of these calls from then on, counted from 1, and the `times` - 1
-// after it fail with `error`. With an error of 0, sends and receives move one byte only.
+// Active while `call` is set: the `nth` matching call from then on, counted from 1, and the `times` - 1 after
+// it fail with `error`. If `error` is 0, sends and receives transfer one byte only.
 struct CallPlan {
   std::atomic<FaultyCall> call{FaultyCall::kNone};
   std::atomic<std::int32_t> error{0};
   std::atomic<std::uint64_t> nth{1}, times{1};
-  std::atomic<std::uint64_t> seen{0};   // calls since the plan was set
-  std::atomic<std::uint64_t> fired{0};  // of these, how many failed
+  std::atomic<std::uint64_t> seen{0};   // matching calls since the plan was set
+  std::atomic<std::uint64_t> fired{0};  // of these, how many had a fault injected
 };
 
-constexpr const char* kCallPlanVariable = "THYMEWOOD_CALL_PLAN";  // names the file that holds the plan
+constexpr const char* kCallPlanVariable = "THYMEWOOD_CALL_PLAN";  // path of the file that holds the plan
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/shim/shim.cpp
+++ b/fleet_rig/shim/shim.cpp
@@ -1,6 +1,6 @@
-// Loaded into a process ahead of the C library (ld.so(8), LD_PRELOAD): stands before its calls for files and
-// for the time of day, and does to them what the plan says. What the C library calls within itself (stdio,
-// for one) does not pass here.
+// Preloaded into a process ahead of the C library (ld.so(8), LD_PRELOAD). Interposes the calls for files and
+// for the time of day and injects the faults of the plan. Calls that the C library makes internally, such as
+// those of stdio, are not intercepted.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/mman.h>
@@ -20,61 +20,61 @@
 using thymewood::fleet::FaultPlan;
 
 FaultPlan* plan() {
-  static FaultPlan* const held = []() -> FaultPlan* {
+  static FaultPlan* const mapped_plan = []() -> FaultPlan* {
     const char* path = std::getenv(thymewood::fleet::kFaultsVariable);
     if (path == nullptr) return nullptr;
     const int fd = ::open(path, O_RDWR | O_CLOEXEC);
     if (fd < 0) return nullptr;
-    void* const at = ::mmap(nullptr, sizeof(FaultPlan), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+    void* const mapping = ::mmap(nullptr, sizeof(FaultPlan), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
     ::close(fd);
-    return at == MAP_FAILED ? nullptr : static_cast<FaultPlan*>(at);
+    return mapping == MAP_FAILED ? nullptr : static_cast<FaultPlan*>(mapping);
   }();
-  return held;
+  return mapped_plan;
 }
 
-template <class ClientRequest>
-ClientRequest next(const char* name) {
-  return reinterpret_cast<ClientRequest>(::dlsym(RTLD_NEXT, name));
+template <class Function>
+Function next_definition(const char* name) {
+  return reinterpret_cast<Function>(::dlsym(RTLD_NEXT, name));
 }
 
 bool is_file(int fd) {
-  struct stat about {};
-  return ::fstat(fd, &about) == 0 && S_ISREG(about.st_mode);
+  struct stat status {};
+  return ::fstat(fd, &status) == 0 && S_ISREG(status.st_mode);
 }
 
-void wait_a_while(const FaultPlan& p) {
+void apply_delay(const FaultPlan& p) {
   const std::uint32_t us = p.delay_us;
   if (us == 0) return;
-  constexpr long kMicro = 1000, kSecond = 1000000;
-  timespec span{us / kSecond, static_cast<long>(us % kSecond) * kMicro};
-  while (::nanosleep(&span, &span) != 0 && errno == EINTR) {
+  constexpr long kNanosPerMicro = 1000, kSecond = 1000000;
+  timespec remaining{us / kSecond, static_cast<long>(us % kSecond) * kNanosPerMicro};
+  while (::nanosleep(&remaining, &remaining) != 0 && errno == EINTR) {
   }
 }
 
-enum class Fate { kAll, kShort, kTorn, kFails };
+enum class WriteOutcome { kAll, kShort, kTorn, kError };
 
-Fate fate_of_write(FaultPlan& p) {
+WriteOutcome next_write_outcome(FaultPlan& p) {
   const std::uint64_t number = ++p.writes;
-  wait_a_while(p);
+  apply_delay(p);
   const std::uint32_t every = p.write_every, shorten = p.shorten_every, tear = p.tear_every;
   if (p.write_errno != 0 && (every <= 1 || number % every == 0)) {
     errno = p.write_errno;
-    return Fate::kFails;
+    return WriteOutcome::kError;
   }
-  if (tear != 0 && number % tear == 0) return Fate::kTorn;
-  if (shorten != 0 && number % shorten == 0) return Fate::kShort;
-  return Fate::kAll;
+  if (tear != 0 && number % tear == 0) return WriteOutcome::kTorn;
+  if (shorten != 0 && number % shorten == 0) return WriteOutcome::kShort;
+  return WriteOutcome::kAll;
 }
 
-// `call` takes a length; half of one byte is none, so that is written in full.
-template <class ClientRequest>
-ssize_t faulty(FaultPlan& p, std::size_t size, ClientRequest call) {
-  switch (fate_of_write(p)) {
-    case Fate::kFails:
+// `call` writes a given number of bytes. Half of one byte would be none, so a single byte is written in full.
+template <class Function>
+ssize_t write_with_faults(FaultPlan& p, std::size_t size, Function call) {
+  switch (next_write_outcome(p)) {
+    case WriteOutcome::kError:
       return -1;
-    case Fate::kShort:
+    case WriteOutcome::kShort:
       return call(size > 1 ? size / 2 : size);
-    case Fate::kTorn: {
+    case WriteOutcome::kTorn: {
       const ssize_t done = call(size > 1 ? size / 2 : size);
       return done < 0 ? done : static_cast<ssize_t>(size);
     }
@@ -83,18 +83,18 @@
   }
 }
 
-int faulty_sync(int fd, const char* name) {
+int sync_with_faults(int fd, const char* name) {
   FaultPlan* const p = plan();
   if (p != nullptr && is_file(fd)) {
     ++p->syncs;
-    wait_a_while(*p);
+    apply_delay(*p);
     if (p->sync_errno != 0) {
       errno = p->sync_errno;
       return -1;
     }
-    if (p->sync_lies != 0) return 0;
+    if (p->skip_sync != 0) return 0;
   }
-  return next<int (*)(int)>(name)(fd);
+  return next_definition<int (*)(int)>(name)(fd);
 }
 
 }  // namespace
@@ -102,42 +102,42 @@
 extern "C" {
 
 ssize_t write(int fd, const void* bytes, size_t size) {
-  static const auto real = next<ssize_t (*)(int, const void*, size_t)>("write");
+  static const auto real = next_definition<ssize_t (*)(int, const void*, size_t)>("write");
   FaultPlan* const p = plan();
   if (p == nullptr || !is_file(fd)) return real(fd, bytes, size);
-  return faulty(*p, size, [&](std::size_t n) { return real(fd, bytes, n); });
+  return write_with_faults(*p, size, [&](std::size_t n) { return real(fd, bytes, n); });
 }
 
 ssize_t pwrite(int fd, const void* bytes, size_t size, off_t at) {
-  static const auto real = next<ssize_t (*)(int, const void*, size_t, off_t)>("pwrite");
+  static const auto real = next_definition<ssize_t (*)(int, const void*, size_t, off_t)>("pwrite");
   FaultPlan* const p = plan();
   if (p == nullptr || !is_file(fd)) return real(fd, bytes, size, at);
-  return faulty(*p, size, [&](std::size_t n) { return real(fd, bytes, n, at); });
+  return write_with_faults(*p, size, [&](std::size_t n) { return real(fd, bytes, n, at); });
 }
 
-// A vector is written piece by piece, so that it can be short within a piece.
-ssize_t writev(int fd, const iovec* pieces, int count) {
-  static const auto real = next<ssize_t (*)(int, const iovec*, int)>("writev");
-  if (plan() == nullptr || !is_file(fd)) return real(fd, pieces, count);
-  ssize_t all = 0;
+// Writes one buffer at a time, so that a short write can end within a buffer.
+ssize_t writev(int fd, const iovec* buffers, int count) {
+  static const auto real = next_definition<ssize_t (*)(int, const iovec*, int)>("writev");
+  if (plan() == nullptr || !is_file(fd)) return real(fd, buffers, count);
+  ssize_t total = 0;
   for (int i = 0; i < count; ++i) {
-    if (pieces[i].iov_len == 0) continue;
-    const ssize_t done = write(fd, pieces[i].iov_base, pieces[i].iov_len);
-    if (done < 0) return all > 0 ? all : -1;
-    all += done;
-    if (static_cast<size_t>(done) < pieces[i].iov_len) break;
+    if (buffers[i].iov_len == 0) continue;
+    const ssize_t done = write(fd, buffers[i].iov_base, buffers[i].iov_len);
+    if (done < 0) return total > 0 ? total : -1;
+    total += done;
+    if (static_cast<size_t>(done) < buffers[i].iov_len) break;
   }
-  return all;
+  return total;
 }
 
-int fsync(int fd) { return faulty_sync(fd, "fsync"); }
-int fdatasync(int fd) { return faulty_sync(fd, "fdatasync"); }
+int fsync(int fd) { return sync_with_faults(fd, "fsync"); }
+int fdatasync(int fd) { return sync_with_faults(fd, "fdatasync"); }
 
 int rename(const char* from, const char* to) {
-  static const auto real = next<int (*)(const char*, const char*)>("rename");
+  static const auto real = next_definition<int (*)(const char*, const char*)>("rename");
   if (FaultPlan* const p = plan()) {
     ++p->renames;
-    wait_a_while(*p);
+    apply_delay(*p);
     if (p->rename_errno != 0) {
       errno = p->rename_errno;
       return -1;
@@ -147,7 +147,7 @@
 }
 
 int clock_gettime(clockid_t clock, timespec* out) {
-  static const auto real = next<int (*)(clockid_t, timespec*)>("clock_gettime");
+  static const auto real = next_definition<int (*)(clockid_t, timespec*)>("clock_gettime");
   const int done = real(clock, out);
   FaultPlan* const p = plan();
   if (done != 0 || p == nullptr || (clock != CLOCK_REALTIME && clock != CLOCK_REALTIME_COARSE)) return done;
@@ -161,8 +161,8 @@
 int gettimeofday(timeval* out, void*) {
   timespec now{};
   const int done = clock_gettime(CLOCK_REALTIME, &now);
-  constexpr long kMicro = 1000;
-  *out = {now.tv_sec, now.tv_nsec / kMicro};
+  constexpr long kNanosPerMicro = 1000;
+  *out = {now.tv_sec, now.tv_nsec / kNanosPerMicro};
   return done;
 }
 
--- a/tests/fleet_rig/shim_test.cpp
+++ b/tests/fleet_rig/shim_test.cpp
@@ -1,4 +1,5 @@
-// The preloaded shim on a process of its own: each fault alone, on files alone, and no trace without a plan.
+// Preloads the shim into a worker process: each fault alone, faults on files only, and no effect without
+// faults in the plan.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <sys/wait.h>
@@ -39,99 +40,103 @@
     }
     ::close(in[0]);
     ::close(out[1]);
-    to_ = in[1];
-    from_ = ::fdopen(out[0], "r");
+    command_fd_ = in[1];
+    output_ = ::fdopen(out[0], "r");
   }
   ~Shim() override {
-    ::close(to_);
-    std::fclose(from_);
+    ::close(command_fd_);
+    std::fclose(output_);
     ::waitpid(pid_, nullptr, 0);
     std::filesystem::remove_all(folder_);
   }
-  // What the process says to one word: the word, the result, and errno where it failed.
-  std::string ask(const std::string& word) {
-    const std::string line = word + "\n";
-    EXPECT_EQ(::write(to_, line.data(), line.size()), static_cast<ssize_t>(line.size()));
+  // Sends one command to the worker and returns its output line: the command, the result, and errno (0 on
+  // success).
+  std::string run_command(const std::string& command) {
+    const std::string line = command + "\n";
+    EXPECT_EQ(::write(command_fd_, line.data(), line.size()), static_cast<ssize_t>(line.size()));
     char buffer[256] = "";
-    EXPECT_NE(std::fgets(buffer, sizeof buffer, from_), nullptr);
+    EXPECT_NE(std::fgets(buffer, sizeof buffer, output_), nullptr);
     std::string out = buffer;
     return out.substr(0, out.find('\n'));
   }
-  std::string failed(const std::string& word, int problem) { return word + " -1 " + std::to_string(problem); }
+  std::string failure_line(const std::string& command, int error) {
+    return command + " -1 " + std::to_string(error);
+  }
   std::uintmax_t size() { return std::filesystem::file_size(folder_ + "/data"); }
 
   std::string folder_;
   FaultsFile faults_;
   pid_t pid_ = -1;
-  int to_ = -1;
-  std::FILE* from_ = nullptr;
+  int command_fd_ = -1;
+  std::FILE* output_ = nullptr;
 };
 
 TEST_F(Shim, ChangesNothingWithoutFaults) {
-  EXPECT_EQ(ask("write"), "write 10 0");
-  EXPECT_EQ(ask("writev"), "writev 10 0");
-  EXPECT_EQ(ask("fsync"), "fsync 0 0");
-  EXPECT_EQ(ask("fdatasync"), "fdatasync 0 0");
+  EXPECT_EQ(run_command("write"), "write 10 0");
+  EXPECT_EQ(run_command("writev"), "writev 10 0");
+  EXPECT_EQ(run_command("fsync"), "fsync 0 0");
+  EXPECT_EQ(run_command("fdatasync"), "fdatasync 0 0");
   EXPECT_EQ(size(), 20u);
-  EXPECT_EQ(ask("rename"), "rename 0 0");
-  EXPECT_EQ(faults_.plan().writes, 3u) << "two pieces and one";
+  EXPECT_EQ(run_command("rename"), "rename 0 0");
+  EXPECT_EQ(faults_.plan().writes, 3u) << "two buffers of writev and one write";
   EXPECT_EQ(faults_.plan().syncs, 2u);
   EXPECT_EQ(faults_.plan().renames, 1u);
 }
 
 TEST_F(Shim, FailsOnlyFileWritesAndAtTheGivenRate) {
   faults_.plan().write_errno = ENOSPC;
-  for (const char* word : {"write", "pwrite", "writev"}) EXPECT_EQ(ask(word), failed(word, ENOSPC));
+  for (const char* command : {"write", "pwrite", "writev"})
+    EXPECT_EQ(run_command(command), failure_line(command, ENOSPC));
   EXPECT_EQ(size(), 0u);
-  EXPECT_EQ(ask("fsync"), "fsync 0 0");
-  EXPECT_EQ(ask("rename"), "rename 0 0");
+  EXPECT_EQ(run_command("fsync"), "fsync 0 0");
+  EXPECT_EQ(run_command("rename"), "rename 0 0");
   faults_.plan().write_every = 3;
-  int bad = 0;
-  for (int i = 0; i < 9; ++i) bad += ask("write") == "write 10 0" ? 0 : 1;
-  EXPECT_EQ(bad, 3);
+  int failures = 0;
+  for (int i = 0; i < 9; ++i) failures += run_command("write") == "write 10 0" ? 0 : 1;
+  EXPECT_EQ(failures, 3);
   faults_.plan().write_errno = 0;
-  EXPECT_EQ(ask("write"), "write 10 0");
+  EXPECT_EQ(run_command("write"), "write 10 0");
 }
 
 TEST_F(Shim, ShortensAndTearsWrites) {
   faults_.plan().shorten_every = 1;
-  EXPECT_EQ(ask("write"), "write 5 0");
+  EXPECT_EQ(run_command("write"), "write 5 0");
   EXPECT_EQ(size(), 5u);
-  EXPECT_EQ(ask("writev"), "writev 2 0") << "short within its first piece";
+  EXPECT_EQ(run_command("writev"), "writev 2 0") << "a short write within the first buffer";
   faults_.plan().shorten_every = 0;
   faults_.plan().tear_every = 1;
-  EXPECT_EQ(ask("write"), "write 10 0") << "it says that all is there";
+  EXPECT_EQ(run_command("write"), "write 10 0") << "a torn write reports success";
   EXPECT_EQ(size(), 5u + 2 + 5);
 }
 
 TEST_F(Shim, FailsOrSkipsSyncsAndFailsRenames) {
   faults_.plan().sync_errno = EIO;
-  EXPECT_EQ(ask("fsync"), failed("fsync", EIO));
-  EXPECT_EQ(ask("fdatasync"), failed("fdatasync", EIO));
-  EXPECT_EQ(ask("write"), "write 10 0");
+  EXPECT_EQ(run_command("fsync"), failure_line("fsync", EIO));
+  EXPECT_EQ(run_command("fdatasync"), failure_line("fdatasync", EIO));
+  EXPECT_EQ(run_command("write"), "write 10 0");
   faults_.plan().sync_errno = 0;
-  faults_.plan().sync_lies = 1;
-  EXPECT_EQ(ask("fsync"), "fsync 0 0");
+  faults_.plan().skip_sync = 1;
+  EXPECT_EQ(run_command("fsync"), "fsync 0 0");
   faults_.plan().rename_errno = EROFS;
-  EXPECT_EQ(ask("rename"), failed("rename", EROFS));
+  EXPECT_EQ(run_command("rename"), failure_line("rename", EROFS));
   EXPECT_TRUE(std::filesystem::exists(folder_ + "/data"));
 }
 
 TEST_F(Shim, DelaysDiskOperations) {
-  ask("write");
+  run_command("write");
   faults_.plan().delay_us = 100000;
   const auto begin = std::chrono::steady_clock::now();
-  ask("write");
-  ask("fsync");
+  run_command("write");
+  run_command("fsync");
   EXPECT_GE(std::chrono::steady_clock::now() - begin, std::chrono::milliseconds(200));
 }
 
 TEST_F(Shim, ShiftsOnlyTheTimeOfDayClock) {
   const auto read = [this] {
-    std::istringstream in(ask("clock"));
-    std::string word;
+    std::istringstream in(run_command("clock"));
+    std::string command;
     long long wall = 0, steady = 0;
-    in >> word >> wall >> steady;
+    in >> command >> wall >> steady;
     return std::pair{wall, steady};
   };
   const auto before = read();
@@ -154,13 +159,13 @@
     ASSERT_NE(machine.faults(), nullptr);
     machine.start();
     while (machine.running()) ::usleep(1000);
-    // Its log is a file as well: what the process says of its own writes stands there.
+    // The machine's log is a regular file too, and holds the worker's output about its own writes.
     EXPECT_NE(machine.log().find("write 10 0"), std::string::npos) << machine.log();
     EXPECT_GE(machine.faults()->writes, 3u);
     machine.faults()->write_errno = ENOSPC;
     machine.start(true);
     while (machine.running()) ::usleep(1000);
-    EXPECT_EQ(machine.log().find("write 10 0"), std::string::npos) << "neither file nor log";
+    EXPECT_EQ(machine.log().find("write 10 0"), std::string::npos) << "writes to the log must fail too";
   }
   std::filesystem::remove_all(folder);
   std::filesystem::remove(program);
--- a/tests/fleet_rig/shim_worker.cpp
+++ b/tests/fleet_rig/shim_worker.cpp
@@ -1,4 +1,4 @@
-// For the tests of the shim: performs one operation and prints its result.
+// Worker process of the shim tests: performs the operations named on standard input and prints their results.
 #include <fcntl.h>
 #include <sys/uio.h>
 #include <unistd.h>
@@ -12,9 +12,9 @@
 
 namespace {
 
-void say(const std::string& what, long result) {
-  const int problem = result < 0 ? errno : 0;
-  const std::string line = what + " " + std::to_string(result) + " " + std::to_string(problem) + "\n";
+void print_result(const std::string& command, long result) {
+  const int error = result < 0 ? errno : 0;
+  const std::string line = command + " " + std::to_string(result) + " " + std::to_string(error) + "\n";
   if (::write(STDOUT_FILENO, line.data(), line.size()) < 0) std::abort();
 }
 
@@ -24,23 +24,23 @@
 
 }  // namespace
 
-int main(int count, char** arguments) {
-  const std::string folder = count > 1 ? arguments[1] : ".";
-  // A word a line on standard input; standard output is a pipe, which the shim leaves alone.
-  for (std::string word; std::cin >> word;) {
+int main(int argument_count, char** arguments) {
+  const std::string folder = argument_count > 1 ? arguments[1] : ".";
+  // Reads one command per line from standard input. Standard output is a pipe, which the shim doesn't affect.
+  for (std::string command; std::cin >> command;) {
     const std::string path = folder + "/data";
     const int fd = ::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
-    if (word == "write") say(word, ::write(fd, "0123456789", 10));
-    if (word == "pwrite") say(word, ::pwrite(fd, "0123456789", 10, 0));
-    if (word == "writev") {
+    if (command == "write") print_result(command, ::write(fd, "0123456789", 10));
+    if (command == "pwrite") print_result(command, ::pwrite(fd, "0123456789", 10, 0));
+    if (command == "writev") {
       char a[] = "01234", b[] = "56789";
-      const iovec pieces[] = {{a, 5}, {b, 5}};
-      say(word, ::writev(fd, pieces, 2));
+      const iovec buffers[] = {{a, 5}, {b, 5}};
+      print_result(command, ::writev(fd, buffers, 2));
     }
-    if (word == "fsync") say(word, ::fsync(fd));
-    if (word == "fdatasync") say(word, ::fdatasync(fd));
-    if (word == "rename") say(word, std::rename(path.c_str(), (path + "2").c_str()));
-    if (word == "clock") {
+    if (command == "fsync") print_result(command, ::fsync(fd));
+    if (command == "fdatasync") print_result(command, ::fdatasync(fd));
+    if (command == "rename") print_result(command, std::rename(path.c_str(), (path + "2").c_str()));
+    if (command == "clock") {
       const auto wall = std::chrono::system_clock::now().time_since_epoch();
       const auto steady = std::chrono::steady_clock::now().time_since_epoch();
       std::cout << "clock " << ms(wall) << " " << ms(steady) << std::endl;
