--- a/fleet_rig/actors/client_pool.cpp
+++ b/fleet_rig/actors/client_pool.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr double kLook = 0.02;       // s; between two looks at a node that starts
-constexpr double kNobody = 0.05;     // s; before a client who finds no node up looks again
-constexpr double kLeastTime = 0.01;  // s; no attempt is begun with less
+constexpr double kHealthPollInterval = 0.02;   // s; between two health checks of a starting node
+constexpr double kNoNodeRetryInterval = 0.05;  // s; wait of a client that finds no node available
+constexpr double kMinAttemptTimeout = 0.01;    // s; no attempt starts with less time left
 constexpr Actor kClients{ActorKind::kClients, 0};
 
 }  // namespace
@@ -35,44 +35,45 @@
 }
 
 void ClientPool::expect(int node) {
-  Node& n = nodes_.at(static_cast<std::size_t>(node));
-  asio::co_spawn(io_, watch(node, ++n.life), asio::detached);
+  Node& target = nodes_.at(static_cast<std::size_t>(node));
+  asio::co_spawn(io_, wait_until_healthy(node, ++target.generation), asio::detached);
 }
 
-asio::awaitable<void> ClientPool::watch(int node, std::uint64_t life) {
-  Node& n = nodes_.at(static_cast<std::size_t>(node));
-  while (n.life == life) {
-    const bool is_healthy = co_await n.client->is_healthy();
-    if (n.life != life) co_return;
+asio::awaitable<void> ClientPool::wait_until_healthy(int node, std::uint64_t generation) {
+  Node& target = nodes_.at(static_cast<std::size_t>(node));
+  while (target.generation == generation) {
+    const bool is_healthy = co_await target.client->is_healthy();
+    if (target.generation != generation) co_return;
     if (is_healthy) {
-      n.up = true;
+      target.up = true;
       co_return;
     }
-    co_await sleep(kLook);
+    co_await sleep(kHealthPollInterval);
   }
 }
 
-void ClientPool::lost(int node, double after) {
-  Node& n = nodes_.at(static_cast<std::size_t>(node));
-  const auto timer = std::make_shared<asio::steady_timer>(io_, history_.time_of(history_.now() + after));
-  timer->async_wait([&n, timer, life = n.life](error_code cancelled) {
-    if (cancelled || n.life != life) return;  // it has been started again meanwhile
-    n.up = false;
-    n.client->forget();
+void ClientPool::lost(int node, double detection_delay) {
+  Node& target = nodes_.at(static_cast<std::size_t>(node));
+  const auto timer =
+      std::make_shared<asio::steady_timer>(io_, history_.time_of(history_.now() + detection_delay));
+  timer->async_wait([&target, timer, generation = target.generation](error_code cancelled) {
+    if (cancelled || target.generation != generation) return;  // the node has restarted meanwhile
+    target.up = false;
+    target.client->forget();
   });
 }
 
 void ClientPool::start() {
-  ++loops_;
-  asio::co_spawn(io_, open_loop(), asio::detached);
+  ++active_generators_;
+  asio::co_spawn(io_, run_open_loop(), asio::detached);
   for (const bench::Flood& each : scenario_.floods) {
-    ++loops_;
-    asio::co_spawn(io_, flood(each), asio::detached);
+    ++active_generators_;
+    asio::co_spawn(io_, run_flood(each), asio::detached);
   }
   for (const bench::ClosedLoop& group : scenario_.closed_loops) {
     for (int i = 0; i < group.count; ++i) {
-      ++loops_;
-      asio::co_spawn(io_, loop(group), asio::detached);
+      ++active_generators_;
+      asio::co_spawn(io_, run_closed_loop(group), asio::detached);
     }
   }
 }
@@ -83,24 +84,26 @@
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-asio::awaitable<void> ClientPool::open_loop() {
+asio::awaitable<void> ClientPool::run_open_loop() {
   bench::Arrivals arrivals(scenario_, seed_ ^ 0xA11);
   asio::steady_timer timer(io_);
   error_code ignored;
   for (double due = arrivals.after(0); due <= scenario_.seconds; due = arrivals.after(due)) {
     timer.expires_at(history_.time_of(due));
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-    asio::co_spawn(io_, one(nullptr), asio::detached);
+    asio::co_spawn(io_, run_operation(nullptr), asio::detached);
   }
   timer.expires_at(history_.time_of(scenario_.seconds));
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   arrivals_over_ = true;
-  --loops_;
+  --active_generators_;
 }
 
-asio::awaitable<void> ClientPool::one(const bench::Flood* flood) { co_await want(flood); }
+asio::awaitable<void> ClientPool::run_operation(const bench::Flood* flood) {
+  co_await perform_operation(flood);
+}
 
-asio::awaitable<void> ClientPool::flood(const bench::Flood& flood) {
+asio::awaitable<void> ClientPool::run_flood(const bench::Flood& flood) {
   bench::Random random(seed_ ^ (0xF100D + flood.tenant));
   asio::steady_timer timer(io_);
   error_code ignored;
@@ -109,89 +112,94 @@
        due += random.exponential(1 / flood.rate)) {
     timer.expires_at(history_.time_of(due));
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-    asio::co_spawn(io_, one(&flood), asio::detached);
+    asio::co_spawn(io_, run_operation(&flood), asio::detached);
   }
-  --loops_;
+  --active_generators_;
 }
 
-asio::awaitable<void> ClientPool::loop(const bench::ClosedLoop& group) {
+asio::awaitable<void> ClientPool::run_closed_loop(const bench::ClosedLoop& group) {
   asio::steady_timer timer(io_, history_.time_of(group.from));
   error_code ignored;
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   while (history_.now() < std::min(group.to, scenario_.seconds)) {
-    const int status = co_await want(nullptr);
+    const int status = co_await perform_operation(nullptr);
     const bool rejected = status == 429 || status == 503;
-    const double wait = !rejected ? group.think : group.after_refusal < 0 ? advised_ : group.after_refusal;
+    const double wait = !rejected                 ? group.think
+                        : group.after_refusal < 0 ? last_retry_after_
+                                                  : group.after_refusal;
     if (wait > 0) co_await sleep(wait);
   }
-  --loops_;
+  --active_generators_;
 }
 
-int ClientPool::pick() {
-  std::vector<int> all;
+int ClientPool::pick_node() {
+  std::vector<int> available;
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
-    if (nodes_[i].up) all.push_back(static_cast<int>(i));
+    if (nodes_[i].up) available.push_back(static_cast<int>(i));
   }
-  return all.empty() ? -1 : all[random_.below(all.size())];
+  return available.empty() ? -1 : available[random_.below(available.size())];
 }
 
-// One thing that is wanted, with all its attempts.
+// One client operation with all its attempts; returns the last status.
 // NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity)
-asio::awaitable<int> ClientPool::want(const bench::Flood* flood) {
-  ++under_way_;
-  const std::string first = "w" + std::to_string(++wants_);
-  const std::size_t c = bench::draw_by_share(random_, scenario_.classes);
-  const std::size_t tenant =
+asio::awaitable<int> ClientPool::perform_operation(const bench::Flood* flood) {
+  ++operations_in_flight_;
+  const std::string operation_id = "w" + std::to_string(++operation_count_);
+  const std::size_t class_index = bench::draw_by_share(random_, scenario_.classes);
+  const std::size_t tenant_index =
       flood != nullptr ? flood->tenant : bench::draw_by_share(random_, scenario_.tenants);
-  // Pinned to one node, a flood waits until that one is up again.
-  const int pinned = flood != nullptr ? flood->replica : -1;
-  const RequestClass& settings = scenario_.classes[c].settings;
-  const double due = history_.now(), until = due + settings.client_timeout;
-  Record want;
-  want.t = due;
-  want.what = Record::What::kOperationBegan;
-  want.by = kClients;
-  want.first = first;
-  want.request_class = static_cast<int>(c);
-  want.tenant = static_cast<int>(tenant);
-  history_.add(want);
+  // A flood that is pinned to one node waits until that node is available.
+  const int pinned_node = flood != nullptr ? flood->replica : -1;
+  const RequestClass& settings = scenario_.classes[class_index].settings;
+  const double started_at = history_.now(), deadline = started_at + settings.client_timeout;
+  Record began;
+  began.t = started_at;
+  began.what = Record::What::kOperationBegan;
+  began.by = kClients;
+  began.first = operation_id;
+  began.request_class = static_cast<int>(class_index);
+  began.tenant = static_cast<int>(tenant_index);
+  history_.add(began);
   int status = 0;
   for (int attempts = 0; attempts <= scenario_.client_behavior.retries;) {
-    const double left = until - history_.now();
-    if (left < kLeastTime) break;
-    const int node = pinned < 0 ? pick() : nodes_[static_cast<std::size_t>(pinned)].up ? pinned : -1;
+    const double remaining = deadline - history_.now();
+    if (remaining < kMinAttemptTimeout) break;
+    const int node = pinned_node < 0                                    ? pick_node()
+                     : nodes_[static_cast<std::size_t>(pinned_node)].up ? pinned_node
+                                                                        : -1;
     if (node < 0) {
-      co_await sleep(std::min(kNobody, left));
+      co_await sleep(std::min(kNoNodeRetryInterval, remaining));
       continue;
     }
-    ClientRequest call;
-    call.first = first;
-    call.id = attempts == 0 ? first : first + "r" + std::to_string(attempts);
-    call.class_name = scenario_.classes[c].name;
-    call.request_class = static_cast<int>(c);
-    call.tenant_number = static_cast<int>(tenant);
-    if (!scenario_.tenants.empty()) call.tenant = scenario_.tenants[tenant].name;
-    if (settings.idempotency == Idempotency::kIdempotentWithKey) call.key = call.id;
-    call.body = settings.idempotency != Idempotency::kIdempotent;
-    call.time = std::min(left, scenario_.client_behavior.attempt_share * settings.client_timeout);
-    const bool leaves = scenario_.client_behavior.impatient_share > 0 &&
-                        random_.unit() < scenario_.client_behavior.impatient_share;
-    if (leaves) call.leaves = call.time / 2;
+    ClientRequest request;
+    request.operation_id = operation_id;
+    request.id = attempts == 0 ? operation_id : operation_id + "r" + std::to_string(attempts);
+    request.class_name = scenario_.classes[class_index].name;
+    request.request_class = static_cast<int>(class_index);
+    request.tenant_index = static_cast<int>(tenant_index);
+    if (!scenario_.tenants.empty()) request.tenant = scenario_.tenants[tenant_index].name;
+    if (settings.idempotency == Idempotency::kIdempotentWithKey) request.idempotency_key = request.id;
+    request.has_body = settings.idempotency != Idempotency::kIdempotent;
+    request.timeout = std::min(remaining, scenario_.client_behavior.attempt_share * settings.client_timeout);
+    const bool abandons = scenario_.client_behavior.impatient_share > 0 &&
+                          random_.unit() < scenario_.client_behavior.impatient_share;
+    if (abandons) request.abandon_after = request.timeout / 2;
     ++attempts;
-    const ClientResponse reply = co_await nodes_[static_cast<std::size_t>(node)].client->ask(call);
-    status = reply.status;
+    const ClientResponse response =
+        co_await nodes_[static_cast<std::size_t>(node)].client->send_request(request);
+    status = response.status;
     if (status == 200) break;
-    advised_ = reply.advised;
-    const double wait = std::max(scenario_.client_behavior.wait,
-                                 scenario_.client_behavior.honors_retry_after ? reply.advised : 0);
-    if (attempts <= scenario_.client_behavior.retries && wait > 0) co_await sleep(wait);
+    last_retry_after_ = response.retry_after;
+    const double backoff = std::max(scenario_.client_behavior.wait,
+                                    scenario_.client_behavior.honors_retry_after ? response.retry_after : 0);
+    if (attempts <= scenario_.client_behavior.retries && backoff > 0) co_await sleep(backoff);
   }
-  Record end = want;
-  end.t = 0;
-  end.what = Record::What::kOperationEnded;
-  end.status = status;
-  history_.add(end);
-  --under_way_;
+  Record ended = began;
+  ended.t = 0;
+  ended.what = Record::What::kOperationEnded;
+  ended.status = status;
+  history_.add(ended);
+  --operations_in_flight_;
   co_return status;
 }
 
--- a/fleet_rig/actors/client_pool.h
+++ b/fleet_rig/actors/client_pool.h
@@ -1,6 +1,6 @@
-// The clients of a fleet and the front through which they come: it deals out their requests over the nodes
-// that it believes to be up, and learns of a death late. Clients retry by themselves, as the scenario
-// says.
+// The clients of a fleet and the frontend in front of the nodes. The frontend spreads requests at random over
+// the nodes that it considers available and detects a node failure only after a delay. Clients retry on their
+// own, as the scenario configures.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -19,41 +19,41 @@
 
 class ClientPool {
  public:
-  // `nodes`: where each node is reached. All outlive it.
+  // `nodes`: the endpoint of each node. All reference arguments outlive the pool.
   ClientPool(boost::asio::io_context& io, const bench::Scenario& scenario, HistoryWriter& history,
              const std::vector<HttpClient::Endpoint>& nodes, std::uint64_t seed);
 
-  // Watches for a node that starts, until it is healthy; then the front takes it in.
+  // Polls the health of a starting node; once it is healthy, the frontend routes to it.
   void expect(int node);
-  // A node has died, or is about to; the front learns of it so many seconds later.
-  void lost(int node, double after);
-  // Connections to it that are open and not in use.
+  // A node has exited or is about to; the frontend stops routing to it `detection_delay` seconds from now.
+  void lost(int node, double detection_delay);
+  // Open connections to `node` that are not in use.
   std::size_t idle_connections(int node) const {
     return nodes_.at(static_cast<std::size_t>(node)).client->idle_connections();
   }
-  std::size_t up() const;  // nodes that the front believes to be up
+  std::size_t up() const;  // nodes that the frontend considers available
   bool is_up(int node) const { return nodes_.at(static_cast<std::size_t>(node)).up; }
 
-  // The load begins; its time 0 is the history's.
+  // Starts the load; its time 0 is that of the history.
   void start();
-  // It is over, and all that was asked has its end.
-  bool done() const { return arrivals_over_ && under_way_ == 0 && loops_ == 0; }
+  // The load is over and every operation has ended.
+  bool done() const { return arrivals_over_ && operations_in_flight_ == 0 && active_generators_ == 0; }
 
  private:
   struct Node {
     std::unique_ptr<HttpClient> client;
     bool up = false;
-    std::uint64_t life = 0;  // tells the watch of one start from that of the next
+    std::uint64_t generation = 0;  // distinguishes the health polls of successive starts
   };
 
-  boost::asio::awaitable<void> watch(int node, std::uint64_t life);
-  boost::asio::awaitable<void> open_loop();
-  boost::asio::awaitable<void> loop(const bench::ClosedLoop& group);
-  boost::asio::awaitable<void> flood(const bench::Flood& flood);
-  boost::asio::awaitable<int> want(const bench::Flood* flood);
-  boost::asio::awaitable<void> one(const bench::Flood* flood);
+  boost::asio::awaitable<void> wait_until_healthy(int node, std::uint64_t generation);
+  boost::asio::awaitable<void> run_open_loop();
+  boost::asio::awaitable<void> run_closed_loop(const bench::ClosedLoop& group);
+  boost::asio::awaitable<void> run_flood(const bench::Flood& flood);
+  boost::asio::awaitable<int> perform_operation(const bench::Flood* flood);
+  boost::asio::awaitable<void> run_operation(const bench::Flood* flood);
   boost::asio::awaitable<void> sleep(double seconds);
-  int pick();
+  int pick_node();
 
   boost::asio::io_context& io_;
   const bench::Scenario& scenario_;
@@ -61,9 +61,9 @@
   std::uint64_t seed_;
   bench::Random random_;
   std::vector<Node> nodes_;
-  std::uint64_t wants_ = 0;
-  std::size_t under_way_ = 0, loops_ = 0;
-  double advised_ = 0;
+  std::uint64_t operation_count_ = 0;
+  std::size_t operations_in_flight_ = 0, active_generators_ = 0;
+  double last_retry_after_ = 0;
   bool arrivals_over_ = false;
 };
 
--- a/fleet_rig/actors/discovery_stand_in.cpp
+++ b/fleet_rig/actors/discovery_stand_in.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds kKeepAlive{2};  // PROTOCOL: an empty line while nothing changes
+constexpr std::chrono::seconds kKeepAlive{2};  // PROTOCOL: an empty line is sent while nothing changes
 
 std::string chunk(const std::string& bytes) {
   std::ostringstream size;
@@ -30,7 +30,7 @@
   return size.str() + "\r\n" + bytes + "\r\n";
 }
 
-const char* word_of(DiscoveryStandIn::Status status) {
+const char* status_name(DiscoveryStandIn::Status status) {
   return status == DiscoveryStandIn::Status::kUp         ? "up"
          : status == DiscoveryStandIn::Status::kDraining ? "draining"
                                                          : "removed";
@@ -61,13 +61,13 @@
 
 void DiscoveryStandIn::up() {
   if (acceptor_.is_open()) return;
-  ++life_;
+  ++generation_;
   where_ = listen_at(acceptor_, where_);
-  asio::co_spawn(io_, accept(life_), asio::detached);
+  asio::co_spawn(io_, accept(generation_), asio::detached);
 }
 
 void DiscoveryStandIn::down() {
-  ++life_;
+  ++generation_;
   error_code ignored;
   acceptor_.close(ignored);
   for (auto& [node, view] : views_) {
@@ -76,22 +76,22 @@
   }
 }
 
-ActorKind DiscoveryStandIn::kind_for(const Actor& node) const {
+ActorKind DiscoveryStandIn::listed_kind(const Actor& node) const {
   return node.kind == ActorKind::kSidecar ? ActorKind::kBackend : ActorKind::kServer;
 }
 
 DiscoveryStandIn::View& DiscoveryStandIn::view_of(const Actor& node) {
-  const auto [at, fresh] = views_.try_emplace(node);
-  if (fresh) {
-    at->second.entries = kind_for(node) == ActorKind::kBackend ? backends_ : servers_;
-    at->second.lag = scenario_.discovery.lag + scenario_.discovery.spread * random_.unit();
+  const auto [it, inserted] = views_.try_emplace(node);
+  if (inserted) {
+    it->second.entries = listed_kind(node) == ActorKind::kBackend ? backends_ : servers_;
+    it->second.lag = scenario_.discovery.lag + scenario_.discovery.spread * random_.unit();
   }
-  return at->second;
+  return it->second;
 }
 
 void DiscoveryStandIn::change(const Actor& server, Status status, std::int64_t since_ms) {
   std::vector<Entry>& all = server.kind == ActorKind::kBackend ? backends_ : servers_;
-  // A node that nobody has heard of yet begins with the list as it was before this change.
+  // The view of a node that has not connected yet starts with the list as it was before this change.
   const bench::Topology topology = scenario_.topology();
   for (const Actor& node : topology.everyone()) {
     if (node.kind == ActorKind::kNode || node.kind == ActorKind::kSidecar) view_of(node);
@@ -100,8 +100,8 @@
   entry.status = status;
   if (since_ms != 0) entry.since_ms = since_ms;
   for (auto& [node, view] : views_) {
-    if (kind_for(node) != server.kind) continue;
-    const double lag = view.lag + more_;
+    if (listed_kind(node) != server.kind) continue;
+    const double lag = view.lag + extra_lag_;
     if (lag <= 0) {
       notify(node, server, entry);
       continue;
@@ -132,24 +132,25 @@
   if (access_.reaches(node)) {
     history_.add(notified);
   } else {
-    view.unheard.push_back(notified);
+    view.undelivered.push_back(notified);
   }
 }
 
 void DiscoveryStandIn::healed(const Actor& node) {
   View& view = view_of(node);
-  for (const Record& notified : std::exchange(view.unheard, {})) history_.add(notified);
+  for (const Record& notified : std::exchange(view.undelivered, {})) history_.add(notified);
 }
 
 std::string DiscoveryStandIn::entry(const Actor& node, int server, const Entry& entry) const {
-  const Actor actor{kind_for(node), server};
+  const Actor actor{listed_kind(node), server};
   const bench::ScenarioServer& s =
       (actor.kind == ActorKind::kBackend ? scenario_.backends : scenario_.servers)
           .at(static_cast<std::size_t>(server));
   std::ostringstream out;
   out << R"({"name":")" << bench::name_of(actor) << R"(","address":")" << access_.address(node, actor)
-      << R"(","zone":"z)" << s.zone << R"(","group":)" << s.cell << R"(,"status":")" << word_of(entry.status)
-      << R"(","weight":)" << s.weight << R"(,"since_ms":)" << entry.since_ms << "}";
+      << R"(","zone":"z)" << s.zone << R"(","group":)" << s.cell << R"(,"status":")"
+      << status_name(entry.status) << R"(","weight":)" << s.weight << R"(,"since_ms":)" << entry.since_ms
+      << "}";
   return out.str();
 }
 
@@ -164,22 +165,22 @@
 
 std::string DiscoveryStandIn::known(const Actor& node) { return list(node, view_of(node)); }
 
-asio::awaitable<void> DiscoveryStandIn::accept(std::uint64_t life) {
+asio::awaitable<void> DiscoveryStandIn::accept(std::uint64_t generation) {
   for (;;) {
-    error_code problem;
-    tcp::socket socket = co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, problem));
-    if (problem || life != life_) co_return;
-    asio::co_spawn(io_, serve(std::make_shared<Socket>(std::move(socket)), life), asio::detached);
+    error_code error;
+    tcp::socket socket = co_await acceptor_.async_accept(asio::redirect_error(asio::use_awaitable, error));
+    if (error || generation != generation_) co_return;
+    asio::co_spawn(io_, serve(std::make_shared<Socket>(std::move(socket)), generation), asio::detached);
   }
 }
 
-asio::awaitable<void> DiscoveryStandIn::serve(std::shared_ptr<Socket> socket, std::uint64_t life) {
+asio::awaitable<void> DiscoveryStandIn::serve(std::shared_ptr<Socket> socket, std::uint64_t generation) {
   boost::beast::flat_buffer buffer;
-  error_code problem;
+  error_code error;
   http::request<http::empty_body> request;
-  co_await http::async_read(*socket, buffer, request, asio::redirect_error(asio::use_awaitable, problem));
-  if (problem || life != life_) co_return;
-  const auto origin = access_.origin(socket->remote_endpoint(problem).port());
+  co_await http::async_read(*socket, buffer, request, asio::redirect_error(asio::use_awaitable, error));
+  if (error || generation != generation_) co_return;
+  const auto origin = access_.origin(socket->remote_endpoint(error).port());
   if (!origin) co_return;
   const Actor node = origin->from;
   const bool watch = std::string_view(request.target().data(), request.target().size()).find("watch=1") !=
@@ -194,34 +195,33 @@
   view.watch = socket;
   write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(all + "\n"));
   for (std::size_t i = 0; i < view.entries.size(); ++i)
-    record_notified(node, view, {kind_for(node), static_cast<int>(i)}, view.entries[i].status);
+    record_notified(node, view, {listed_kind(node), static_cast<int>(i)}, view.entries[i].status);
   asio::co_spawn(io_, keep_alive(socket), asio::detached);
-  // Nothing more is asked on it: its end is what this waits for.
+  // A watch carries no further request, so this read completes when the node closes the connection.
   char byte = 0;
-  co_await socket->async_read_some(asio::buffer(&byte, 1),
-                                   asio::redirect_error(asio::use_awaitable, problem));
-  if (life == life_ && view_of(node).watch == socket) view_of(node).watch.reset();
+  co_await socket->async_read_some(asio::buffer(&byte, 1), asio::redirect_error(asio::use_awaitable, error));
+  if (generation == generation_ && view_of(node).watch == socket) view_of(node).watch.reset();
   error_code ignored;
   socket->close(ignored);
 }
 
 asio::awaitable<void> DiscoveryStandIn::keep_alive(std::shared_ptr<Socket> socket) {
   asio::steady_timer timer(io_);
-  error_code bad;
-  while (!bad && socket->is_open()) {
+  error_code error;
+  while (!error && socket->is_open()) {
     timer.expires_after(kKeepAlive);
-    co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, bad));
-    if (!bad && socket->is_open()) write(socket, chunk("\n"));
+    co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
+    if (!error && socket->is_open()) write(socket, chunk("\n"));
   }
 }
 
-// A watch whose node does not read is left to fill its kernel's buffer; what exceeds it is lost with the
-// watch.
+// Never blocks: if the node doesn't read and the kernel's send buffer is full, the watch is closed and the
+// remaining bytes are lost.
 void DiscoveryStandIn::write(const std::shared_ptr<Socket>& socket, const std::string& text) {
-  error_code bad;
-  socket->non_blocking(true, bad);
-  const std::size_t written = socket->write_some(asio::buffer(text), bad);
-  if (bad || written != text.size()) socket->close(bad);
+  error_code error;
+  socket->non_blocking(true, error);
+  const std::size_t written = socket->write_some(asio::buffer(text), error);
+  if (error || written != text.size()) socket->close(error);
 }
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/actors/discovery_stand_in.h
+++ b/fleet_rig/actors/discovery_stand_in.h
@@ -1,6 +1,6 @@
-// Discovery of a fleet: the list of servers, with a watch, as PROTOCOL has it. Each node is notified of a
-// change after a lag of its own; a new watch begins with the complete list as that node would have it by now.
-// Nodes of the first tier hear of servers, nodes of servers of backends.
+// Fake discovery service of a fleet: the endpoint list with a watch, as PROTOCOL specifies. Each node is
+// notified of a change after its own lag; a new watch starts with the full list as lagged for that node.
+// Nodes of the first tier receive the servers; nodes that run as sidecars of servers receive the backends.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -26,10 +26,10 @@
   using Endpoint = boost::asio::ip::tcp::endpoint;
   enum class Status { kUp, kDraining, kRemoved };
   struct Access {
-    std::function<std::optional<TcpRelay::Origin>(unsigned short)> origin;  // whose watch it is
-    // "ADDRESS:PORT" at which a node finds a server.
+    std::function<std::optional<TcpRelay::Origin>(unsigned short)> origin;  // the node behind a peer's port
+    // "ADDRESS:PORT" at which a node reaches a server.
     std::function<std::string(const Actor& node, const Actor& server)> address;
-    std::function<bool(const Actor& node)> reaches;  // whether what is written to it now gets there
+    std::function<bool(const Actor& node)> reaches;  // whether bytes written to the node now are delivered
   };
 
   DiscoveryStandIn(boost::asio::io_context& io, const bench::Scenario& scenario, HistoryWriter& history,
@@ -39,17 +39,18 @@
   DiscoveryStandIn& operator=(const DiscoveryStandIn&) = delete;
 
   void up();
-  // Watches end, connections are refused; changes meanwhile are sent by the next watch.
+  // Closes all watches and refuses connections; changes made meanwhile are sent when the next watch starts.
   void down();
   const Endpoint& where() const { return where_; }
 
-  // From now on it is so; each node hears of it after its lag. `since_ms`: Unix time of a start.
+  // Applies a status change now; each node is notified after its lag. `since_ms`: Unix time of a server
+  // start.
   void change(const Actor& server, Status status, std::int64_t since_ms = 0);
-  // All lags are longer by this from now on.
-  void lag_more(double seconds) { more_ += seconds; }
-  // What was written while a node could not be reached has got there now.
+  // Adds `seconds`, which may be negative, to the lag of every later change.
+  void lag_more(double seconds) { extra_lag_ += seconds; }
+  // The link to the node is open again: records the notifications that were written while it was cut.
   void healed(const Actor& node);
-  // The list that a node starts with, as PROTOCOL has it: what it would have been sent by now.
+  // The full list that a node starts with, as PROTOCOL specifies: its entries as lagged for this node.
   std::string known(const Actor& node);
 
  private:
@@ -59,18 +60,18 @@
     std::int64_t since_ms = 0;
   };
   struct View {
-    std::vector<Entry> entries;  // as sent to this node, or to be sent by its next watch
+    std::vector<Entry> entries;  // as sent to this node, or to be sent when its next watch starts
     std::uint64_t index = 1;
     double lag = 0;
     std::shared_ptr<Socket> watch;
-    std::vector<Record> unheard;
+    std::vector<Record> undelivered;
   };
 
-  boost::asio::awaitable<void> accept(std::uint64_t life);
-  boost::asio::awaitable<void> serve(std::shared_ptr<Socket> socket, std::uint64_t life);
+  boost::asio::awaitable<void> accept(std::uint64_t generation);
+  boost::asio::awaitable<void> serve(std::shared_ptr<Socket> socket, std::uint64_t generation);
   boost::asio::awaitable<void> keep_alive(std::shared_ptr<Socket> socket);
   View& view_of(const Actor& node);
-  ActorKind kind_for(const Actor& node) const;
+  ActorKind listed_kind(const Actor& node) const;
   std::string entry(const Actor& node, int server, const Entry& entry) const;
   std::string list(const Actor& node, const View& view) const;
   void notify(const Actor& node, const Actor& server, const Entry& entry);
@@ -85,9 +86,9 @@
   bench::Random random_;
   boost::asio::ip::tcp::acceptor acceptor_;
   std::map<Actor, View> views_;
-  std::vector<Entry> servers_, backends_;  // as they are
-  std::uint64_t life_ = 0;
-  double more_ = 0;
+  std::vector<Entry> servers_, backends_;  // current state, without lag
+  std::uint64_t generation_ = 0;
+  double extra_lag_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/fleet_rig/actors/http_client.cpp
+++ b/fleet_rig/actors/http_client.cpp
@@ -20,47 +20,46 @@
 
 namespace {
 
-// s. A client listens for a moment longer than it said, so that an answer that comes too late is seen as
-// such.
-constexpr double kPatience = 0.3;
-constexpr double kHealthWait = 1;
+// s. A client keeps reading for this long after its timeout, so that a late response is recorded as late.
+constexpr double kLateResponseWindow = 0.3;
+constexpr double kHealthCheckTimeout = 1;
 
-asio::steady_timer::duration span(double seconds) {
+asio::steady_timer::duration to_duration(double seconds) {
   return std::chrono::duration_cast<asio::steady_timer::duration>(std::chrono::duration<double>(seconds));
 }
 
-std::string text_of(const ClientRequest& call) {
+std::string serialize_request(const ClientRequest& request) {
   RequestHead head;
   head.host = "fleet";
-  head.class_name = call.class_name;
-  head.operation = call.first;
-  head.id = call.id;
-  head.tenant = call.tenant;
-  head.key = call.key;
-  head.timeout_ms = std::max(1L, std::lround(call.time * 1000));
-  head.has_body = call.body;
+  head.class_name = request.class_name;
+  head.operation = request.operation_id;
+  head.id = request.id;
+  head.tenant = request.tenant;
+  head.key = request.idempotency_key;
+  head.timeout_ms = std::max(1L, std::lround(request.timeout * 1000));
+  head.has_body = request.has_body;
   return request_text(head);
 }
 
-// Closes a socket when its time is up, unless the exchange is over by then: the connection may carry another.
-struct Limit {
-  Limit(asio::io_context& io, std::shared_ptr<tcp::socket> socket, double seconds)
-      : timer(io, span(seconds)), state(std::make_shared<State>()) {
+// Closes a socket at its deadline unless the exchange has finished, as the connection may be reused by then.
+struct Deadline {
+  Deadline(asio::io_context& io, std::shared_ptr<tcp::socket> socket, double seconds)
+      : timer(io, to_duration(seconds)), state(std::make_shared<State>()) {
     timer.async_wait([socket = std::move(socket), state = state](error_code cancelled) {
-      if (cancelled || state->over) return;
-      state->hit = true;
+      if (cancelled || state->finished) return;
+      state->expired = true;
       error_code ignored;
       socket->close(ignored);
     });
   }
-  ~Limit() { end(); }
-  void end() {
-    state->over = true;
+  ~Deadline() { cancel(); }
+  void cancel() {
+    state->finished = true;
     error_code ignored;
     timer.cancel(ignored);
   }
   struct State {
-    bool over = false, hit = false;
+    bool finished = false, expired = false;
   };
   asio::steady_timer timer;
   std::shared_ptr<State> state;
@@ -69,87 +68,88 @@
 }  // namespace
 
 // NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity)
-asio::awaitable<ClientResponse> HttpClient::ask(ClientRequest call) {
-  ClientResponse reply;
-  const std::string text = text_of(call);
-  const double listens = call.leaves > 0 ? call.leaves : call.time + kPatience;
-  const double begun = history_.now();
-  const auto note = [&](Record::What what, double limit) {
+asio::awaitable<ClientResponse> HttpClient::send_request(ClientRequest request) {
+  ClientResponse result;
+  const std::string text = serialize_request(request);
+  const double wait_limit =
+      request.abandon_after > 0 ? request.abandon_after : request.timeout + kLateResponseWindow;
+  const double started_at = history_.now();
+  const auto record = [&](Record::What what, double limit) {
     Record r;
     r.what = what;
-    r.by = by_;
+    r.by = client_;
     r.to = node_;
-    r.id = call.id;
-    r.first = call.first;
-    r.request_class = call.request_class;
-    r.tenant = call.tenant_number;
-    r.tier = call.tier;
-    r.status = reply.status;
-    r.wait = reply.advised;
+    r.id = request.id;
+    r.first = request.operation_id;
+    r.request_class = request.request_class;
+    r.tenant = request.tenant_index;
+    r.tier = request.tier;
+    r.status = result.status;
+    r.wait = result.retry_after;
     r.limit = limit;
     history_.add(r);
   };
   for (;;) {
-    const bool fresh = idle_connections_.empty();
+    const bool is_new_connection = idle_connections_.empty();
     std::shared_ptr<Socket> socket;
-    if (fresh) {
+    if (is_new_connection) {
       socket = std::make_shared<Socket>(io_);
     } else {
       socket = std::move(idle_connections_.back());
       idle_connections_.pop_back();
     }
-    Limit limit(io_, socket, std::max(0.001, begun + listens - history_.now()));
-    error_code problem;
-    if (fresh) {
-      co_await socket->async_connect(where_, asio::redirect_error(asio::use_awaitable, problem));
+    Deadline deadline(io_, socket, std::max(0.001, started_at + wait_limit - history_.now()));
+    error_code error;
+    if (is_new_connection) {
+      co_await socket->async_connect(node_endpoint_, asio::redirect_error(asio::use_awaitable, error));
       error_code ignored;
-      if (!problem) socket->set_option(tcp::no_delay(true), ignored);
+      if (!error) socket->set_option(tcp::no_delay(true), ignored);
     }
-    if (!problem)
+    if (!error)
       co_await asio::async_write(*socket, asio::buffer(text),
-                                 asio::redirect_error(asio::use_awaitable, problem));
-    if (problem && !fresh && !limit.state->hit) continue;  // closed while it was idle
-    if (problem) co_return reply;
-    reply.asked = true;
-    note(Record::What::kRequestSent, history_.now() + call.time);
+                                 asio::redirect_error(asio::use_awaitable, error));
+    if (error && !is_new_connection && !deadline.state->expired)
+      continue;  // the node closed it while it was idle
+    if (error) co_return result;
+    result.request_sent = true;
+    record(Record::What::kRequestSent, history_.now() + request.timeout);
     boost::beast::flat_buffer buffer;
-    http::response<http::string_body> answer;
-    co_await http::async_read(*socket, buffer, answer, asio::redirect_error(asio::use_awaitable, problem));
-    limit.end();
-    if (!problem) {
-      reply.status = static_cast<int>(answer.result_int());
-      // An answer that is not this request's is none.
-      if (reply.status == 200 && answer.body() != call.id) reply.status = 599;
-      reply.advised = std::strtod(std::string(answer[http::field::retry_after]).c_str(), nullptr);
-      note(Record::What::kResponse, 0);
-      if (answer.keep_alive()) idle_connections_.push_back(std::move(socket));
-      co_return reply;
+    http::response<http::string_body> response;
+    co_await http::async_read(*socket, buffer, response, asio::redirect_error(asio::use_awaitable, error));
+    deadline.cancel();
+    if (!error) {
+      result.status = static_cast<int>(response.result_int());
+      // A response that belongs to another request counts as a failure.
+      if (result.status == 200 && response.body() != request.id) result.status = 599;
+      result.retry_after = std::strtod(std::string(response[http::field::retry_after]).c_str(), nullptr);
+      record(Record::What::kResponse, 0);
+      if (response.keep_alive()) idle_connections_.push_back(std::move(socket));
+      co_return result;
     }
-    if (limit.state->hit) {
-      note(Record::What::kClientLeft, 0);
-      co_return reply;
+    if (deadline.state->expired) {
+      record(Record::What::kClientLeft, 0);
+      co_return result;
     }
-    // The node may close an idle connection as a request is sent; that request is sent again on another.
-    if (!fresh) continue;
-    note(Record::What::kConnectionBroken, 0);
-    co_return reply;
+    // The node may close an idle connection just as a request is sent; the request is resent on another one.
+    if (!is_new_connection) continue;
+    record(Record::What::kConnectionBroken, 0);
+    co_return result;
   }
 }
 
 asio::awaitable<bool> HttpClient::is_healthy() {
   const auto socket = std::make_shared<Socket>(io_);
-  Limit limit(io_, socket, kHealthWait);
-  error_code problem;
+  Deadline deadline(io_, socket, kHealthCheckTimeout);
+  error_code error;
   static const std::string text = "GET /_health HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\n\r\n";
-  co_await socket->async_connect(where_, asio::redirect_error(asio::use_awaitable, problem));
-  if (!problem)
-    co_await asio::async_write(*socket, asio::buffer(text),
-                               asio::redirect_error(asio::use_awaitable, problem));
+  co_await socket->async_connect(node_endpoint_, asio::redirect_error(asio::use_awaitable, error));
+  if (!error)
+    co_await asio::async_write(*socket, asio::buffer(text), asio::redirect_error(asio::use_awaitable, error));
   boost::beast::flat_buffer buffer;
-  http::response<http::string_body> answer;
-  if (!problem)
-    co_await http::async_read(*socket, buffer, answer, asio::redirect_error(asio::use_awaitable, problem));
-  co_return !problem && answer.result() == http::status::ok;
+  http::response<http::string_body> response;
+  if (!error)
+    co_await http::async_read(*socket, buffer, response, asio::redirect_error(asio::use_awaitable, error));
+  co_return !error && response.result() == http::status::ok;
 }
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/actors/http_client.h
+++ b/fleet_rig/actors/http_client.h
@@ -1,5 +1,5 @@
-// An HTTP client of a node as PROTOCOL has it: one request at a time on a connection, persistent connections,
-// a new one when all are busy. Writes what it saw to the history.
+// HTTP client of a node, as PROTOCOL specifies: one request at a time per connection, keep-alive connections,
+// and a new connection when all are busy. Records what it observes in the history.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -14,44 +14,44 @@
 namespace thymewood::fleet {
 
 struct ClientRequest {
-  std::string id, first;                // of this attempt, and of the first one of all
-  std::string class_name, tenant, key;  // key: empty unless the class is keyed
-  int request_class = 0, tenant_number = 0, tier = 0;
-  bool body = true;   // false: a GET
-  double time = 1;    // s; the timeout that the node is given
-  double leaves = 0;  // s after which it closes all the same; 0: it waits for what it said, and a moment
+  std::string id, operation_id;                     // of this attempt, and of the operation's first attempt
+  std::string class_name, tenant, idempotency_key;  // idempotency_key: empty unless the class requires one
+  int request_class = 0, tenant_index = 0, tier = 0;
+  bool has_body = true;      // false: a GET
+  double timeout = 1;        // s; sent to the node as X-Timeout-Ms
+  double abandon_after = 0;  // s until the client closes early; 0: it waits for `timeout` plus a grace period
 };
 
 struct ClientResponse {
-  int status = 0;      // 0: no answer was heard
-  double advised = 0;  // s, from Retry-After
-  bool asked = false;  // the request was written completely
+  int status = 0;             // 0: no response was received
+  double retry_after = 0;     // s, from Retry-After
+  bool request_sent = false;  // the request was written completely
 };
 
 class HttpClient {
  public:
   using Endpoint = boost::asio::ip::tcp::endpoint;
-  // `by` asks `node`, which is reached at `where`.
-  HttpClient(boost::asio::io_context& io, HistoryWriter& history, const Actor& by, const Actor& node,
-             const Endpoint& where)
-      : io_(io), history_(history), by_(by), node_(node), where_(where) {}
-
-  // By value: the caller's object may not live until the answer arrives.
-  boost::asio::awaitable<ClientResponse> ask(ClientRequest call);
-  // One that waits for ever says nothing to the history: GET /_health, whether it was answered 200.
+  // `client` sends requests to `node`, which is reached at `node_endpoint`.
+  HttpClient(boost::asio::io_context& io, HistoryWriter& history, const Actor& client, const Actor& node,
+             const Endpoint& node_endpoint)
+      : io_(io), history_(history), client_(client), node_(node), node_endpoint_(node_endpoint) {}
+
+  // By value: the caller's object may be destroyed before the response arrives.
+  boost::asio::awaitable<ClientResponse> send_request(ClientRequest request);
+  // Whether GET /_health returns 200 within the health check timeout. Records nothing in the history.
   boost::asio::awaitable<bool> is_healthy();
   void forget() { idle_connections_.clear(); }
   std::size_t idle_connections() const {
     return idle_connections_.size();
-  }  // connections open and not in use
+  }  // open connections that are not in use
   const Actor& node() const { return node_; }
 
  private:
   using Socket = boost::asio::ip::tcp::socket;
   boost::asio::io_context& io_;
   HistoryWriter& history_;
-  Actor by_, node_;
-  Endpoint where_;
+  Actor client_, node_;
+  Endpoint node_endpoint_;
   std::vector<std::shared_ptr<Socket>> idle_connections_;
 };
 
