--- a/bench/model/actors.cpp
+++ b/bench/model/actors.cpp
@@ -9,16 +9,17 @@
 namespace thymewood::bench {
 namespace {
 
-constexpr std::array<std::pair<const char*, ActorKind>, 6> kNames{{{"callers", ActorKind::kClients},
-                                                                   {"node", ActorKind::kNode},
-                                                                   {"server", ActorKind::kServer},
-                                                                   {"discovery", ActorKind::kDiscovery},
-                                                                   {"inner", ActorKind::kSidecar},
-                                                                   {"backend", ActorKind::kBackend}}};
+constexpr std::array<std::pair<const char*, ActorKind>, 6> kActorKindNames{
+    {{"callers", ActorKind::kClients},
+     {"node", ActorKind::kNode},
+     {"server", ActorKind::kServer},
+     {"discovery", ActorKind::kDiscovery},
+     {"inner", ActorKind::kSidecar},
+     {"backend", ActorKind::kBackend}}};
 
-bool is_alone(ActorKind kind) { return kind == ActorKind::kClients || kind == ActorKind::kDiscovery; }
+bool is_singleton(ActorKind kind) { return kind == ActorKind::kClients || kind == ActorKind::kDiscovery; }
 
-int count_of(const Topology& topology, ActorKind kind) {
+int actor_count(const Topology& topology, ActorKind kind) {
   switch (kind) {
     case ActorKind::kNode:
       return static_cast<int>(topology.node_zones.size());
@@ -33,27 +34,27 @@
   }
 }
 
-std::optional<int> whole(const std::string& text) {
+std::optional<int> parse_unsigned(const std::string& text) {
   int out = 0;
-  const auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), out);
-  if (problem != std::errc() || end != text.data() + text.size() || out < 0) return std::nullopt;
+  const auto [end, status] = std::from_chars(text.data(), text.data() + text.size(), out);
+  if (status != std::errc() || end != text.data() + text.size() || out < 0) return std::nullopt;
   return out;
 }
 
 }  // namespace
 
 std::string name_of(const Actor& actor) {
-  for (const auto& [name, kind] : kNames) {
+  for (const auto& [name, kind] : kActorKindNames) {
     if (kind == actor.kind)
-      return is_alone(kind) ? std::string(name) : std::string(name) + std::to_string(actor.number);
+      return is_singleton(kind) ? std::string(name) : std::string(name) + std::to_string(actor.number);
   }
   return "?";
 }
 
 std::vector<Actor> Topology::everyone() const {
   std::vector<Actor> out;
-  for (const auto& [name, kind] : kNames) {
-    for (int i = 0; i < count_of(*this, kind); ++i) out.push_back({kind, i});
+  for (const auto& [name, kind] : kActorKindNames) {
+    for (int i = 0; i < actor_count(*this, kind); ++i) out.push_back({kind, i});
   }
   return out;
 }
@@ -64,7 +65,7 @@
     case ActorKind::kNode:
       return node_zones.at(at);
     case ActorKind::kServer:
-    case ActorKind::kSidecar:  // beside its server
+    case ActorKind::kSidecar:  // in the zone of its server
       return server_zones.at(at);
     case ActorKind::kBackend:
       return backend_zones.at(at);
@@ -73,27 +74,27 @@
   }
 }
 
-std::optional<Selector> Selector::parse(const std::string& text, std::string& why) {
+std::optional<Selector> Selector::parse(const std::string& text, std::string& error) {
   Selector out;
   if (text.empty()) return out;
   const std::size_t colon = text.find(':');
   const std::string word = text.substr(0, colon);
   const std::string rest = colon == std::string::npos ? "" : text.substr(colon + 1);
   if (word == "zone") {
-    const std::optional<int> zone = whole(rest);
-    if (!zone) return why = "'" + text + "': a zone is named as 'zone:1'", std::nullopt;
+    const std::optional<int> zone = parse_unsigned(rest);
+    if (!zone) return error = "'" + text + "': a zone is selected as 'zone:1'", std::nullopt;
     out.kind = Kind::kZone;
     out.first = out.last = *zone;
     return out;
   }
-  const auto named =
-      std::find_if(kNames.begin(), kNames.end(), [&](const auto& entry) { return word == entry.first; });
-  if (named == kNames.end())
-    return why = "'" + text + "' is none of callers, discovery, node, server, inner, backend, zone",
+  const auto match = std::find_if(kActorKindNames.begin(), kActorKindNames.end(),
+                                  [&](const auto& entry) { return word == entry.first; });
+  if (match == kActorKindNames.end())
+    return error = "'" + text + "' is not one of callers, discovery, node, server, inner, backend, zone",
            std::nullopt;
-  out.of = named->second;
-  if (is_alone(out.of)) {
-    if (colon != std::string::npos) return why = "'" + text + "': there is only one " + word, std::nullopt;
+  out.of = match->second;
+  if (is_singleton(out.of)) {
+    if (colon != std::string::npos) return error = "'" + text + "': there is only one " + word, std::nullopt;
     out.kind = Kind::kAll;
     return out;
   }
@@ -102,35 +103,37 @@
     return out;
   }
   if (!rest.empty() && rest.back() == '%') {
-    const std::optional<int> percent = whole(rest.substr(0, rest.size() - 1));
-    if (!percent || *percent > 100) return why = "'" + text + "': a share is from 0% to 100%", std::nullopt;
+    const std::optional<int> percent = parse_unsigned(rest.substr(0, rest.size() - 1));
+    if (!percent || *percent > 100)
+      return error = "'" + text + "': a percentage is from 0% to 100%", std::nullopt;
     out.kind = Kind::kPart;
     out.part = *percent / 100.0;
     return out;
   }
   const std::size_t dash = rest.find('-');
-  const std::optional<int> first = whole(rest.substr(0, dash));
-  const std::optional<int> last = dash == std::string::npos ? first : whole(rest.substr(dash + 1));
+  const std::optional<int> first = parse_unsigned(rest.substr(0, dash));
+  const std::optional<int> last = dash == std::string::npos ? first : parse_unsigned(rest.substr(dash + 1));
   if (!first || !last || *last < *first)
-    return why = "'" + text + "': numbers are given as '" + word + ":3' or '" + word + ":0-6'", std::nullopt;
+    return error = "'" + text + "': numbers are selected as '" + word + ":3' or '" + word + ":0-6'",
+           std::nullopt;
   out.kind = dash == std::string::npos ? Kind::kOne : Kind::kRange;
   out.first = *first;
   out.last = *last;
   return out;
 }
 
-std::string Selector::misfit(const Topology& topology) const {
+std::string Selector::mismatch_reason(const Topology& topology) const {
   if (kind == Kind::kNobody) return "";
   if (kind == Kind::kZone) {
     for (const Actor& actor : topology.everyone()) {
       if (topology.zone_of(actor) == first) return "";
     }
-    return "nobody stands in zone " + std::to_string(first);
+    return "no actor is in zone " + std::to_string(first);
   }
-  const int count = count_of(topology, of);
+  const int count = actor_count(topology, of);
   if ((kind == Kind::kOne || kind == Kind::kRange) && last >= count)
-    return "there are " + std::to_string(count) + " of these, counted from 0";
-  return count == 0 ? "there is none of these" : "";
+    return "there are " + std::to_string(count) + " of these, numbered from 0";
+  return count == 0 ? "the scenario has none of these" : "";
 }
 
 std::vector<Actor> Selector::pick(const Topology& topology, Random& random) const {
@@ -142,13 +145,13 @@
     }
     return out;
   }
-  const int count = count_of(topology, of);
+  const int count = actor_count(topology, of);
   for (int i = 0; i < count; ++i) out.push_back({of, i});
   if (kind == Kind::kAll) return out;
   if (kind == Kind::kPart) {
-    const auto wanted = static_cast<std::size_t>(std::lround(part * count));
-    for (std::size_t i = 0; i < wanted; ++i) std::swap(out[i], out[i + random.below(out.size() - i)]);
-    out.resize(wanted);
+    const auto picked = static_cast<std::size_t>(std::lround(part * count));
+    for (std::size_t i = 0; i < picked; ++i) std::swap(out[i], out[i + random.below(out.size() - i)]);
+    out.resize(picked);
     std::sort(out.begin(), out.end());
     return out;
   }
--- a/bench/model/actors.h
+++ b/bench/model/actors.h
@@ -1,6 +1,6 @@
-// Who takes part in a fleet's run, and how a scenario file names them: 'node:3', 'node:0-6', 'server:*',
-// 'node:70%' (so many, drawn by the run's seed), 'zone:1' (nodes and servers of it), 'discovery',
-// "callers" (the clients).
+// The actors of a fleet run and the selectors by which a scenario file names them: 'node:3', 'node:0-6',
+// 'server:*', 'node:70%' (that percentage, chosen by the run's seed), 'zone:1' (the nodes and servers of the
+// zone), 'discovery', "callers" (the clients).
 #pragma once
 
 #include <compare>
@@ -12,28 +12,28 @@
 
 namespace thymewood::bench {
 
-// `kInner` is the node of a first-tier server of the same number, by which it calls the second tier's
-// servers, which are `kBackend`.
+// `kSidecar` is the node beside the first-tier server of the same number, through which that server calls the
+// servers of the second tier, which are `kBackend`.
 enum class ActorKind { kClients, kNode, kServer, kDiscovery, kSidecar, kBackend };
 
 struct Actor {
   ActorKind kind = ActorKind::kNode;
   int number = 0;
   auto operator<=>(const Actor&) const =
-      default;  // NOLINT(modernize-use-nullptr): a false alarm of the check
+      default;  // NOLINT(modernize-use-nullptr): a false positive of the check
 };
 
 std::string name_of(const Actor& actor);  // "node3"
 
-// How many of each there are, and in which zone they stand.
+// The number of actors of each kind and their zones.
 struct Topology {
-  std::vector<int> node_zones, server_zones, backend_zones;  // by number
-  int sidecar = 0;  // as many as servers where there is a second tier
+  std::vector<int> node_zones, server_zones, backend_zones;  // zone of each actor, by its number
+  int sidecar = 0;  // number of sidecars: one for each server where there is a second tier, else 0
   std::vector<Actor> everyone() const;
-  int zone_of(const Actor& actor) const;  // -1: clients and discovery stand in none
+  int zone_of(const Actor& actor) const;  // -1: clients and discovery are in no zone
 };
 
-// Selects some of the actors. Empty text stands for none.
+// Selects some of the actors. Empty text selects none.
 struct Selector {
   enum class Kind { kNobody, kOne, kRange, kAll, kPart, kZone };
   Kind kind = Kind::kNobody;
@@ -41,11 +41,11 @@
   int first = 0, last = 0;
   double part = 0;
 
-  // Nothing, with `why` set, where the text is not one.
-  static std::optional<Selector> parse(const std::string& text, std::string& why);
-  // Why no actor of this topology matches; empty where one does.
-  std::string misfit(const Topology& topology) const;
-  // In the order of their numbers. Takes of `random` with kPart alone.
+  // Returns nullopt and sets `error` if the text is not a selector.
+  static std::optional<Selector> parse(const std::string& text, std::string& error);
+  // Returns why this topology lacks the selected actors; empty if it has them.
+  std::string mismatch_reason(const Topology& topology) const;
+  // Returns the selected actors in the order of their numbers. Uses `random` only for kPart.
   std::vector<Actor> pick(const Topology& topology, Random& random) const;
 };
 
--- a/bench/model/histogram.h
+++ b/bench/model/histogram.h
@@ -1,6 +1,6 @@
-// A histogram of durations with a bounded relative error, after the layout of HDR histograms: each power of
-// two is cut into 64 equal parts, so that a quantile is at most 1.6% off. No library of this kind for C or
-// C++ is in Debian; this is the part of one that the bench needs.
+// A histogram of durations with a bounded relative error and the layout of HdrHistogram: each power of two is
+// divided into 64 equal buckets, so a quantile is at most 1.6% off. Debian packages no such library for C or
+// C++; this class has only what the benchmarks need.
 #pragma once
 
 #include <algorithm>
@@ -12,10 +12,10 @@
 
 class Histogram {
  public:
-  // Durations in seconds; below 1 us they count as 1 us, above 4,000 s as that.
+  // Adds a duration in seconds, clamped to the range from 1 us to 4,000 s.
   void add(double seconds) {
     const auto us = static_cast<std::uint64_t>(std::clamp(seconds * 1e6, 1.0, 4e9));
-    counts_[slot_of(us)] += 1;
+    counts_[bucket_of(us)] += 1;
     total_ += 1;
   }
   void merge(const Histogram& other) {
@@ -24,35 +24,39 @@
   }
   std::uint64_t count() const { return total_; }
 
-  // The duration, in seconds, that a part of all (0 to 1) do not exceed; 0 where nothing was added.
-  double quantile(double part) const {
+  // Returns the duration, in seconds, which the given fraction (0 to 1) of all values don't exceed; 0 if
+  // empty.
+  double quantile(double fraction) const {
     if (total_ == 0) return 0;
-    const auto rank = static_cast<std::uint64_t>(std::ceil(part * static_cast<double>(total_)));
-    std::uint64_t seen = 0;
+    const auto rank = static_cast<std::uint64_t>(std::ceil(fraction * static_cast<double>(total_)));
+    std::uint64_t cumulative = 0;
     for (std::size_t i = 0; i < counts_.size(); ++i) {
-      seen += counts_[i];
-      if (seen >= std::max<std::uint64_t>(rank, 1)) return static_cast<double>(upper_of(i)) / 1e6;
+      cumulative += counts_[i];
+      if (cumulative >= std::max<std::uint64_t>(rank, 1)) return static_cast<double>(upper_bound_of(i)) / 1e6;
     }
-    return static_cast<double>(upper_of(counts_.size() - 1)) / 1e6;
+    return static_cast<double>(upper_bound_of(counts_.size() - 1)) / 1e6;
   }
 
  private:
-  static constexpr std::size_t kParts = 64;   // of each power of two
-  static constexpr std::size_t kPowers = 27;  // beyond the first kParts microseconds, counted singly
+  static constexpr std::size_t kSubBuckets = 64;  // for each power of two
+  static constexpr std::size_t kPowersOfTwo =
+      27;  // above the first kSubBuckets microseconds, which have one bucket each
 
-  static std::size_t slot_of(std::uint64_t us) {
-    if (us < kParts) return us;
+  static std::size_t bucket_of(std::uint64_t us) {
+    if (us < kSubBuckets) return us;
     std::size_t power = 0;
-    while ((us >> power) >= 2 * kParts) ++power;
-    return std::min(kParts + power * kParts + ((us >> power) - kParts), kParts * (kPowers + 1) - 1);
+    while ((us >> power) >= 2 * kSubBuckets) ++power;
+    return std::min(kSubBuckets + power * kSubBuckets + ((us >> power) - kSubBuckets),
+                    kSubBuckets * (kPowersOfTwo + 1) - 1);
   }
-  static std::uint64_t upper_of(std::size_t slot) {
-    if (slot < kParts) return slot;
-    const std::size_t power = (slot - kParts) / kParts, part = (slot - kParts) % kParts;
-    return ((kParts + part + 1) << power) - 1;
+  static std::uint64_t upper_bound_of(std::size_t bucket) {
+    if (bucket < kSubBuckets) return bucket;
+    const std::size_t power = (bucket - kSubBuckets) / kSubBuckets,
+                      sub_bucket = (bucket - kSubBuckets) % kSubBuckets;
+    return ((kSubBuckets + sub_bucket + 1) << power) - 1;
   }
 
-  std::vector<std::uint64_t> counts_ = std::vector<std::uint64_t>(kParts * (kPowers + 1), 0);
+  std::vector<std::uint64_t> counts_ = std::vector<std::uint64_t>(kSubBuckets * (kPowersOfTwo + 1), 0);
   std::uint64_t total_ = 0;
 };
 
--- a/bench/model/random.h
+++ b/bench/model/random.h
@@ -1,5 +1,5 @@
-// Random numbers that come out the same with every compiler and library: the engine is specified by the C++
-// standard, the distributions are written out here because those of the standard library are not.
+// Random numbers that are identical with every compiler and standard library. The C++ standard specifies the
+// engine exactly but not the distributions, so the distributions are implemented here.
 #pragma once
 
 #include <cmath>
@@ -20,7 +20,7 @@
     const double radius = std::sqrt(-2 * std::log1p(-unit()));
     return radius * std::cos(2 * std::numbers::pi * unit());
   }
-  // With the given mean and coefficient of variation.
+  // Log-normal with the given mean and coefficient of variation.
   double lognormal(double mean, double cv) {
     const double variance = std::log1p(cv * cv);
     return mean * std::exp(std::sqrt(variance) * normal() - variance / 2);
--- a/bench/model/scenario.cpp
+++ b/bench/model/scenario.cpp
@@ -93,15 +93,15 @@
 }
 
 Arrivals::Arrivals(const Scenario& scenario, std::uint64_t seed) : scenario_(scenario), random_(seed) {
-  for (const LoadStep& step : scenario.load) most_ = std::max(most_, step.rate);
+  for (const LoadStep& step : scenario.load) max_rate_ = std::max(max_rate_, step.rate);
 }
 
-// By thinning: arrivals at the highest rate, of which the rate's share is retained.
+// Thinning: generates arrivals at the maximum rate and keeps the fraction load_at(t) / max_rate_ of them.
 double Arrivals::after(double t) {
-  if (most_ <= 0) return std::numeric_limits<double>::infinity();
+  if (max_rate_ <= 0) return std::numeric_limits<double>::infinity();
   while (t <= scenario_.seconds) {
-    t += random_.exponential(1 / most_);
-    if (random_.unit() * most_ < scenario_.load_at(t)) return t;
+    t += random_.exponential(1 / max_rate_);
+    if (random_.unit() * max_rate_ < scenario_.load_at(t)) return t;
   }
   return std::numeric_limits<double>::infinity();
 }
--- a/bench/model/scenario.h
+++ b/bench/model/scenario.h
@@ -1,7 +1,7 @@
-// A scenario: what comes, what serves it, and what changes meanwhile, as a file describes it. The player in
+// A scenario as a file describes it: the load, the servers and the changes during the run. The simulation in
 // virtual time and the rig on sockets read the same files; bench/scenarios/README.md lists every key.
 //
-// All times are seconds since the scenario began. Rates are requests a second over all replicas.
+// All times are in seconds since the start of the scenario. Rates are requests per second over all replicas.
 #pragma once
 
 #include <limits>
@@ -16,13 +16,13 @@
 
 namespace thymewood::bench {
 
-// How long a request of a class takes on an idle server of speed 1.
+// The service time of a request class on an idle server of speed 1.
 struct Service {
   enum class Form { kConstant, kExponential, kLognormal, kBimodal };
   Form form = Form::kExponential;
-  double mean = 0.02;  // s; of kBimodal the quick mode's, both modes being constant
-  double cv = 1;       // kLognormal: standard deviation over mean
-  double slow = 0;     // s; kBimodal: the slow mode
+  double mean = 0.02;  // s; kBimodal: the constant time of the fast mode
+  double cv = 1;       // kLognormal: coefficient of variation (standard deviation / mean)
+  double slow = 0;     // s; kBimodal: the constant time of the slow mode
   double slow_share = 0;
 
   double draw(Random& random) const;
@@ -31,30 +31,30 @@
 
 struct LoadClass {
   std::string name;
-  double share = 1;       // of the requests, against the others' shares
-  RequestClass settings;  // as the node is configured with it
+  double share = 1;       // of the requests, relative to the shares of other classes
+  RequestClass settings;  // configuration of the node
   Service service;
 };
 
 struct LoadTenant {
   std::string name;
   double share = 1;
-  std::optional<double> quota;  // requests a second; the node is configured with it
+  std::optional<double> quota;  // requests per second; configuration of the node
 };
 
-// From `at` on the rate is this; with `ramp` it goes straight to it from where it was at the step before.
+// The rate is `rate` from `at` on; with `ramp` it changes linearly to it from the previous step on.
 struct LoadStep {
   double at = 0, rate = 0;
   bool ramp = false;
 };
 
-// Clients in a closed loop: each asks again at once, or after `think`, when it has its answer. Each belongs
-// to one replica.
+// Clients in a closed loop: each sends its next request `think` after the answer to the last one. Each client
+// uses one replica.
 struct ClosedLoop {
   int count = 0;
   double from = 0, to = std::numeric_limits<double>::infinity();
   double think = 0;
-  double after_refusal = 0;  // s; waits so long when refused; negative: as the answer advises
+  double after_refusal = 0;  // s; delay after a rejection; negative: the Retry-After of the answer
 };
 
 struct Change {
@@ -63,48 +63,48 @@
     kDrain,
     kStop,
     kStart,
-    kFail,    // `part` of the calls end in an error at once, without work
-    kMute,    // `part` of the calls are taken in and never answered; connections stay open
-    kRestart  // a replica of the node ends and starts again from nothing after `down`
+    kFail,    // `part` of the calls fail at once, without work
+    kMute,    // `part` of the calls are accepted and never answered; connections stay open
+    kRestart  // a replica of the node ends and starts again without state after `down`
   };
   double at = 0;
   What what = What::kSlow;
-  std::size_t first = 0, last = 0;  // servers, both included
-  double factor = 1;                // kSlow: x the service time from now on
-  double notify_delay = 0;          // s; how much later the replicas hear of it
-  double part = 1;                  // kFail, kMute: of the calls; 0 ends it
-  bool backends = false;            // `first` and `last` count those of the second tier
+  std::size_t first = 0, last = 0;  // range of servers, inclusive
+  double factor = 1;                // kSlow: multiplies service times from now on
+  double notify_delay = 0;          // s; delay until the replicas are notified
+  double part = 1;                  // kFail, kMute: fraction of the calls; 0 ends the fault
+  bool backends = false;            // `first` and `last` refer to servers of the second tier
   int replica = 0;                  // kRestart
   double down = 0;                  // s; kRestart
 };
 
-// A tenant that sends `rate` requests a second beside what the load brings.
+// A tenant that sends `rate` requests per second in addition to the load.
 struct Flood {
   std::size_t tenant = 0;
   double at = 0, lasts = std::numeric_limits<double>::infinity();
   double rate = 0;
-  int replica = -1;  // all of it through this one; -1: as all others come
+  int replica = -1;  // all requests go to this replica; -1: spread like the other load
 };
 
 struct ScenarioServer {
   Capacity capacity;
   int zone = 0, cell = 0;
   double weight = 1;
-  bool up = true;  // from the beginning
+  bool up = true;  // at the start
 };
 
 struct Scenario {
   std::string name, title;
   double seconds = 30;
-  double settle = 5;  // s left out of the figures, at the beginning and after each change
+  double settle = 5;  // s excluded from the results, at the start and after each change
   int replicas = 1;
-  double net = 0.0002;  // s; one way between a replica and a server, and between a client and its replica
+  double net = 0.0002;  // s; one-way latency replica to server and client to replica
   int max_attempts = 3;
   double max_retry_after = 1;
   double slow_start_min_capacity = 0.3, slow_start_window = 0;  // settings of the replicas
   double over_quota_weight = 1;
   std::vector<LoadClass> classes;
-  std::vector<LoadTenant> tenants;  // empty: no tenants
+  std::vector<LoadTenant> tenants;  // empty: requests have no tenants
   std::vector<ScenarioServer> servers;
   std::vector<LoadStep> load;
   std::vector<ClosedLoop> closed_loops;
@@ -113,36 +113,36 @@
   ClientBehavior client_behavior;
   Chain chain;
   std::vector<ScenarioServer> backends;  // the second tier
-  // Only a fleet of processes can play these.
-  std::vector<int> node_zones;  // by replica; all 0 without [[node]]
+  // Supported only when the scenario runs on a fleet of processes.
+  std::vector<int> node_zones;  // by replica; all 0 if there is no [[node]]
   std::vector<LinkRule> links;
   std::vector<Fault> faults;
   DiscoveryDelays discovery;
-  bool peers = false;       // nodes may send each other datagrams
-  std::string operators;    // the operators' file of each node; empty: none
-  double views_within = 0;  // s after the last change by which nodes see the fleet as it is; 0: not judged
-  std::string clients_at;   // "FILE:LINE: [clients]", where there is one
-  // "FILE:LINE: TABLE", one for each table above that the file holds.
+  bool peers = false;       // nodes can send each other datagrams
+  std::string operators;    // the operators file of each node; empty: none
+  double views_within = 0;  // s after the last change by which all nodes' views must be correct; 0: unchecked
+  std::string clients_at;   // "FILE:LINE: [clients]"; empty if there is no such table
+  // "FILE:LINE: TABLE" for each table of the file that needs a fleet of processes.
   std::vector<std::string> fleet_only;
 
-  std::vector<double> settle_after;  // s; load steps and changes, after each of which `settle` is left out
+  std::vector<double> settle_after;  // s; times of load steps and changes, each followed by `settle`
 
-  const LoadClass& class_named(const std::string& class_name) const;  // the first class where there is none
-  double mean_work() const;        // s; over the classes by their shares, on an idle server of speed 1
-  double full_rate() const;        // requests a second of all servers that are up from the beginning
-  double load_at(double t) const;  // of the open loop
-  bool counts_at(double t) const;  // whether `settle` is over
+  const LoadClass& class_named(const std::string& class_name) const;  // the first class if none matches
+  double mean_work() const;        // s; mean over the classes by share, on an idle server of speed 1
+  double full_rate() const;        // total capacity, requests per second, of the servers up at the start
+  double load_at(double t) const;  // rate of the open loop
+  bool counts_at(double t) const;  // whether results at `t` count: outside every `settle` period
   Settings settings(int replica) const;
-  Settings sidecar_settings(int server) const;  // of the replica beside a first-tier server
+  Settings sidecar_settings(int server) const;  // for the replica beside a first-tier server
   Topology topology() const;
 };
 
-// Reads and checks a complete file. Throws std::runtime_error with one line: file, line, key and what is
-// wrong. `times` multiplies the load, so that one file serves for a sweep.
+// Reads and validates a file. Throws std::runtime_error with a one-line message: file, line, key and the
+// error. `times` multiplies the load, so that one file can be used for a sweep over loads.
 Scenario read_scenario(const std::string& path, double times = 1);
 Scenario parse_scenario(const std::string& text, const std::string& name, double times = 1);
 
-// The place of an entry, drawn by the entries' shares; 0 where there is none.
+// Returns the index of a random entry, weighted by the entries' shares; 0 if there are no entries.
 template <class Entries>
 std::size_t draw_by_share(Random& random, const Entries& entries) {
   double sum = 0;
@@ -155,16 +155,16 @@
   return entries.empty() ? 0 : entries.size() - 1;
 }
 
-// The open loop's arrivals: a Poisson process whose rate follows the steps.
+// The arrivals of the open loop: a Poisson process whose rate follows the load steps.
 class Arrivals {
  public:
   Arrivals(const Scenario& scenario, std::uint64_t seed);
-  // The first arrival after `t`; infinity when there is none any more.
+  // Returns the first arrival after `t`; infinity if there are no more.
   double after(double t);
 
  private:
   const Scenario& scenario_;
-  double most_ = 0;  // the highest rate
+  double max_rate_ = 0;  // maximum of the load steps
   Random random_;
 };
 
--- a/bench/model/scenario_file.cpp
+++ b/bench/model/scenario_file.cpp
@@ -1,5 +1,5 @@
-// The reader of scenario files. A key that is not known is an error: a scenario that silently left something
-// out would measure something else than it says.
+// Reads scenario files. An unknown key is an error: a scenario that silently ignored one would measure
+// something other than the file describes.
 #include <cmath>
 #include <fstream>
 #include <limits>
@@ -13,8 +13,8 @@
 namespace thymewood::bench {
 namespace {
 
-// The times after each of which figures are left out for `settle`.
-std::vector<double> disturbances_of(const Scenario& s) {
+// Returns the times after each of which results are excluded for `settle`.
+std::vector<double> change_times(const Scenario& s) {
   std::vector<double> out;
   for (const Fault& fault : s.faults) {
     out.push_back(fault.at);
@@ -46,7 +46,7 @@
   s.slow_start_window = t.number("ramp_s", 0);
   s.over_quota_weight = t.number("over_share_worth", 1, 0, 1);
   for (TableReader& c : t.tables("class")) s.classes.push_back(read_class(c));
-  if (s.classes.empty()) t.fail("there is no [[class]]");
+  if (s.classes.empty()) t.fail("the scenario has no [[class]]");
   for (TableReader& tenant : t.tables("tenant")) {
     LoadTenant load_tenant{tenant.text("name", ""), tenant.number("share", 1), std::nullopt};
     if (tenant.has("allowance")) load_tenant.quota = tenant.number("allowance", 0);
@@ -54,7 +54,7 @@
     s.tenants.push_back(load_tenant);
   }
   for (TableReader& group : t.tables("servers")) read_servers(group, s.servers);
-  if (s.servers.empty()) t.fail("there are no [[servers]]");
+  if (s.servers.empty()) t.fail("the scenario has no [[servers]]");
   s.load = read_load(t.tables("load"), s.full_rate(), times);
   for (TableReader& c : t.tables("callers")) {
     ClosedLoop clients;
@@ -66,12 +66,12 @@
     c.finish();
     s.closed_loops.push_back(clients);
   }
-  if (s.load.empty() && s.closed_loops.empty()) t.fail("there is neither [[load]] nor [[callers]]");
+  if (s.load.empty() && s.closed_loops.empty()) t.fail("the scenario has neither [[load]] nor [[callers]]");
   read_fleet(t, s);
   for (TableReader& change : t.tables("change")) s.changes.push_back(read_change(change, s));
   for (TableReader& flood : t.tables("flood")) s.floods.push_back(read_flood(flood, s));
   t.finish();
-  s.settle_after = disturbances_of(s);
+  s.settle_after = change_times(s);
   return s;
 }
 
@@ -80,14 +80,14 @@
 Scenario parse_scenario(const std::string& text, const std::string& name, double times) {
   try {
     return read(name, toml::parse(text), times);
-  } catch (const toml::parse_error& problem) {
-    fail_at(name, problem.source(), std::string(problem.description()));
+  } catch (const toml::parse_error& error) {
+    fail_at(name, error.source(), std::string(error.description()));
   }
 }
 
 Scenario read_scenario(const std::string& path, double times) {
   std::ifstream in(path);
-  if (!in) throw std::runtime_error(path + ": cannot be read");
+  if (!in) throw std::runtime_error(path + ": cannot open the scenario file");
   std::ostringstream text;
   text << in.rdbuf();
   return parse_scenario(text.str(), path, times);
--- a/bench/model/scenario_fleet_tables.cpp
+++ b/bench/model/scenario_fleet_tables.cpp
@@ -1,4 +1,4 @@
-// The readers of the tables that describe a fleet: nodes, clients, tiers, links and faults.
+// Readers for the tables that describe a fleet: nodes, clients, tiers, links and faults.
 #include <cmath>
 #include <limits>
 
@@ -7,7 +7,7 @@
 namespace thymewood::bench {
 namespace {
 
-const std::initializer_list<std::pair<const char*, Fault::What>> kFaultWords = {
+const std::initializer_list<std::pair<const char*, Fault::What>> kFaultNames = {
     {"kill", Fault::What::kKill},
     {"restart", Fault::What::kRestart},
     {"pause", Fault::What::kPause},
@@ -30,7 +30,7 @@
     {"silence", Fault::What::kSilence},
     {"lag", Fault::What::kLag}};
 
-bool is_of_machines(Fault::What what) {
+bool is_machine_fault(Fault::What what) {
   switch (what) {
     case Fault::What::kKill:
     case Fault::What::kRestart:
@@ -50,62 +50,65 @@
   }
 }
 
-bool is_of_discovery(Fault::What what) { return what == Fault::What::kSilence || what == Fault::What::kLag; }
+bool is_discovery_fault(Fault::What what) {
+  return what == Fault::What::kSilence || what == Fault::What::kLag;
+}
 
 Fault read_fault(TableReader t, const Topology& topology) {
   Fault f;
   f.at = t.number("at", 0);
   f.lasts = t.number("lasts", f.lasts, 0, std::numeric_limits<double>::infinity());
-  f.what = t.one_of<Fault::What>("what", "kill", kFaultWords);
-  f.who = t.selector("who", is_of_discovery(f.what) ? "discovery" : "");
+  f.what = t.one_of<Fault::What>("what", "kill", kFaultNames);
+  f.who = t.selector("who", is_discovery_fault(f.what) ? "discovery" : "");
   f.to = t.selector("to", "");
-  if (f.who.kind == Selector::Kind::kNobody) t.fail("'who' says whom it meets, such as 'node:3'");
+  if (f.who.kind == Selector::Kind::kNobody)
+    t.fail("'who' has to select the affected actors, such as 'node:3'");
   t.check("who", f.who, topology);
   t.check("to", f.to, topology);
   const bool machine = f.who.kind != Selector::Kind::kZone &&
                        (f.who.of == ActorKind::kNode || f.who.of == ActorKind::kSidecar);
-  if (is_of_machines(f.what) && !machine) t.fail("'what' meets nodes alone: 'node:...' or 'inner:...'");
-  if (is_of_discovery(f.what) && f.who.of != ActorKind::kDiscovery) t.fail("'what' meets discovery alone");
-  if ((is_of_machines(f.what) || is_of_discovery(f.what)) && f.to.kind != Selector::Kind::kNobody)
+  if (is_machine_fault(f.what) && !machine) t.fail("'what' meets nodes alone: 'node:...' or 'inner:...'");
+  if (is_discovery_fault(f.what) && f.who.of != ActorKind::kDiscovery) t.fail("'what' meets discovery alone");
+  if ((is_machine_fault(f.what) || is_discovery_fault(f.what)) && f.to.kind != Selector::Kind::kNobody)
     t.fail("'to' is for faults of links");
   f.share = t.number("share", f.share, 0, 1);
   f.delay = t.ms("delay_ms", 0);
   f.jitter = t.ms("jitter_ms", 0);
   f.rate = t.number("rate", 0);
-  if (f.what == Fault::What::kSlowLink && f.rate <= 0) t.fail("'rate' is in bytes a second, above 0");
+  if (f.what == Fault::What::kSlowLink && f.rate <= 0) t.fail("'rate' has to be above 0, in bytes a second");
   if (f.what == Fault::What::kStarve && (f.share <= 0 || f.share >= 1))
-    t.fail("'share' lies between 0 and 1");
-  constexpr double kYear = 3.2e10;  // ms
-  f.shift = t.number("shift_ms", 0, -kYear, kYear) / 1000;
+    t.fail("'share' has to be between 0 and 1, both excluded");
+  constexpr double kYearMs = 3.2e10;  // 370 days
+  f.shift = t.number("shift_ms", 0, -kYearMs, kYearMs) / 1000;
   f.count = t.integer("count", f.count, 8, 1000000);
   f.flap = t.number("flap", 0);
   if (f.flap > 0 && !std::isfinite(f.lasts)) t.fail("'flap' needs 'lasts'");
   f.stagger = t.number("stagger", 0);
-  f.text = t.text("what", "kill") + " " + t.text("who", is_of_discovery(f.what) ? "discovery" : "");
+  f.text = t.text("what", "kill") + " " + t.text("who", is_discovery_fault(f.what) ? "discovery" : "");
   if (t.has("to")) f.text += " to " + t.text("to", "");
   t.finish();
   return f;
 }
 
-void note_fleet_only(Scenario& s, const TableReader& table, const char* name) {
+void add_fleet_only(Scenario& s, const TableReader& table, const char* name) {
   s.fleet_only.push_back(table.location() + ": " + name);
 }
 
 void read_nodes(TableReader& t, Scenario& s) {
   for (TableReader& node : t.tables("node")) {
-    note_fleet_only(s, node, "[[node]]");
+    add_fleet_only(s, node, "[[node]]");
     const int count = node.integer("count", 1, 1, 10000), zone = node.integer("zone", 0, 0, 1000);
     node.finish();
     s.node_zones.insert(s.node_zones.end(), static_cast<std::size_t>(count), zone);
   }
-  if (!s.node_zones.empty() && t.has("copies")) t.fail("there are both 'copies' and [[node]]");
+  if (!s.node_zones.empty() && t.has("copies")) t.fail("'copies' and [[node]] exclude each other");
   if (!s.node_zones.empty()) s.replicas = static_cast<int>(s.node_zones.size());
 }
 
 void read_clients(TableReader& t, Scenario& s) {
   if (std::optional<TableReader> c = t.table("clients")) {
     s.clients_at = c->location() + ": [clients]";
-    if (c->has("impatient") || c->has("notice_s")) note_fleet_only(s, *c, "[clients] impatient and notice_s");
+    if (c->has("impatient") || c->has("notice_s")) add_fleet_only(s, *c, "[clients] impatient and notice_s");
     s.client_behavior.retries = c->integer("retries", 0, 0, 100);
     s.client_behavior.attempt_share = c->number("try_share", 1, 0.01, 1);
     s.client_behavior.wait = c->ms("wait_ms", 0);
@@ -124,15 +127,15 @@
     s.chain.calls = c->integer("calls", 1, 1, 100);
     s.chain.share = c->number("share", s.chain.share, 0, 0.99);
     c->finish();
-    if (s.backends.empty()) c->fail("a second tier has [[backend]] servers");
+    if (s.backends.empty()) c->fail("[chain] needs [[backend]] servers");
   } else if (!s.backends.empty()) {
-    t.fail("[[backend]] servers are called where there is a [chain]");
+    t.fail("[[backend]] servers need a [chain]");
   }
 }
 
 void read_discovery(TableReader& t, Scenario& s) {
   if (std::optional<TableReader> d = t.table("discovery")) {
-    note_fleet_only(s, *d, "[discovery]");
+    add_fleet_only(s, *d, "[discovery]");
     s.discovery.lag = d->ms("lag_ms", 0);
     s.discovery.spread = d->ms("spread_ms", 0);
     d->finish();
@@ -150,7 +153,7 @@
 
 void read_links(TableReader& t, const Topology& topology, Scenario& s) {
   for (TableReader& link : t.tables("link")) {
-    note_fleet_only(s, link, "[[link]]");
+    add_fleet_only(s, link, "[[link]]");
     LinkRule rule;
     rule.from = link.selector("from", "");
     rule.to = link.selector("to", "");
@@ -178,7 +181,7 @@
   const Topology topology = s.topology();
   read_links(t, topology, s);
   for (TableReader& fault : t.tables("fault")) {
-    note_fleet_only(s, fault, "[[fault]]");
+    add_fleet_only(s, fault, "[[fault]]");
     s.faults.push_back(read_fault(fault, topology));
   }
 }
--- a/bench/model/scenario_tables.cpp
+++ b/bench/model/scenario_tables.cpp
@@ -30,7 +30,8 @@
   c.share = t.number("share", 1);
   c.settings.latency_objective = t.ms("aim_ms", 1);
   c.settings.client_timeout = t.ms("give_up_ms", 2 * c.settings.latency_objective);
-  if (c.settings.latency_objective > c.settings.client_timeout) t.fail("'aim_ms' is over 'give_up_ms'");
+  if (c.settings.latency_objective > c.settings.client_timeout)
+    t.fail("'aim_ms' is greater than 'give_up_ms'");
   c.settings.late_value = t.number("late_worth", 0, 0, 1);
   c.settings.dedup_window = t.ms("window_ms", 4);
   c.settings.idempotency = t.one_of<Idempotency>("effect", "safe",
@@ -50,14 +51,14 @@
   s.capacity.workers = t.integer("workers", s.capacity.workers, 0, 100000);
   s.capacity.queue = t.integer("queue", s.capacity.queue, 0, 10000000);
   s.capacity.speed = t.number("speed", 1, 1e-3, 1e3);
-  s.capacity.crowd_at = t.integer("crowd_at", 0, 0, 1000000);
-  s.capacity.crowd = t.number("crowd", 1, 1, 100);
-  s.capacity.cold = t.number("cold", 1, 0.01, 1);
-  s.capacity.ramp_s = t.number("ramp_s", 0);
+  s.capacity.overload_threshold = t.integer("crowd_at", 0, 0, 1000000);
+  s.capacity.overload_slowdown = t.number("crowd", 1, 1, 100);
+  s.capacity.cold_speed_share = t.number("cold", 1, 0.01, 1);
+  s.capacity.warm_up_s = t.number("ramp_s", 0);
   s.capacity.pause_every_s = t.number("pause_every_s", 0);
   s.capacity.pause_s = t.ms("pause_ms", 0);
   if (s.capacity.pause_every_s > 0 && s.capacity.pause_s >= s.capacity.pause_every_s)
-    t.fail("'pause_ms' is not shorter than 'pause_every_s'");
+    t.fail("'pause_ms' has to be shorter than 'pause_every_s'");
   s.zone = t.integer("zone", 0, 0, 1000);
   s.cell = t.integer("cell", 0, 0, 100000);
   s.weight = t.number("weight", 1, 1e-3, 1e3);
@@ -78,7 +79,7 @@
                                    {"mute", Change::What::kMute},
                                    {"restart", Change::What::kRestart}});
   c.backends = t.flag("backends", false);
-  if (c.backends && s.backends.empty()) t.fail("there are no [[backend]] servers");
+  if (c.backends && s.backends.empty()) t.fail("'backends' needs [[backend]] servers");
   const int last = static_cast<int>(c.backends ? s.backends.size() : s.servers.size()) - 1;
   c.first = static_cast<std::size_t>(t.integer("first", 0, 0, last));
   c.last = static_cast<std::size_t>(t.integer("last", last, static_cast<int>(c.first), last));
@@ -100,23 +101,23 @@
   f.tenant = static_cast<std::size_t>(of - s.tenants.begin());
   f.at = t.number("at", 0);
   f.lasts = t.number("lasts", f.lasts, 0, std::numeric_limits<double>::infinity());
-  if (!t.has("rate")) t.fail("'rate' says how much more comes, in requests a second");
+  if (!t.has("rate")) t.fail("'rate' is missing; it sets the added load in requests per second");
   f.rate = t.number("rate", 0, 1e-3);
   f.replica = t.integer("node", -1, -1, s.replicas - 1);
   t.finish();
   return f;
 }
 
-// `x` is a multiple of what the servers can do together, `rate` is in requests a second.
-std::vector<LoadStep> read_load(std::vector<TableReader> tables, double full, double times) {
+// `x` is a multiple of the capacity of all servers, `rate` is in requests per second.
+std::vector<LoadStep> read_load(std::vector<TableReader> tables, double total_rate, double times) {
   std::vector<LoadStep> steps;
   for (TableReader& t : tables) {
     LoadStep step;
     step.at = t.number("at", 0);
-    if (!steps.empty() && step.at < steps.back().at) t.fail("'at' lies before that of the step above");
-    if (t.has("x") == t.has("rate")) t.fail("a step of the load has either 'x' or 'rate'");
-    if (t.has("x") && !std::isfinite(full)) t.fail("'x' means nothing where servers have no limit");
-    step.rate = times * (t.has("x") ? t.number("x", 0) * full : t.number("rate", 0));
+    if (!steps.empty() && step.at < steps.back().at) t.fail("'at' is before that of the previous step");
+    if (t.has("x") == t.has("rate")) t.fail("a load step has either 'x' or 'rate'");
+    if (t.has("x") && !std::isfinite(total_rate)) t.fail("'x' needs servers with limited capacity");
+    step.rate = times * (t.has("x") ? t.number("x", 0) * total_rate : t.number("rate", 0));
     step.ramp = t.flag("ramp", false);
     t.finish();
     steps.push_back(step);
--- a/bench/model/scenario_tables.h
+++ b/bench/model/scenario_tables.h
@@ -1,4 +1,4 @@
-// The readers of a scenario file's tables, each into the struct that scenario.h has for it.
+// Readers for the tables of a scenario file, one for each struct of scenario.h.
 #pragma once
 
 #include <vector>
@@ -9,14 +9,14 @@
 namespace thymewood::bench {
 
 LoadClass read_class(TableReader t);
-// Appends `count` servers.
+// Appends as many servers as the table's `count`.
 void read_servers(TableReader t, std::vector<ScenarioServer>& servers);
 Change read_change(TableReader t, const Scenario& s);
 Flood read_flood(TableReader t, const Scenario& s);
-// `full`: requests a second that all servers can do together; `times` multiplies the load.
-std::vector<LoadStep> read_load(std::vector<TableReader> tables, double full, double times);
+// `total_rate`: capacity of all servers in requests per second; `times` multiplies the load.
+std::vector<LoadStep> read_load(std::vector<TableReader> tables, double total_rate, double times);
 
-// The tables of fleet_tables.h.
+// Reads the tables of fleet_tables.h.
 void read_fleet(TableReader& t, Scenario& s);
 
 }  // namespace thymewood::bench
--- a/bench/model/server_model.h
+++ b/bench/model/server_model.h
@@ -1,9 +1,10 @@
-// What one server can do, as a model: so many workers, a queue in front of them, and what makes it slower.
-// It has no clock and no I/O: a player in virtual time and a stand-in on a socket drive the same code.
+// Models the capacity of one server: its workers, the queue in front of them, and the causes of slowdown. It
+// has no clock and does no I/O: the simulation in virtual time and the fake server on a socket run the same
+// code.
 //
-// A request occupies one worker for its service time. The time is fixed when the worker takes it up: the
-// announced work, divided by the server's speed, times what slows it at that moment (a crowd, a shared
-// dependency, a cold start). A pause holds up everything that runs by its length.
+// A request occupies one worker for its service time. That time is fixed when the worker starts the request:
+// the announced work, divided by the server's speed, times the slowdown at that moment (overload, a shared
+// dependency, a cold start). A pause delays everything that runs by its length.
 #pragma once
 
 #include <cstdint>
@@ -16,43 +17,44 @@
 namespace thymewood::bench {
 
 struct Capacity {
-  int workers = 4;    // requests that run at once; 0: any number, so that nothing ever waits
-  int queue = 1000;   // requests that wait at most; one more is rejected
-  double speed = 1;   // service times are divided by it
-  int crowd_at = 0;   // requests running or waiting from which it is crowded; 0: never
-  double crowd = 1;   // x the service time while it is crowded
-  double cold = 1;    // the part of its speed that it starts with, 0 to 1
-  double ramp_s = 0;  // s from a start to its full speed
-  double pause_every_s = 0, pause_s = 0;  // every so often all work stands still; 0: never
+  int workers = 4;               // requests that run at once; 0: unlimited, so that nothing ever waits
+  int queue = 1000;              // maximum number of waiting requests; further ones are rejected
+  double speed = 1;              // divides service times
+  int overload_threshold = 0;    // requests running or waiting from which the server is overloaded; 0: never
+  double overload_slowdown = 1;  // multiplies the service time while the server is overloaded
+  double cold_speed_share = 1;   // fraction of its speed that it starts with, 0 to 1
+  double warm_up_s = 0;          // s from a start to full speed
+  double pause_every_s = 0, pause_s = 0;  // interval and length of pauses of all work; interval 0: never
 };
 
 class ServerModel {
  public:
-  // `started`: when it last started; a server that has long run gets -infinity.
+  // `started`: time of the last start; -infinity for a server that has fully warmed up.
   ServerModel(const Capacity& capacity, double started) : capacity_(capacity), started_(started) {
     if (capacity_.pause_every_s > 0) next_pause_ = capacity_.pause_every_s;
   }
 
-  // A request whose service takes `work` seconds at speed 1 on an idle server. False: rejected, not run.
-  // Times never run backwards; all that ended up to `now` has to be taken out by `advance` before.
+  // Adds a request whose service takes `work` seconds at speed 1 on an idle server. Returns false if it is
+  // rejected without being run. Times must not decrease, and `advance` must have been called up to `now`
+  // before.
   bool arrive(double now, std::uint64_t request, double work);
 
-  // When something happens by itself the next time.
+  // Returns the time of the next internal event.
   std::optional<double> next() const;
 
-  // Lets time pass up to `now`; appends the requests that ended, in order.
+  // Advances the time to `now`; appends the requests that ended, in order.
   void advance(double now, std::vector<std::uint64_t>& ended);
 
-  // What slows the server from now on, beside its own state: 2 doubles the time of what begins.
-  void slow_down(double factor) { slowed_ = factor; }
-  // The process is replaced and is cold again; it has to be empty.
+  // Sets an external slowdown: 2 doubles the service time of requests that begin from now on.
+  void slow_down(double factor) { slowdown_ = factor; }
+  // The process restarts and is cold again. No request may be running or waiting.
   void restart(double now) { started_ = now; }
-  // The process ends: hands out what ran or waited, none of which will end.
+  // The process ends: removes and returns all running and waiting requests, none of which completes.
   std::vector<std::uint64_t> take_all();
 
-  // The part of its full speed that it has for reasons of its own age.
+  // Returns the fraction of its full speed that the server has reached since its start.
   double warmth(double now) const;
-  // Requests a second that it can end, for service times of this mean; infinite with workers = 0.
+  // Returns the requests per second that it can complete at this mean service time; infinite if workers = 0.
   double rate(double now, double mean_work) const;
   int running() const { return static_cast<int>(running_.size()); }
   int waiting() const { return static_cast<int>(waiting_.size()); }
@@ -69,11 +71,11 @@
   };
 
   void begin(double now, std::uint64_t request, double work);
-  void pause_if_due(double now);
+  void apply_pauses(double now);
 
   Capacity capacity_;
   double started_;
-  double slowed_ = 1;
+  double slowdown_ = 1;
   double next_pause_ = std::numeric_limits<double>::infinity();
   std::uint64_t order_ = 0;
   std::priority_queue<Running, std::vector<Running>, std::greater<>> running_;
--- a/tests/bench/model_test.cpp
+++ b/tests/bench/model_test.cpp
@@ -1,5 +1,5 @@
-// The models that the measurements stand on: a server's capacity, arrivals, the histogram, scenario files,
-// and the monitor of the four rules, which has to see each of them broken.
+// Tests of the models that the benchmarks rely on: server capacity, arrivals, the histogram, scenario files,
+// and the monitor of the four rules, which must detect a violation of each.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 namespace thymewood::bench {
 namespace {
 
-constexpr double kLongAgo = -std::numeric_limits<double>::infinity();
+constexpr double kWarmedUp = -std::numeric_limits<double>::infinity();
 
 std::vector<std::uint64_t> ended_by(ServerModel& server, double now) {
   std::vector<std::uint64_t> out;
@@ -26,22 +26,22 @@
   return out;
 }
 
-// ---------------------------------------------------------------- capacity
+// ---------------------------------------------------------------- server capacity
 
 TEST(ServerModel, RunsOneRequestPerWorkerAndQueuesOthersInOrder) {
-  ServerModel server({.workers = 2, .queue = 10}, kLongAgo);
+  ServerModel server({.workers = 2, .queue = 10}, kWarmedUp);
   for (std::uint64_t i = 0; i < 5; ++i) ASSERT_TRUE(server.arrive(0, i, 1));
   EXPECT_EQ(server.running(), 2);
   EXPECT_EQ(server.waiting(), 3);
   EXPECT_TRUE(ended_by(server, 0.999).empty());
   EXPECT_EQ(ended_by(server, 1), (std::vector<std::uint64_t>{0, 1}));
-  // Those that waited began when a worker was free, not when the server was looked at.
+  // Waiting requests began when a worker became free, not when `advance` was called.
   EXPECT_EQ(ended_by(server, 10), (std::vector<std::uint64_t>{2, 3, 4}));
   EXPECT_EQ(server.next(), std::nullopt);
 }
 
 TEST(ServerModel, RejectsBeyondItsQueue) {
-  ServerModel server({.workers = 1, .queue = 1}, kLongAgo);
+  ServerModel server({.workers = 1, .queue = 1}, kWarmedUp);
   EXPECT_TRUE(server.arrive(0, 0, 1));
   EXPECT_TRUE(server.arrive(0, 1, 1));
   EXPECT_FALSE(server.arrive(0, 2, 1));
@@ -49,24 +49,24 @@
 }
 
 TEST(ServerModel, NothingQueuesWithUnlimitedWorkers) {
-  ServerModel server({.workers = 0}, kLongAgo);
+  ServerModel server({.workers = 0}, kWarmedUp);
   for (std::uint64_t i = 0; i < 1000; ++i) ASSERT_TRUE(server.arrive(0, i, 0.02));
   EXPECT_EQ(ended_by(server, 0.02).size(), 1000u);
   EXPECT_TRUE(std::isinf(server.rate(0, 1)));
 }
 
 TEST(ServerModel, IsSlowerWhileOverloaded) {
-  ServerModel server({.workers = 4, .crowd_at = 2, .crowd = 3}, kLongAgo);
+  ServerModel server({.workers = 4, .overload_threshold = 2, .overload_slowdown = 3}, kWarmedUp);
   ASSERT_TRUE(server.arrive(0, 0, 1));
   ASSERT_TRUE(server.arrive(0, 1, 1));
-  ASSERT_TRUE(server.arrive(0, 2, 1));  // two run: it is crowded now
+  ASSERT_TRUE(server.arrive(0, 2, 1));  // two are running, so the server is overloaded
   EXPECT_EQ(ended_by(server, 1), (std::vector<std::uint64_t>{0, 1}));
   EXPECT_TRUE(ended_by(server, 2.9).empty());
   EXPECT_EQ(ended_by(server, 3), (std::vector<std::uint64_t>{2}));
 }
 
 TEST(ServerModel, WarmsUpLinearlyAfterAStart) {
-  ServerModel server({.workers = 1, .cold = 0.25, .ramp_s = 10}, 100);
+  ServerModel server({.workers = 1, .cold_speed_share = 0.25, .warm_up_s = 10}, 100);
   EXPECT_DOUBLE_EQ(server.warmth(100), 0.25);
   EXPECT_DOUBLE_EQ(server.warmth(105), 0.625);
   EXPECT_DOUBLE_EQ(server.warmth(110), 1);
@@ -79,13 +79,13 @@
 }
 
 TEST(ServerModel, PauseDelaysRunningWorkAndSlowdownAppliesToNewWork) {
-  ServerModel server({.workers = 1, .pause_every_s = 1, .pause_s = 0.5}, kLongAgo);
+  ServerModel server({.workers = 1, .pause_every_s = 1, .pause_s = 0.5}, kWarmedUp);
   ASSERT_TRUE(server.arrive(0.8, 0, 0.4));
   EXPECT_TRUE(ended_by(server, 1.6).empty());
   EXPECT_EQ(ended_by(server, 1.7 + 1e-9), (std::vector<std::uint64_t>{0}));
-  ServerModel slowed({.workers = 1}, kLongAgo);
+  ServerModel slowed({.workers = 1}, kWarmedUp);
   ASSERT_TRUE(slowed.arrive(0, 0, 1));
-  slowed.slow_down(3);  // what runs is not touched
+  slowed.slow_down(3);  // running requests are unaffected
   ASSERT_TRUE(slowed.arrive(0, 1, 1));
   EXPECT_EQ(ended_by(slowed, 1), (std::vector<std::uint64_t>{0}));
   EXPECT_EQ(slowed.next(), 4);
@@ -93,7 +93,7 @@
 }
 
 TEST(ServerModel, ReturnsUnfinishedRequestsWhenTheProcessEnds) {
-  ServerModel server({.workers = 1, .queue = 5}, kLongAgo);
+  ServerModel server({.workers = 1, .queue = 5}, kWarmedUp);
   for (std::uint64_t i = 0; i < 4; ++i) ASSERT_TRUE(server.arrive(0, i, 1));
   std::vector<std::uint64_t> lost = server.take_all();
   std::sort(lost.begin(), lost.end());
@@ -101,7 +101,7 @@
   EXPECT_TRUE(ended_by(server, 100).empty());
 }
 
-// ---------------------------------------------------------------- figures
+// ---------------------------------------------------------------- histogram and service times
 
 TEST(Histogram, QuantilesAreWithinTwoPercentOfTheExact) {
   Random random(5);
@@ -112,9 +112,9 @@
     histogram.add(all.back());
   }
   std::sort(all.begin(), all.end());
-  for (const double part : {0.01, 0.5, 0.9, 0.99, 0.999}) {
-    const double exact = all[static_cast<std::size_t>(std::ceil(part * 20000)) - 1];
-    EXPECT_NEAR(histogram.quantile(part), exact, 0.02 * exact + 1e-6) << part;
+  for (const double fraction : {0.01, 0.5, 0.9, 0.99, 0.999}) {
+    const double exact = all[static_cast<std::size_t>(std::ceil(fraction * 20000)) - 1];
+    EXPECT_NEAR(histogram.quantile(fraction), exact, 0.02 * exact + 1e-6) << fraction;
   }
   Histogram twice;
   twice.merge(histogram);
@@ -146,23 +146,24 @@
 
 // ---------------------------------------------------------------- scenarios
 
-const std::string kPlain = "[[class]]\nmean_ms = 10\n[[servers]]\ncount = 2\nworkers = 4\n";
+const std::string kMinimalScenario = "[[class]]\nmean_ms = 10\n[[servers]]\ncount = 2\nworkers = 4\n";
 
 TEST(Scenario, LoadIsAMultipleOfServerCapacity) {
-  const Scenario s =
-      parse_scenario(kPlain + "[[load]]\nx = 0.5\n[[load]]\nat = 10\nx = 1\nramp = true\n", "a.toml", 2);
+  const Scenario s = parse_scenario(
+      kMinimalScenario + "[[load]]\nx = 0.5\n[[load]]\nat = 10\nx = 1\nramp = true\n", "a.toml", 2);
   EXPECT_DOUBLE_EQ(s.full_rate(), 800);
   EXPECT_DOUBLE_EQ(s.load_at(0), 800);
   EXPECT_DOUBLE_EQ(s.load_at(5), 1200);
   EXPECT_DOUBLE_EQ(s.load_at(20), 1600);
   EXPECT_FALSE(s.counts_at(4.9));
   EXPECT_TRUE(s.counts_at(5));
-  EXPECT_FALSE(s.counts_at(12));  // the load has just changed
+  EXPECT_FALSE(s.counts_at(12));  // within `settle` of the load step
 }
 
 TEST(Scenario, ArrivalsFollowTheRate) {
   const Scenario s = parse_scenario(
-      "seconds = 100\n" + kPlain + "[[load]]\nrate = 50\n[[load]]\nat = 60\nrate = 500\n", "a.toml");
+      "seconds = 100\n" + kMinimalScenario + "[[load]]\nrate = 50\n[[load]]\nat = 60\nrate = 500\n",
+      "a.toml");
   Arrivals arrivals(s, 3);
   int before = 0, after = 0;
   for (double t = arrivals.after(0); t < 100; t = arrivals.after(t)) ++(t < 60 ? before : after);
@@ -173,7 +174,7 @@
 struct BadFile {
   const char* name;
   std::string text;
-  const char* said;
+  const char* expected_message;
 };
 
 void PrintTo(const BadFile& bad, std::ostream* out) { *out << bad.name; }
@@ -183,39 +184,47 @@
 TEST_P(BadScenario, IsAnErrorWithItsLine) {
   try {
     parse_scenario(GetParam().text, "bad.toml");
-    FAIL() << "it was taken";
-  } catch (const std::runtime_error& problem) {
-    EXPECT_NE(std::string(problem.what()).find(GetParam().said), std::string::npos) << problem.what();
+    FAIL() << "the invalid scenario was accepted";
+  } catch (const std::runtime_error& error) {
+    EXPECT_NE(std::string(error.what()).find(GetParam().expected_message), std::string::npos) << error.what();
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Files, BadScenario,
     testing::Values(
-        BadFile{"no_toml", "seconds = = 3\n", "bad.toml:1:"},
-        BadFile{"unknown_key", "secnds = 3\n" + kPlain + "[[load]]\nx=1\n",
+        BadFile{"invalid_toml", "seconds = = 3\n", "bad.toml:1:"},
+        BadFile{"unknown_key", "secnds = 3\n" + kMinimalScenario + "[[load]]\nx=1\n",
                 "bad.toml:1: 'secnds' is not a key here"},
-        BadFile{"unknown_key_below", kPlain + "[[load]]\nx=1\ny=2\n", "bad.toml:8: 'y'"},
+        BadFile{"unknown_key_in_table", kMinimalScenario + "[[load]]\nx=1\ny=2\n", "bad.toml:8: 'y'"},
         BadFile{"no_class", "[[servers]]\n[[load]]\nrate=1\n", "no [[class]]"},
         BadFile{"no_servers", "[[class]]\n[[load]]\nrate=1\n", "no [[servers]]"},
-        BadFile{"no_load", kPlain, "neither [[load]] nor [[callers]]"},
-        BadFile{"rate_and_x", kPlain + "[[load]]\nx=1\nrate=1\n", "bad.toml:6: a step of the load"},
-        BadFile{"negative", "seconds = -1\n" + kPlain, "bad.toml:1: 'seconds' has to be a number from"},
-        BadFile{"text_for_number", "seconds = \"3\"\n" + kPlain, "bad.toml:1:"},
-        BadFile{"not_a_number", "seconds = nan\n" + kPlain, "bad.toml:1:"},
-        BadFile{"half_a_copy", "copies = 1.5\n" + kPlain, "'copies' has to be whole"},
-        BadFile{"class_is_text", "class = \"a\"\n", "has to be a list of tables"},
-        BadFile{"effect", "[[class]]\neffect = \"perhaps\"\n", "bad.toml:2: 'effect' has to be one of"},
-        BadFile{"aim_over_give_up", "[[class]]\naim_ms = 20\ngive_up_ms = 10\n", "'aim_ms' is over"},
-        BadFile{"x_without_limit", "[[class]]\n[[servers]]\nworkers = 0\n[[load]]\nx = 1\n", "means nothing"},
-        BadFile{"steps_back", kPlain + "[[load]]\nat=9\nx=1\n[[load]]\nat=3\nx=1\n", "lies before"},
-        BadFile{"no_such_server", kPlain + "[[load]]\nx=1\n[[change]]\nfirst = 2\n", "'first' has to be"},
-        BadFile{"pause", "[[class]]\n[[servers]]\npause_every_s = 1\npause_ms = 1000\n", "not shorter"}),
+        BadFile{"no_load", kMinimalScenario, "neither [[load]] nor [[callers]]"},
+        BadFile{"rate_and_x", kMinimalScenario + "[[load]]\nx=1\nrate=1\n",
+                "bad.toml:6: a load step has either"},
+        BadFile{"negative_number", "seconds = -1\n" + kMinimalScenario,
+                "bad.toml:1: 'seconds' has to be a number from"},
+        BadFile{"string_for_number", "seconds = \"3\"\n" + kMinimalScenario, "bad.toml:1:"},
+        BadFile{"nan_for_number", "seconds = nan\n" + kMinimalScenario, "bad.toml:1:"},
+        BadFile{"fractional_copies", "copies = 1.5\n" + kMinimalScenario, "'copies' has to be an integer"},
+        BadFile{"class_is_string", "class = \"a\"\n", "has to be an array of tables"},
+        BadFile{"unknown_effect", "[[class]]\neffect = \"perhaps\"\n",
+                "bad.toml:2: 'effect' has to be one of"},
+        BadFile{"aim_over_give_up", "[[class]]\naim_ms = 20\ngive_up_ms = 10\n", "'aim_ms' is greater than"},
+        BadFile{"x_without_limit", "[[class]]\n[[servers]]\nworkers = 0\n[[load]]\nx = 1\n",
+                "needs servers with limited capacity"},
+        BadFile{"load_steps_out_of_order", kMinimalScenario + "[[load]]\nat=9\nx=1\n[[load]]\nat=3\nx=1\n",
+                "is before that of the previous step"},
+        BadFile{"no_such_server", kMinimalScenario + "[[load]]\nx=1\n[[change]]\nfirst = 2\n",
+                "'first' has to be"},
+        BadFile{"pause_as_long_as_interval", "[[class]]\n[[servers]]\npause_every_s = 1\npause_ms = 1000\n",
+                "has to be shorter"}),
     [](const auto& bad) { return bad.param.name; });
 
 // ---------------------------------------------------------------- the four rules
 
-// Classes: 0 safe, 1 keyed within a cell, 2 unsafe, 3 keyed everywhere. Servers 0 and 1 share a cell.
+// Classes: 0 idempotent, 1 idempotent with a key known in one cell, 2 not idempotent, 3 idempotent with a key
+// known everywhere. Servers 0 and 1 share a cell.
 RuleMonitor monitor() {
   return RuleMonitor(
       {},
@@ -224,7 +233,7 @@
       {{0, 0}, {0, 0}, {0, 1}});
 }
 
-void expect_broken(const RuleMonitor& rules, const std::string& rule) {
+void expect_one_violation(const RuleMonitor& rules, const std::string& rule) {
   ASSERT_EQ(rules.broken(), 1u);
   EXPECT_EQ(rules.breaks()[0].substr(0, rule.size()), rule) << rules.breaks()[0];
 }
@@ -236,7 +245,7 @@
     rules.taken(0, id, c, 2);
     rules.sent(0.1, id, 0, 0);
     rules.ended(id, 0, false);
-    rules.sent(0.2, id, 0, 2);  // nothing has run: any server will do
+    rules.sent(0.2, id, 0, 2);  // the first attempt didn't run, so any server is allowed
     rules.answered(0.5, id, Final::kServed);
     rules.ended(id, 1, true);
   }
@@ -248,17 +257,17 @@
   RuleMonitor late = monitor();
   late.taken(0, "r", 0, 2);
   late.answered(2.1, "r", Final::kFailed);
-  expect_broken(late, "one-final-answer");
+  expect_one_violation(late, "one-final-answer");
   RuleMonitor second = monitor();
   second.taken(0, "r", 0, 2);
   second.sent(0, "r", 0, 0);
   second.answered(1, "r", Final::kServed);
   second.answered(1, "r", Final::kFailed);
-  expect_broken(second, "one-final-answer");
+  expect_one_violation(second, "one-final-answer");
   RuleMonitor missing = monitor();
   missing.taken(0, "r", 0, 2);
   missing.finish(3);
-  expect_broken(missing, "one-final-answer");
+  expect_one_violation(missing, "one-final-answer");
   RuleMonitor after = monitor();
   after.taken(0, "r", 0, 2);
   after.sent(0, "r", 0, 0);
@@ -271,14 +280,14 @@
   RuleMonitor open = monitor();
   open.taken(0, "r", 2, 2);
   open.sent(0, "r", 0, 0);
-  open.sent(0.1, "r", 0, 0);  // the first may still run
-  expect_broken(open, "no-double-effect");
+  open.sent(0.1, "r", 0, 0);  // the first attempt may still run
+  expect_one_violation(open, "no-double-effect");
   RuleMonitor rejected = monitor();
   rejected.taken(0, "r", 2, 2);
   rejected.sent(0, "r", 0, 0);
   rejected.ended("r", 0, true);
   rejected.answered(1, "r", Final::kRejected);
-  expect_broken(rejected, "no-double-effect");
+  expect_one_violation(rejected, "no-double-effect");
 }
 
 TEST(RuleMonitor, ReportsAKeyedRequestOutsideItsScopeOrWindow) {
@@ -295,7 +304,7 @@
   time.sent(4, "r", 0, 2);
   EXPECT_EQ(time.broken(), 0u);
   time.sent(4.1, "r", 0, 2);
-  expect_broken(time, "no-double-effect");
+  expect_one_violation(time, "no-double-effect");
 }
 
 TEST(RuleMonitor, ReportsWorkAfterADrainCountedFromTheFirstNotification) {
@@ -307,7 +316,7 @@
   rules.sent(2.5, "r", 1, 2);  // another replica, which was not notified
   EXPECT_EQ(rules.broken(), 0u);
   rules.sent(2.1, "r", 0, 2);
-  expect_broken(rules, "drains-kept");
+  expect_one_violation(rules, "drains-kept");
   rules.endpoint_notified(3, 0, 2, true);
   rules.sent(9, "r", 0, 2);
   EXPECT_EQ(rules.broken(), 1u);
@@ -315,13 +324,14 @@
 
 TEST(RuleMonitor, ReportsAnOverloadedColdServerOnce) {
   RuleMonitor rules = monitor();
-  for (int i = 0; i < 8; ++i) rules.came(i * 0.1, 0, 0.5, 1);  // 4 s of work within a second: the limit
+  for (int i = 0; i < 8; ++i)
+    rules.came(i * 0.1, 0, 0.5, 1);  // 4 s of work within a second: exactly the limit
   EXPECT_EQ(rules.broken(), 0u);
   for (int i = 0; i < 5; ++i) rules.came(0.8 + i * 0.01, 0, 0.5, 1);
-  expect_broken(rules, "cold-servers");
+  expect_one_violation(rules, "cold-servers");
   RuleMonitor warm = monitor();
   for (int i = 0; i < 100; ++i) warm.came(0, 0, 1, 0);
-  warm.came(0, 1, 50, 1);  // one request alone
+  warm.came(0, 1, 50, 1);  // a single request is no violation
   EXPECT_EQ(warm.broken(), 0u);
 }
 
