--- a/bench/cli/options.h
+++ b/bench/cli/options.h
@@ -1,4 +1,4 @@
-// The options that the players of scenarios share.
+// Command-line options shared by the programs that run scenarios.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -18,19 +18,22 @@
 
   void add_to(CLI::App& app) {
     app.add_option("scenario", files, "scenario files")->required()->check(CLI::ExistingFile);
-    app.add_option("--times", times, "multiply the load by each of these");
-    app.add_option("--seed", seed, "of all random numbers");
-    app.add_flag("--direct", direct, "beside each run, the servers asked without a node or its module");
+    app.add_option("--times", times, "load factors; each scenario runs once with each of them");
+    app.add_option("--seed", seed, "seed of the random number generators");
+    app.add_flag(
+        "--direct", direct,
+        "also run each scenario with clients that call the servers directly, without a load balancer");
   }
 };
 
-// Runs a program's own main; what it throws is one line and exit status 2.
+// Runs `run` and returns its exit status. An exception is printed to stderr as one line and gives exit
+// status 2.
 template <class Run>
 int guarded(const Run& run) {
   try {
     return run();
-  } catch (const std::exception& problem) {
-    std::fprintf(stderr, "%s\n", problem.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "%s\n", error.what());
     return 2;
   }
 }
--- a/bench/discovery/reconnect_herd.h
+++ b/bench/discovery/reconnect_herd.h
@@ -1,6 +1,6 @@
-// Many nodes that ask one discovery for its list, in virtual time: it was down, all watches have ended, and
-// it is back. Calls are worked through in turn; one that would wait for too long is rejected after that
-// time, and its work is lost.
+// Simulates, in virtual time, many nodes that request the endpoint list from one discovery service that comes
+// back after an outage in which all watches ended. Discovery serves calls in order of arrival. A call that
+// would wait too long is rejected after the maximum wait, and the work on it is wasted.
 #pragma once
 
 #include <algorithm>
@@ -18,18 +18,18 @@
 
 struct HerdPlan {
   int nodes = 300;
-  double work_of_all = 6;     // s; discovery's work for one call of each node
-  double max_wait = 2;        // s; a call that would wait longer is rejected
-  double outage = 8;          // s
-  double lost_work = 1;       // of a call's work, for one that is rejected
-  double restarted_part = 0;  // of the nodes; they start anew `restart_after` s after the outage's end
-  double restart_after = 3;   // s
-  double horizon = 60;        // s after the outage's end
+  double work_of_all = 6;           // s; discovery's total work for one call from each node
+  double max_wait = 2;              // s; a call that would wait longer is rejected
+  double outage = 8;                // s
+  double rejected_work_factor = 1;  // work wasted on a rejected call, relative to an answered call
+  double restarted_part = 0;  // fraction of the nodes that restart `restart_delay` s after the outage ends
+  double restart_delay = 3;   // s
+  double horizon = 60;        // s after the outage ends
 };
 
 struct HerdResult {
-  std::vector<double> recovered_after;  // s after the outage's end, or the node's start; infinite: never
-  int rejected = 0;                     // after the outage's end
+  std::vector<double> recovered_after;  // s after the outage ended or the node restarted; infinite: never
+  int rejected = 0;                     // calls rejected after the outage ended
   double share_within(double seconds) const {
     const auto n = std::count_if(recovered_after.begin(), recovered_after.end(),
                                  [seconds](double after) { return after <= seconds; });
@@ -38,10 +38,10 @@
   double last() const { return *std::max_element(recovered_after.begin(), recovered_after.end()); }
 };
 
-// The pause of one node before its next call.
+// Returns the delay of one node before its next call.
 using BackoffPolicy = std::function<double(const std::optional<WatchFailure>&, Random&)>;
 
-// `make_policy` gives each process of a node its own.
+// `make_policy` creates the policy of each process: one for each node, and a new one when a node restarts.
 template <typename MakePolicy>
 HerdResult simulate_herd(const HerdPlan& plan, const MakePolicy& make_policy, std::uint64_t seed) {
   struct Call {
@@ -50,7 +50,7 @@
     bool operator>(const Call& other) const { return at > other.at; }
   };
   constexpr double kNever = std::numeric_limits<double>::infinity();
-  const double back = plan.outage, restart = plan.outage + plan.restart_after;
+  const double outage_end = plan.outage, restart = plan.outage + plan.restart_delay;
   const double work = plan.work_of_all / plan.nodes;
   const int restarted = static_cast<int>(plan.restarted_part * plan.nodes);
   Random random(seed);
@@ -65,7 +65,7 @@
   HerdResult out;
   out.recovered_after.assign(static_cast<std::size_t>(plan.nodes), kNever);
   double free_at = 0;
-  while (!calls.empty() && calls.top().at < back + plan.horizon) {
+  while (!calls.empty() && calls.top().at < outage_end + plan.horizon) {
     const Call call = calls.top();
     calls.pop();
     const auto node = static_cast<std::size_t>(call.node);
@@ -76,12 +76,12 @@
     }
     if (call.process < process[node]) continue;
     bool answered = false;
-    if (call.at >= back) {
+    if (call.at >= outage_end) {
       const double wait = std::max(0.0, free_at - call.at) + work;
       answered = wait <= plan.max_wait;
-      free_at = std::max(free_at, call.at) + work * (answered ? 1 : plan.lost_work);
-      const double since = call.process > 0 ? restart : back;
-      if (answered) out.recovered_after[node] = call.at + wait - since;
+      free_at = std::max(free_at, call.at) + work * (answered ? 1 : plan.rejected_work_factor);
+      const double start = call.process > 0 ? restart : outage_end;
+      if (answered) out.recovered_after[node] = call.at + wait - start;
       if (!answered) ++out.rejected;
     }
     if (answered) continue;
