--- a/bench/rig/load_generator.cpp
+++ b/bench/rig/load_generator.cpp
@@ -21,11 +21,11 @@
 
 namespace {
 
-asio::steady_timer::duration span(double seconds) {
+asio::steady_timer::duration to_duration(double seconds) {
   return std::chrono::duration_cast<asio::steady_timer::duration>(std::chrono::duration<double>(seconds));
 }
 
-std::string text_of(const RequestClass& settings, const std::string& name, const std::string& id) {
+std::string build_request(const RequestClass& settings, const std::string& name, const std::string& id) {
   fleet::RequestHead head;
   head.host = "rig";
   head.class_name = name;
@@ -67,85 +67,87 @@
   asio::steady_timer timer(io_);
   error_code ignored;
   for (double due = arrivals.after(0); due <= scenario_.seconds; due = arrivals.after(due)) {
-    timer.expires_at(begin_ + span(due));
+    timer.expires_at(begin_ + to_duration(due));
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     asio::co_spawn(io_, send_detached(static_cast<int>(random_.below(replicas_.size())), due),
                    asio::detached);
   }
-  timer.expires_at(begin_ + span(scenario_.seconds));
+  timer.expires_at(begin_ + to_duration(scenario_.seconds));
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-  arrivals_over_ = true;
+  arrivals_done_ = true;
 }
 
 asio::awaitable<void> LoadGenerator::send_detached(int replica, double due) { co_await send(replica, due); }
 
 asio::awaitable<void> LoadGenerator::closed_loop_client(const ClosedLoop& group, int replica) {
-  asio::steady_timer timer(io_, begin_ + span(group.from));
+  asio::steady_timer timer(io_, begin_ + to_duration(group.from));
   error_code ignored;
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   while (now() < std::min(group.to, scenario_.seconds)) {
-    const Ended ended = co_await send(replica, now());
-    const double wait = ended.how == Final::kRejected ? std::max(0.0, group.after_refusal) : group.think;
+    const CompletedRequest request = co_await send(replica, now());
+    const double wait = request.result == Final::kRejected ? std::max(0.0, group.after_refusal) : group.think;
     if (wait <= 0) continue;
-    timer.expires_after(span(wait));
+    timer.expires_after(to_duration(wait));
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
   }
 }
 
-// Uses an idle connection, or a new one. Where the node has closed an idle connection meanwhile, the request
-// has not been read, and goes on another.
+// Sends on an idle connection if there is one, otherwise on a new one. If the node has closed the idle
+// connection in the meantime, it has not read the request, so the request is sent again on another
+// connection.
+//
 // NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity)
-asio::awaitable<LoadGenerator::Ended> LoadGenerator::send(int replica, double due) {
-  ++under_way_;
-  Ended out;
+asio::awaitable<LoadGenerator::CompletedRequest> LoadGenerator::send(int replica, double due) {
+  ++in_flight_;
+  CompletedRequest out;
   out.id = "r" + std::to_string(++requests_);
   out.request_class = draw_by_share(random_, scenario_.classes);
   out.replica = replica;
   out.due = due;
   const LoadClass& c = scenario_.classes[out.request_class];
-  const std::string text = text_of(c.settings, c.name, out.id);
+  const std::string text = build_request(c.settings, c.name, out.id);
   auto& idle = idle_connections_[static_cast<std::size_t>(replica)];
   for (;;) {
-    const bool fresh = idle.empty();
+    const bool new_connection = idle.empty();
     std::shared_ptr<Socket> socket;
-    error_code problem;
-    if (fresh) {
+    error_code error;
+    if (new_connection) {
       socket = std::make_shared<Socket>(io_);
       co_await socket->async_connect(replicas_[static_cast<std::size_t>(replica)],
-                                     asio::redirect_error(asio::use_awaitable, problem));
-      if (!problem) socket->set_option(tcp::no_delay(true), problem);
+                                     asio::redirect_error(asio::use_awaitable, error));
+      if (!error) socket->set_option(tcp::no_delay(true), error);
     } else {
       socket = std::move(idle.back());
       idle.pop_back();
     }
     out.sent = now();
-    // A client that waits for longer than it said has lost its request.
-    asio::steady_timer limit(io_, begin_ + span(out.sent + c.settings.client_timeout + 1));
-    // The wait may have come to its end as the exchange did: then the connection may carry another by now.
-    const auto over = std::make_shared<bool>(false);
-    limit.async_wait([socket, over](error_code cancelled) {
+    // The connection is closed 1 s after the client timeout; the request then counts as failed.
+    asio::steady_timer client_timer(io_, begin_ + to_duration(out.sent + c.settings.client_timeout + 1));
+    // The timer may expire just as the exchange completes; by then the connection may carry another request.
+    const auto exchange_done = std::make_shared<bool>(false);
+    client_timer.async_wait([socket, exchange_done](error_code timer_error) {
       error_code ignored;
-      if (!cancelled && !*over) socket->close(ignored);
+      if (!timer_error && !*exchange_done) socket->close(ignored);
     });
     boost::beast::flat_buffer buffer;
-    http::response<http::string_body> answer;
-    if (!problem)
+    http::response<http::string_body> response;
+    if (!error)
       co_await asio::async_write(*socket, asio::buffer(text),
-                                 asio::redirect_error(asio::use_awaitable, problem));
-    if (!problem)
-      co_await http::async_read(*socket, buffer, answer, asio::redirect_error(asio::use_awaitable, problem));
-    *over = true;
-    limit.cancel();
-    if (problem && !fresh && now() < out.sent + c.settings.client_timeout) continue;
-    out.answered = now();
-    out.heard = !problem;
-    const unsigned status = problem ? 0 : answer.result_int();
-    if (status == 200) out.how = answer.body() == out.id ? Final::kServed : Final::kFailed;
-    if (status == 429 || status == 503) out.how = Final::kRejected;
-    if (!problem && answer.keep_alive()) idle.push_back(std::move(socket));
+                                 asio::redirect_error(asio::use_awaitable, error));
+    if (!error)
+      co_await http::async_read(*socket, buffer, response, asio::redirect_error(asio::use_awaitable, error));
+    *exchange_done = true;
+    client_timer.cancel();
+    if (error && !new_connection && now() < out.sent + c.settings.client_timeout) continue;
+    out.completed_at = now();
+    out.response_received = !error;
+    const unsigned status = error ? 0 : response.result_int();
+    if (status == 200) out.result = response.body() == out.id ? Final::kServed : Final::kFailed;
+    if (status == 429 || status == 503) out.result = Final::kRejected;
+    if (!error && response.keep_alive()) idle.push_back(std::move(socket));
     break;
   }
-  --under_way_;
+  --in_flight_;
   observer_(out);
   co_return out;
 }
--- a/bench/rig/load_generator.h
+++ b/bench/rig/load_generator.h
@@ -1,6 +1,6 @@
-// The load of a scenario on sockets: an open loop that sends each request when it is due, whatever became of
-// the others, and clients in a closed loop. Latency counts from when a request was due, so that no stall
-// hides.
+// Generates the load of a scenario on sockets: an open loop that sends each request when it is due,
+// regardless of the outcome of earlier ones, and closed-loop clients. Latency is measured from the due time,
+// so that a stall of the generator is included (no coordinated omission).
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -20,23 +20,23 @@
 
 class LoadGenerator {
  public:
-  struct Ended {
+  struct CompletedRequest {
     std::string id;
     std::size_t request_class = 0;
     int replica = 0;
-    double due = 0, sent = 0, answered = 0;  // s since the run began
-    Final how = Final::kFailed;
-    bool heard = false;  // an answer came; else the connection broke or the time was up
+    double due = 0, sent = 0, completed_at = 0;  // s since the start of the run
+    Final result = Final::kFailed;
+    bool response_received = false;  // false: the connection failed or the client timed out
   };
-  using Observer = std::function<void(const Ended&)>;
+  using Observer = std::function<void(const CompletedRequest&)>;
 
-  // `replicas`: where the replicas of the node listen. The scenario outlives it.
+  // `replicas`: the listener addresses of the node's replicas. The scenario must outlive this object.
   LoadGenerator(boost::asio::io_context& io, const Scenario& scenario,
                 std::vector<boost::asio::ip::tcp::endpoint> replicas,
                 std::chrono::steady_clock::time_point begin, std::uint64_t seed, Observer observer);
   void start();
-  std::size_t under_way() const { return under_way_; }
-  bool done() const { return arrivals_over_ && under_way_ == 0; }
+  std::size_t in_flight() const { return in_flight_; }
+  bool done() const { return arrivals_done_ && in_flight_ == 0; }
 
  private:
   using Socket = boost::asio::ip::tcp::socket;
@@ -44,7 +44,7 @@
   double now() const;
   boost::asio::awaitable<void> open_loop();
   boost::asio::awaitable<void> closed_loop_client(const ClosedLoop& group, int replica);
-  boost::asio::awaitable<Ended> send(int replica, double due);
+  boost::asio::awaitable<CompletedRequest> send(int replica, double due);
   boost::asio::awaitable<void> send_detached(int replica, double due);
 
   boost::asio::io_context& io_;
@@ -56,8 +56,8 @@
   Observer observer_;
   std::vector<std::vector<std::shared_ptr<Socket>>> idle_connections_;  // by replica
   std::uint64_t requests_ = 0;
-  std::size_t under_way_ = 0;
-  bool arrivals_over_ = false;
+  std::size_t in_flight_ = 0;
+  bool arrivals_done_ = false;
 };
 
 }  // namespace thymewood::bench
--- a/bench/rig/node_process.h
+++ b/bench/rig/node_process.h
@@ -1,5 +1,5 @@
-// A node as a machine of the fleet rig, with a configuration for a scenario whose servers it knows from the
-// start. The process ends with the object.
+// A node process, run as a machine of the fleet rig. Its configuration comes from a scenario and lists the
+// servers, so it needs no discovery. The destructor ends the process.
 #pragma once
 
 #include <cstdint>
@@ -14,16 +14,15 @@
 
 class NodeProcess {
  public:
-  // Starts `program` as the replica of that number, with servers on these ports of 127.0.0.1, and waits
-  // until it listens. Its configuration and log go to a folder of its own in `folder`. Throws
-  // std::runtime_error when it does not come up.
+  // Starts `program` as replica number `replica`, with servers on the given ports of 127.0.0.1, and waits
+  // until it listens. Its configuration and log are written to a subdirectory of `folder`. Throws
+  // std::runtime_error if it does not start listening.
   NodeProcess(const std::string& program, const std::string& folder, const Scenario& scenario, int replica,
               const std::vector<std::uint16_t>& servers);
 
   std::uint16_t port() const { return port_; }
-  // Whether it still runs.
   bool alive() { return machine_.running(); }
-  // CPU seconds that it has used so far; 0 where the system does not tell.
+  // CPU seconds used so far; 0 where the system does not report them.
   double cpu_seconds() const { return machine_.usage().cpu_s; }
 
  private:
@@ -31,7 +30,7 @@
   std::uint16_t port_ = 0;
 };
 
-// The configuration, as JSON, of the form that node/config.h reads.
+// The node's configuration, in the JSON format that node/config.h reads.
 std::string node_config(const Scenario& scenario, int replica, const std::vector<std::uint16_t>& servers);
 
 }  // namespace thymewood::bench
--- a/bench/rig/run.cpp
+++ b/bench/rig/run.cpp
@@ -18,33 +18,34 @@
 namespace asio = boost::asio;
 using Steady = std::chrono::steady_clock;
 
-constexpr double kSlack = 0.05;    // s; times on sockets are not exact
-constexpr double kDrainTime = 30;  // s; after the scenario's end, for what is still under way
+constexpr double kClockTolerance = 0.05;  // s; timestamps taken on sockets are not exact
+constexpr double kDrainTime = 30;         // s; after the end of the scenario, for requests still in flight
 
-void refuse_what_is_not_played(const Scenario& s) {
+void reject_unsupported_scenario(const Scenario& s) {
   for (const Change& c : s.changes) {
     if (c.what != Change::What::kSlow)
-      throw std::runtime_error(s.name + ": drains, stops and starts are not played on sockets yet");
+      throw std::runtime_error(s.name + ": drains, stops and starts are not supported on sockets yet");
   }
-  if (!s.clients_at.empty()) throw std::runtime_error(s.clients_at + " is not played by this rig");
-  if (!s.fleet_only.empty()) throw std::runtime_error(s.fleet_only.front() + " is played by thymewood_fleet");
-  if (!s.tenants.empty()) throw std::runtime_error(s.name + ": tenants are not played on sockets yet");
+  if (!s.clients_at.empty()) throw std::runtime_error(s.clients_at + " is not supported by this rig");
+  if (!s.fleet_only.empty())
+    throw std::runtime_error(s.fleet_only.front() + " is supported only by thymewood_fleet");
+  if (!s.tenants.empty()) throw std::runtime_error(s.name + ": tenants are not supported on sockets yet");
 }
 
 }  // namespace
 
-Seen play_on_sockets(const Scenario& scenario, const std::string& program, bool direct,
-                     const std::string& folder, std::uint64_t seed) {
-  refuse_what_is_not_played(scenario);
-  Seen seen;
+RunObservations run_on_sockets(const Scenario& scenario, const std::string& program, bool direct,
+                               const std::string& folder, std::uint64_t seed) {
+  reject_unsupported_scenario(scenario);
+  RunObservations observations;
   asio::io_context server_io(1), load_io(1);
   const auto begin = Steady::now() + std::chrono::seconds(1);
   std::vector<std::unique_ptr<ModelServer>> servers;
   std::vector<std::uint16_t> ports;
   for (std::size_t i = 0; i < scenario.servers.size(); ++i) {
-    servers.push_back(
-        std::make_unique<ModelServer>(server_io, scenario, i, begin, seed + i,
-                                      [&seen](const ModelServer::Came& c) { seen.came.push_back(c); }));
+    servers.push_back(std::make_unique<ModelServer>(
+        server_io, scenario, i, begin, seed + i,
+        [&observations](const ModelServer::Arrival& c) { observations.arrivals.push_back(c); }));
     servers.back()->start();
     ports.push_back(servers.back()->port());
   }
@@ -66,58 +67,60 @@
   }
   for (std::size_t i = 0; direct && i < ports.size(); ++i) replicas.emplace_back(local, ports[i]);
   LoadGenerator load(load_io, scenario, replicas, begin, seed,
-                     [&seen](const LoadGenerator::Ended& ended) { seen.ended.push_back(ended); });
+                     [&observations](const LoadGenerator::CompletedRequest& request) {
+                       observations.completed.push_back(request);
+                     });
   load.start();
   const auto end = begin + std::chrono::duration_cast<Steady::duration>(
                                std::chrono::duration<double>(scenario.seconds + kDrainTime));
   while (!load.done() && Steady::now() < end) load_io.run_for(std::chrono::milliseconds(100));
   for (const auto& node : nodes) {
-    seen.cpu += node->cpu_seconds();
-    seen.nodes_lived = seen.nodes_lived && node->alive();
+    observations.cpu += node->cpu_seconds();
+    observations.nodes_stayed_up = observations.nodes_stayed_up && node->alive();
   }
   server_io.stop();
   server_thread.join();
-  for (const auto& server : servers) seen.work += server->work_done();
-  return seen;
+  for (const auto& server : servers) observations.work += server->work_done();
+  return observations;
 }
 
-// What the logs of both sides say, in the order of time. An answer has its place kSlack later: an attempt
-// that a server reads late was sent before, and may belong to a request that another has answered meanwhile.
-RuleMonitor check_rules(const Scenario& scenario, const Seen& seen) {
+// Replays the observations of servers and clients in time order. Each response is placed kClockTolerance
+// later: a server may read an attempt late, after another attempt has already completed the request.
+RuleMonitor check_rules(const Scenario& scenario, const RunObservations& observations) {
   std::vector<RequestClass> classes;
   for (const LoadClass& c : scenario.classes) classes.push_back(c.settings);
   std::vector<RuleMonitor::Place> places;
   for (const ScenarioServer& s : scenario.servers) places.push_back({s.zone, s.cell});
   RuleMonitor::Limits limits;
-  limits.slack = kSlack;
+  limits.slack = kClockTolerance;
   RuleMonitor rules(limits, classes, places);
-  struct Step {
+  struct TimelineEvent {
     double at = 0;
-    int order = 0;  // a request is taken before it comes to a server, and answered after
-    const LoadGenerator::Ended* asked = nullptr;
-    const ModelServer::Came* came = nullptr;
+    int order = 0;  // at equal times: request received, then attempt at a server, then response
+    const LoadGenerator::CompletedRequest* request = nullptr;
+    const ModelServer::Arrival* arrival = nullptr;
   };
-  std::vector<Step> steps;
-  for (const LoadGenerator::Ended& e : seen.ended) {
-    steps.push_back({e.sent, 0, &e, nullptr});
-    steps.push_back({e.answered + kSlack, 2, &e, nullptr});
+  std::vector<TimelineEvent> timeline;
+  for (const LoadGenerator::CompletedRequest& e : observations.completed) {
+    timeline.push_back({e.sent, 0, &e, nullptr});
+    timeline.push_back({e.completed_at + kClockTolerance, 2, &e, nullptr});
   }
-  for (const ModelServer::Came& c : seen.came) steps.push_back({c.now, 1, nullptr, &c});
-  std::stable_sort(steps.begin(), steps.end(), [](const Step& a, const Step& b) {
+  for (const ModelServer::Arrival& c : observations.arrivals) timeline.push_back({c.now, 1, nullptr, &c});
+  std::stable_sort(timeline.begin(), timeline.end(), [](const TimelineEvent& a, const TimelineEvent& b) {
     return a.at != b.at ? a.at < b.at : a.order < b.order;
   });
-  std::unordered_map<std::string, std::size_t> sends;
-  for (const Step& step : steps) {
-    if (step.order == 0) {
-      rules.taken(step.at, step.asked->id, step.asked->request_class,
-                  step.asked->sent + classes[step.asked->request_class].client_timeout);
-    } else if (step.order == 1) {
-      rules.sent(step.at, step.came->id, 0, step.came->server);
-      rules.came(step.at, step.came->server, step.came->work, step.came->cold_rate);
-      const std::size_t attempt = sends[step.came->id]++;
-      if (step.came->rejected) rules.ended(step.came->id, attempt, false);
-    } else if (step.asked->heard) {
-      rules.answered(step.asked->answered, step.asked->id, step.asked->how);
+  std::unordered_map<std::string, std::size_t> attempt_counts;
+  for (const TimelineEvent& event : timeline) {
+    if (event.order == 0) {
+      rules.taken(event.at, event.request->id, event.request->request_class,
+                  event.request->sent + classes[event.request->request_class].client_timeout);
+    } else if (event.order == 1) {
+      rules.sent(event.at, event.arrival->id, 0, event.arrival->server);
+      rules.came(event.at, event.arrival->server, event.arrival->work, event.arrival->warmup_rate);
+      const std::size_t attempt = attempt_counts[event.arrival->id]++;
+      if (event.arrival->rejected) rules.ended(event.arrival->id, attempt, false);
+    } else if (event.request->response_received) {
+      rules.answered(event.request->completed_at, event.request->id, event.request->result);
     }
   }
   rules.finish(std::numeric_limits<double>::infinity());
--- a/bench/rig/run.h
+++ b/bench/rig/run.h
@@ -1,4 +1,4 @@
-// One run of a scenario on loopback sockets, and what the rules say of it.
+// Runs a scenario on loopback sockets and checks the rules against what was observed.
 #pragma once
 
 #include <cstdint>
@@ -12,20 +12,21 @@
 
 namespace thymewood::bench {
 
-struct Seen {
-  std::vector<ModelServer::Came> came;      // by the servers, in the order of their clock
-  std::vector<LoadGenerator::Ended> ended;  // by the load, in the order of the answers
-  double work = 0, cpu = 0;                 // s; done by the servers, and used by the nodes
-  bool nodes_lived = true;
+struct RunObservations {
+  std::vector<ModelServer::Arrival> arrivals;              // at the servers, ordered by time
+  std::vector<LoadGenerator::CompletedRequest> completed;  // by the load generator, ordered by completion
+  double work = 0, cpu = 0;  // s; work done by the servers, CPU time used by the nodes
+  bool nodes_stayed_up = true;
 };
 
-// Plays it with nodes as child processes of `program`, or, where `direct`, with the servers asked themselves.
-// Servers run in a thread of their own, the load in the client's. Throws std::runtime_error when the scenario
-// holds what is not played on sockets (drains, stops, starts, tenants), or a node does not come up.
-Seen play_on_sockets(const Scenario& scenario, const std::string& program, bool direct,
-                     const std::string& folder, std::uint64_t seed);
+// Runs the scenario through nodes started as child processes from `program` or, if `direct`, sends requests
+// straight to the servers. The servers run in their own thread, the load generator in the caller's. Throws
+// std::runtime_error if the scenario uses features that are not supported on sockets (drains, stops, starts,
+// tenants) or if a node does not start listening.
+RunObservations run_on_sockets(const Scenario& scenario, const std::string& program, bool direct,
+                               const std::string& folder, std::uint64_t seed);
 
-// What the logs of both sides say, in the order of time.
-RuleMonitor check_rules(const Scenario& scenario, const Seen& seen);
+// Checks the rules against the observations of servers and clients, in time order.
+RuleMonitor check_rules(const Scenario& scenario, const RunObservations& observations);
 
 }  // namespace thymewood::bench
--- a/tests/bench/rig_test.cpp
+++ b/tests/bench/rig_test.cpp
@@ -1,5 +1,5 @@
-// The rig on sockets: its stand-ins do what the models say, what it writes the node can read, and its verdict
-// sees a broken rule.
+// The socket rig: its fake servers follow the models, the node can read the configuration that it writes, and
+// its rule check detects violations.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -55,32 +55,32 @@
   // One worker of 50 ms, loaded without a node at 5 times its capacity, with a queue of four.
   const Scenario s = scenario_of(
       "service = \"constant\"\nmean_ms = 50\n[[servers]]\nworkers = 1\nqueue = 4\n[[load]]\nx = 5\n");
-  const Seen seen = play_on_sockets(s, "", true, folder(), 1);
+  const RunObservations observations = run_on_sockets(s, "", true, folder(), 1);
   std::size_t served = 0, rejected = 0;
-  for (const LoadGenerator::Ended& e : seen.ended) {
-    EXPECT_TRUE(e.heard);
-    served += e.how == Final::kServed ? 1 : 0;
-    rejected += e.how == Final::kRejected ? 1 : 0;
-    EXPECT_TRUE(e.how != Final::kServed || e.answered - e.due >= 0.049) << e.id;
+  for (const LoadGenerator::CompletedRequest& e : observations.completed) {
+    EXPECT_TRUE(e.response_received);
+    served += e.result == Final::kServed ? 1 : 0;
+    rejected += e.result == Final::kRejected ? 1 : 0;
+    EXPECT_TRUE(e.result != Final::kServed || e.completed_at - e.due >= 0.049) << e.id;
   }
-  EXPECT_EQ(served + rejected, seen.ended.size());
+  EXPECT_EQ(served + rejected, observations.completed.size());
   EXPECT_GT(rejected, served);
-  EXPECT_LE(served, 45u) << "2 s of one worker, and what waits";
+  EXPECT_LE(served, 45u) << "2 s of one worker, and the queue";
   EXPECT_GT(served, 10u);
-  EXPECT_NEAR(seen.work, 0.05 * static_cast<double>(served), 1e-9);
+  EXPECT_NEAR(observations.work, 0.05 * static_cast<double>(served), 1e-9);
 }
 
 TEST(Rig, LatencyIsMeasuredFromTheDueTime) {
   // Each connection carries one long request; later requests open new connections and are not delayed.
   const Scenario s =
       scenario_of("service = \"constant\"\nmean_ms = 300\n[[servers]]\nworkers = 1\n[[load]]\nrate = 10\n");
-  const Seen seen = play_on_sockets(s, "", true, folder(), 1);
+  const RunObservations observations = run_on_sockets(s, "", true, folder(), 1);
   double longest = 0;
-  for (const LoadGenerator::Ended& e : seen.ended) {
-    EXPECT_LT(e.sent - e.due, 1) << "it was held back";
-    longest = std::max(longest, e.answered - e.due);
+  for (const LoadGenerator::CompletedRequest& e : observations.completed) {
+    EXPECT_LT(e.sent - e.due, 1) << "the request was sent late";
+    longest = std::max(longest, e.completed_at - e.due);
   }
-  EXPECT_GT(longest, 0.8) << "the queue has to show";
+  EXPECT_GT(longest, 0.8) << "queueing delay must be included in the latency";
 }
 
 TEST(Rig, NodeServesAScenarioWithoutViolations) {
@@ -88,32 +88,33 @@
       "mean_ms = 10\n[[class]]\nname = \"close\"\neffect = \"unsafe\"\naim_ms = 2000\ngive_up_ms = "
       "4000\nmean_ms = 10\n"
       "[[servers]]\ncount = 2\nworkers = 8\n[[load]]\nrate = 100\n");
-  const Seen seen = play_on_sockets(s, NODE_PROGRAM, false, folder(), 1);
-  EXPECT_TRUE(seen.nodes_lived);
-  ASSERT_GT(seen.ended.size(), 100u);
-  for (const LoadGenerator::Ended& e : seen.ended) EXPECT_TRUE(e.heard) << e.id;
-  const RuleMonitor rules = check_rules(s, seen);
+  const RunObservations observations = run_on_sockets(s, NODE_PROGRAM, false, folder(), 1);
+  EXPECT_TRUE(observations.nodes_stayed_up);
+  ASSERT_GT(observations.completed.size(), 100u);
+  for (const LoadGenerator::CompletedRequest& e : observations.completed)
+    EXPECT_TRUE(e.response_received) << e.id;
+  const RuleMonitor rules = check_rules(s, observations);
   EXPECT_EQ(rules.broken(), 0u) << rules.breaks()[0];
 }
 
 TEST(Rig, RuleCheckReportsADoubleEffectAndALostRequest) {
   const Scenario s = scenario_of("effect = \"unsafe\"\n[[servers]]\ncount = 2\n[[load]]\nrate = 1\n");
-  const LoadGenerator::Ended asked{"r1", 0, 0, 1, 1, 2, Final::kServed, true};
-  Seen once;
-  once.ended = {asked};
-  once.came = {{1.1, 0, "r1", 0.1, 0, true}, {1.2, 1, "r1", 0.1, 0, false}};  // the first was rejected
+  const LoadGenerator::CompletedRequest request{"r1", 0, 0, 1, 1, 2, Final::kServed, true};
+  RunObservations once;
+  once.completed = {request};
+  once.arrivals = {{1.1, 0, "r1", 0.1, 0, true}, {1.2, 1, "r1", 0.1, 0, false}};  // the first was rejected
   EXPECT_EQ(check_rules(s, once).broken(), 0u);
-  Seen twice = once;
-  twice.came[0].rejected = false;
+  RunObservations twice = once;
+  twice.arrivals[0].rejected = false;
   EXPECT_EQ(check_rules(s, twice).broken(), 1u);
-  Seen lost = once;
-  lost.ended[0].heard = false;
+  RunObservations lost = once;
+  lost.completed[0].response_received = false;
   EXPECT_EQ(check_rules(s, lost).broken(), 1u);
 }
 
 TEST(Rig, UnsupportedScenarioIsAnError) {
   const Scenario s = scenario_of("[[servers]]\n[[load]]\nrate = 1\n[[change]]\nat = 1\nwhat = \"drain\"\n");
-  EXPECT_THROW(play_on_sockets(s, NODE_PROGRAM, false, folder(), 1), std::runtime_error);
+  EXPECT_THROW(run_on_sockets(s, NODE_PROGRAM, false, folder(), 1), std::runtime_error);
 }
 
 }  // namespace
