--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# The checks of the suite that are not unit tests; ctest runs each by name: checks.sh NAME SOURCE SCRATCH
+# Checks of the test suite that are not unit tests. ctest runs each as check.NAME: checks.sh NAME SOURCE SCRATCH
+# SOURCE is the source directory; SCRATCH/NAME is recreated on each run.
 set -euo pipefail
 name=$1
 source=$2
@@ -11,23 +12,23 @@
 sources() { git ls-files '*.cpp' '*.h' 2>/dev/null || find adapter bench include json membership operators node policy tests -name '*.cpp' -o -name '*.h'; }
 
 case $name in
-  policy)  # the decisions: readable, and without I/O, clock or threads
+  policy)  # line length of the policy files, which use no I/O, clocks or threads
     mapfile -t files < <(sed -n 's/^policy = \[\(.*\)\]$/\1/p' deploy/balancer.toml | tr -d '" ' | tr ',' '\n')
     [ "${#files[@]}" -gt 0 ]
     awk -v width=110 '
-      length($0) > width { printf "%s:%d: over %d characters\n", FILENAME, FNR, width; bad = 1 }
-      END { exit bad }
+      length($0) > width { printf "%s:%d: over %d characters\n", FILENAME, FNR, width; failed = 1 }
+      END { exit failed }
     ' "${files[@]}"
-    pure='algorithm|cmath|cstdint|limits|memory|optional|string|unordered_map|utility|variant|vector'
-    if grep -nE '^#include <' "${files[@]}" | grep -vE "<($pure)>$"; then
-      echo "policy: only the library's pure parts may be included" >&2
+    allowed_headers='algorithm|cmath|cstdint|limits|memory|optional|string|unordered_map|utility|variant|vector'
+    if grep -nE '^#include <' "${files[@]}" | grep -vE "<($allowed_headers)>$"; then
+      echo "policy: only standard library headers without I/O, clocks and threads may be included" >&2
       exit 1
     fi
     if grep -nE '#include "' "${files[@]}" | grep -vE '"(thymewood/(actions|balancer|events|settings)|capacity|concurrency_limit|concurrency_probe|decaying_rate|endpoint_lease|estimate|idempotency|idle_latency|latency_statistics|outlier_detection|pending_requests|random|relative_latency|retry_policy|server_selector|server_table|shedding_statistics|sliding_window|slow_start|subset|tenant_limiter|throughput|watch_backoff)\.h"$'; then
       echo "policy: only policy headers may be included" >&2
       exit 1
     fi ;;
-  terms)  # no withdrawn word in a package that docs/TERMS.md lists as done; string literals, such as wire names, excepted
+  terms)  # no withdrawn word in the packages that docs/TERMS.md lists as done, except in string literals, such as wire names
     packages=$(sed -n 's/^Done: //p' docs/TERMS.md | tr -d '`.,')
     [ -n "$packages" ]
     withdrawn='told|turn(s|ed) away|rooms?|aims?|give_up|worth|callers|dial(s|ed|ing|ling)?|part(y|ies)|askers?'
@@ -43,18 +44,18 @@
     sources | xargs clang-format --dry-run -Werror ;;
   tidy)
     cmake -B "$scratch" -DCMAKE_EXPORT_COMPILE_COMMANDS=ON -DTHYMEWOOD_BUILD_BENCH=ON -DTHYMEWOOD_BUILD_TESTS=ON >/dev/null
-    # clang 14 can read coroutines of GCC 12's library, but has to be told that it can.
-    export coroutines="--extra-arg=-D__cpp_impl_coroutine=201902L --extra-arg=-DBOOST_ASIO_HAS_CO_AWAIT=1
+    # clang 14 compiles the coroutines of GCC 12's standard library, but only if these macros enable them.
+    export coroutine_args="--extra-arg=-D__cpp_impl_coroutine=201902L --extra-arg=-DBOOST_ASIO_HAS_CO_AWAIT=1
       --extra-arg=-DBOOST_ASIO_HAS_STD_COROUTINE=1"
-    # Three side by side: as many as the sanitizers' check leaves idle. The path analyzer, which takes minutes on Boost, sees the packages
-    # without it; over the others the sanitizers stand in.
+    # Three processes in parallel: as many cores as check.sanitizers leaves idle. The static analyzer (clang-analyzer-*)
+    # takes minutes on Boost, so it runs only on packages that do not use Boost; the sanitizers cover the others.
     sources | grep '\.cpp$' | grep -v '^tests/consumer/' |
       xargs -P 3 -I{} sh -c 'case {} in
-          bench/rig/*|fleet_rig/*|tests/bench/*|tests/fleet_rig/*) extra="--checks=-clang-analyzer-* $coroutines" ;;
-          node/*|tests/*) extra=--checks=-clang-analyzer-* ;;
-          *) extra= ;;
+          bench/rig/*|fleet_rig/*|tests/bench/*|tests/fleet_rig/*) extra_args="--checks=-clang-analyzer-* $coroutine_args" ;;
+          node/*|tests/*) extra_args=--checks=-clang-analyzer-* ;;
+          *) extra_args= ;;
         esac
-        clang-tidy -p "$0" --quiet --warnings-as-errors="*" $extra {}' "$scratch" ;;
+        clang-tidy -p "$0" --quiet --warnings-as-errors="*" $extra_args {}' "$scratch" ;;
   sanitizers)
     cmake -B "$scratch" -DCMAKE_BUILD_TYPE=Debug -DTHYMEWOOD_BUILD_TESTS=ON -DTHYMEWOOD_SANITIZE=ON \
       -DTHYMEWOOD_UNIT_TESTS_ONLY=ON
@@ -62,30 +63,30 @@
     status=0
     ctest --test-dir "$scratch" --output-on-failure -j6 || status=$?
     tests/known_red.sh KNOWN-RED.txt "$scratch" "$status" ;;
-  consumer)  # an installed package, found and used
+  consumer)  # installs the package, then builds and runs a program that uses it
     cmake -B "$scratch/library" -DTHYMEWOOD_BUILD_ADAPTER=OFF -DTHYMEWOOD_BUILD_NODE=OFF
     cmake --build "$scratch/library" -j4
     cmake --install "$scratch/library" --prefix "$scratch/installed"
     cmake -S tests/consumer -B "$scratch/consumer" -DCMAKE_PREFIX_PATH="$scratch/installed"
     cmake --build "$scratch/consumer"
     "$scratch/consumer/consumer" ;;
-  deploy)  # the build line of the deploy file, as it stands there, in a copy of the sources
+  deploy)  # runs the commands of deploy/balancer.toml verbatim in a copy of the sources
     cp -r CMakeLists.txt bench cmake include policy json adapter membership operators node deploy tests "$scratch"
     cd "$scratch"
     bash -euo pipefail -c "$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/balancer.toml)"
     reply=$(echo '{"clock":1,"turn":1,"nodes":[]}' | sh -c "$(sed -n 's/^sim = "\(.*\)"$/\1/p' deploy/balancer.toml)")
     [ "$reply" = '{"turn":1,"nodes":[]}' ]
-    # The real node, told of one server: it must come up, say that it can serve, and end well when asked to.
+    # The node, configured with one server, must start listening, report healthy, and exit with status 0 on SIGTERM.
     cat >config.json <<'CONFIG'
 {"name":"check","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":256},
  "known":{"index":1,"snapshot":true,"endpoints":[{"name":"s","address":"127.0.0.1:9","status":"up"}]},
  "settings":{"position":0,"peersTotal":1,"bounds":{},
              "categories":[{"name":"look","aim":1,"giveUp":2,"effect":"safe"}]}}
 CONFIG
-    run=$(sed -n 's/^run = "\(.*\)"$/\1/p' deploy/balancer.toml)
-    RELAY_CONFIG=config.json sh -c "$run" 2>log &
-    node=$!
-    trap 'kill -KILL $node 2>/dev/null || true' EXIT
+    run_command=$(sed -n 's/^run = "\(.*\)"$/\1/p' deploy/balancer.toml)
+    RELAY_CONFIG=config.json sh -c "$run_command" 2>log &
+    node_pid=$!
+    trap 'kill -KILL $node_pid 2>/dev/null || true' EXIT
     for _ in $(seq 300); do
       port=$(sed -n 's/.*event=listening .*:\([0-9]*\)$/\1/p' log)
       [ -z "$port" ] || break
@@ -94,8 +95,8 @@
     exec 3<>"/dev/tcp/127.0.0.1/$port"
     printf 'GET /_health HTTP/1.1\r\nHost: check\r\nConnection: close\r\n\r\n' >&3
     head -1 <&3 | grep '^HTTP/1.1 200'
-    kill -TERM $node
-    wait $node ;;
+    kill -TERM $node_pid
+    wait $node_pid ;;
   *)
     echo "unknown check $name" >&2
     exit 2 ;;
