--- a/fleet_rig/mutations.py
+++ b/fleet_rig/mutations.py
@@ -1,13 +1,14 @@
 #!/usr/bin/env python3
-"""Mutation test: applies one fault at a time to the product and expects a checker or a test to report it.
+"""Mutation test: applies one fault at a time to the node or its membership protocol and expects a checker or a test to
+report it.
 
     fleet_rig/mutations.py --check
     fleet_rig/mutations.py [--jobs N] BUILD [NAME ...]
 
-BUILD contains thymewood_fleet (cmake -DTHYMEWOOD_BUILD_BENCH=ON). A mutation replaces a text that occurs exactly once in its
-file. The mutated program is built in a clone under a temporary folder; these sources are not touched. Exit status 1 when a
-mutation was not detected or could not be run, with --check when a text does not occur exactly once. A complete run takes
-minutes and is no part of CI.
+BUILD is a build directory that contains thymewood_fleet (cmake -DTHYMEWOOD_BUILD_BENCH=ON). A mutation replaces a text that
+occurs exactly once in its file. The mutated program is built in a clone of the repository in a temporary directory; these
+sources are not modified. The exit status is 1 if a mutation was not detected or could not be run; with --check, if a text
+does not occur exactly once. A complete run takes minutes and is not part of CI.
 """
 import argparse
 import dataclasses
@@ -19,9 +20,9 @@
 import tempfile
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-MEMBERSHIP_TESTS = 'tests/membership/membership_tests'  # in a build folder
+MEMBERSHIP_TESTS = 'tests/membership/membership_tests'  # relative to the build directory
 MEMBERSHIP_TIMEOUT = 120  # s
-# Columns of the fleet rig's figures.
+# Column indices in the figures that 'thymewood_fleet run' prints.
 TRIES_COLUMN = 8
 TIER1_COLUMN = 9
 
@@ -314,7 +315,7 @@
 ]
 
 
-def run(command):
+def run_captured(command):
     return subprocess.run(command, text=True, capture_output=True)
 
 
@@ -324,15 +325,15 @@
 
 
 def check_originals():
-    """Returns the number of mutations whose text does not occur exactly once."""
-    stale = 0
+    """Returns the number of mutations whose original text does not occur exactly once."""
+    mismatch_count = 0
     for mutation in NODE_MUTATIONS + MEMBERSHIP_MUTATIONS:
         count = count_original(ROOT, mutation)
         if count != 1:
-            print(f'{mutation.name}: its text occurs {count} times in {mutation.file}')
-            stale += 1
-    print(f'{stale} of {len(NODE_MUTATIONS + MEMBERSHIP_MUTATIONS)} mutations do not apply')
-    return stale
+            print(f'{mutation.name}: its original text occurs {count} times in {mutation.file}')
+            mismatch_count += 1
+    print(f'{mismatch_count} of {len(NODE_MUTATIONS + MEMBERSHIP_MUTATIONS)} mutations do not apply')
+    return mismatch_count
 
 
 class MutationRun:
@@ -357,9 +358,9 @@
         return self.report(mutation, f'{mutation.scenario} | {mutation.expected}', 'thymewood_program',
                            lambda: self.run_scenario(mutation))
 
-    def report(self, mutation, columns, target, run_mutated):
+    def report(self, mutation, columns, target, run_target):
         try:
-            is_detected, finding = self.run_mutated(mutation, target, run_mutated)
+            is_detected, finding = self.run_mutated(mutation, target, run_target)
         except MutationError as error:
             is_detected, finding = False, f'NOT RUN: {error}'
         else:
@@ -368,47 +369,47 @@
         return is_detected
 
     def run_mutated(self, mutation, target, run_target):
-        """Runs the target with the mutation applied, and restores its file."""
+        """Builds and runs the target with the mutation applied, then restores the mutated file."""
         count = count_original(self.source, mutation)
         if count != 1:
-            raise MutationError(f'its text occurs {count} times in {mutation.file}')
+            raise MutationError(f'its original text occurs {count} times in {mutation.file}')
         path = self.source / mutation.file
         text = path.read_text()
         try:
             path.write_text(text.replace(mutation.original, mutation.replacement))
-            built = run(['cmake', '--build', self.build, '-j', str(self.jobs), '--target', target])
+            built = run_captured(['cmake', '--build', self.build, '-j', str(self.jobs), '--target', target])
             if built.returncode != 0:
-                raise MutationError('not built: ' + built.stderr[-2000:])
+                raise MutationError('build failed: ' + built.stderr[-2000:])
             return run_target()
         finally:
             path.write_text(text)
 
     def run_membership_tests(self):
-        """Returns whether a test failed, and which."""
+        """Returns whether the tests detected the mutation, and the first failed test or the exit status."""
         program = self.build / MEMBERSHIP_TESTS
         if not program.is_file():
             raise MutationError(f'{MEMBERSHIP_TESTS} does not exist')
-        result = run(['timeout', '-s', 'KILL', str(MEMBERSHIP_TIMEOUT), program, '--gtest_fail_fast'])
+        result = run_captured(['timeout', '-s', 'KILL', str(MEMBERSHIP_TIMEOUT), program, '--gtest_fail_fast'])
         failed = re.findall(r'^\[  FAILED  \] ([A-Za-z0-9_./]+) \(', result.stdout, re.M)
         if not failed and '[ RUN      ]' not in result.stdout:
-            raise MutationError(f'no test was run, exit status {result.returncode}: {result.stderr[-2000:]}')
+            raise MutationError(f'no test ran, exit status {result.returncode}: {result.stderr[-2000:]}')
         if failed:
             return True, failed[0]
         return result.returncode != 0, f'exit status {result.returncode}'
 
     def run_scenario(self, mutation):
-        """Returns whether the expected rule or figure was seen, and what was seen."""
+        """Returns whether the run reported the expected rule or figure, and the reported violation or value."""
         name = mutation.scenario
-        result = run([self.fleet_rig, 'run', ROOT / f'fleet_rig/scenarios/{name}.toml', '--node', self.build / 'thymewood',
-                      '--logs', self.logs, '--quiet'])
+        result = run_captured([self.fleet_rig, 'run', ROOT / f'fleet_rig/scenarios/{name}.toml',
+                               '--node', self.build / 'thymewood', '--logs', self.logs, '--quiet'])
         figures = [line.split() for line in result.stdout.splitlines() if line.startswith(name + ' ')]
         violation = re.search(re.escape(mutation.expected) + r': (.*)', result.stdout)
         if violation:
             return True, violation.group(0)
         if not figures:
-            raise MutationError(f'no figures of {name}, exit status {result.returncode}: {result.stderr[-2000:]}')
+            raise MutationError(f'no figures for {name}, exit status {result.returncode}: {result.stderr[-2000:]}')
         if '>' not in mutation.expected:
-            return False, 'nothing'
+            return False, 'no violation reported'
         attempts_per_try = float(figures[0][TIER1_COLUMN]) / float(figures[0][TRIES_COLUMN])
         return attempts_per_try > float(mutation.expected.split('>')[1]), f'{attempts_per_try:.2f}'
 
@@ -432,9 +433,9 @@
         results += [mutation_run.report_node_mutation(mutation) for mutation in selected]
     finally:
         shutil.rmtree(scratch, ignore_errors=True)
-    missed = results.count(False)
-    print(f'{missed} of {len(results)} mutations not detected')
-    return missed
+    undetected_count = results.count(False)
+    print(f'{undetected_count} of {len(results)} mutations not detected')
+    return undetected_count
 
 
 def main():
