--- a/policy/balancer.cpp
+++ b/policy/balancer.cpp
@@ -139,11 +139,11 @@
     if (pending_.contains(arrived.id)) return;  // a repeated id must not get a second final answer
     const std::size_t tenant = std::min(arrived.tenant, tenants_.size() - 1);
     const bool within_quota = tenants_[tenant].is_within_quota(now_);
-    if (!tenants_[tenant].admits(now_, random_)) return shed(arrived.id, SheddingReason::kOverTenantLimit);
+    if (!tenants_[tenant].admit(now_, random_)) return shed(arrived.id, SheddingReason::kOverTenantLimit);
     const std::size_t request_class = std::min(arrived.request_class, settings_.classes.size() - 1);
     if (has_too_little_time(request_class, arrived.time_left))
       return shed(arrived.id, SheddingReason::kTooLittleTime);
-    slow_start_.request_admitted(now_);
+    slow_start_.record_admission(now_);
 
     PendingRequest& request = pending_.add(arrived.id);
     request.tenant = tenant;
@@ -196,7 +196,7 @@
   // can retry it. Beyond the first tier all are sent, since a rejection would waste the work of the tiers
   // above.
   bool has_too_little_time(std::size_t request_class, double time_left) {
-    return settings_.tier == 0 && latency_.is_too_short(request_class, time_left) &&
+    return settings_.tier == 0 && latency_.usually_exceeds(request_class, time_left) &&
            random_.unit() >= kTooLittleTimeSampleRate;
   }
 
@@ -221,7 +221,7 @@
       retries_.on_retry_sent(consumes_budget);
     }
     Server& server = servers_[*selected];
-    slow_start_.spend(now_, server.endpoint, server.slow_start);
+    slow_start_.consume_token(now_, server.endpoint, server.slow_start);
     servers_.attempt_started(*selected, now_);
     const double send_by = deduplicated_until(settings_.classes[request.request_class], request);
     request.attempts.push_back({*selected, now_, server.endpoint.zone, server.endpoint.cell});
@@ -291,7 +291,7 @@
                             double class_mean) {
     const bool success = result.outcome == Outcome::kSuccess;
     if (success) {
-      server.accepted_at = std::max(server.accepted_at, attempt.sent_at);
+      server.last_answered_sent_at = std::max(server.last_answered_sent_at, attempt.sent_at);
       server.saturated_until = 0;
     }
     if (result.outcome == Outcome::kRejected) {
--- a/policy/endpoint_lease.h
+++ b/policy/endpoint_lease.h
@@ -42,7 +42,7 @@
   bool is_current() const { return list_is_current_ || duration_ == kForever; }
 
   // Whether a server may be used whose last accepted request was sent at `accepted_at`.
-  bool covers(double now, double accepted_at) const {
+  bool is_valid(double now, double accepted_at) const {
     if (is_current()) return true;
     const double confirmed_at = std::max(as_of_, accepted_at);
     double end = confirmed_at + duration_;
--- a/policy/latency_statistics.cpp
+++ b/policy/latency_statistics.cpp
@@ -11,7 +11,7 @@
 constexpr double kTailFactor = 1.5;           // multiple of the decaying maximum; likewise
 constexpr double kTailTimeConstant = 5;       // s
 constexpr double kTooShortFactor = 1;         // multiple of the mean
-constexpr double kMinSamples = 20;            // attempts before the mean is used for is_too_short()
+constexpr double kMinSamples = 20;            // attempts before the mean is used for usually_exceeds()
 constexpr double kMaxInitialObjective = 60;   // s; bounds the initial mean
 
 }  // namespace
@@ -31,12 +31,12 @@
   c.tail_updated_at = now;
 }
 
-double LatencyStatistics::upper_bound(std::size_t request_class) const {
+double LatencyStatistics::late_threshold(std::size_t request_class) const {
   const ClassLatency& c = classes_[request_class];
   return std::max(c.latency.mean + kUpperBoundDeviations * c.latency.deviation, kTailFactor * c.tail);
 }
 
-bool LatencyStatistics::is_too_short(std::size_t request_class, double time_left) const {
+bool LatencyStatistics::usually_exceeds(std::size_t request_class, double time_left) const {
   const Estimate& latency = classes_[request_class].latency;
   return latency.samples >= kMinSamples && time_left < kTooShortFactor * latency.mean;
 }
--- a/policy/latency_statistics.h
+++ b/policy/latency_statistics.h
@@ -20,9 +20,9 @@
   double mean(std::size_t request_class) const { return classes_[request_class].latency.mean; }
   double overall_mean() const { return overall_.mean; }
   // An attempt that takes longer than this, in seconds, is clearly late.
-  double upper_bound(std::size_t request_class) const;
+  double late_threshold(std::size_t request_class) const;
   // Whether requests of the class usually take longer than `time_left`; false until enough were observed.
-  bool is_too_short(std::size_t request_class, double time_left) const;
+  bool usually_exceeds(std::size_t request_class, double time_left) const;
 
  private:
   struct ClassLatency {
--- a/policy/random.h
+++ b/policy/random.h
@@ -19,7 +19,9 @@
   // Uniform in [0, 1).
   double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
   // Uniform in 0 .. n - 1.
-  std::size_t below(std::size_t n) { return static_cast<std::size_t>(unit() * static_cast<double>(n)); }
+  std::size_t uniform_index(std::size_t n) {
+    return static_cast<std::size_t>(unit() * static_cast<double>(n));
+  }
 
  private:
   std::uint64_t state_;
--- a/policy/retry_policy.cpp
+++ b/policy/retry_policy.cpp
@@ -26,7 +26,7 @@
 
 double RetryPolicy::attempt_timeout(double now, const PendingRequest& request) const {
   const double time_left = request.response_deadline - now;
-  const double upper_bound = latency_.upper_bound(request.request_class);
+  const double upper_bound = latency_.late_threshold(request.request_class);
   const bool can_retry =
       settings_.classes[request.request_class].idempotency != Idempotency::kNotIdempotent &&
       request.attempts.size() + 1 < static_cast<std::size_t>(settings_.max_attempts);
--- a/policy/server_selector.cpp
+++ b/policy/server_selector.cpp
@@ -23,7 +23,7 @@
 }  // namespace
 
 bool ServerSelector::is_confirmed(double now, const Server& server) const {
-  return inputs_.lease.covers(now, server.accepted_at);
+  return inputs_.lease.is_valid(now, server.last_answered_sent_at);
 }
 
 bool ServerSelector::is_safe(double now, const PendingRequest& request, const Server& server) const {
@@ -53,7 +53,7 @@
   for (int samples = 0; samples < kMaxSamples && candidates_.size() < 2; ++samples) {
     const bool only_local = candidates_.empty() && inputs_.subset.local_count() > 0;
     const std::size_t index =
-        members[random_.below(only_local ? inputs_.subset.local_count() : members.size())];
+        members[random_.uniform_index(only_local ? inputs_.subset.local_count() : members.size())];
     if (!candidates_.empty() && candidates_[0] == index) continue;
     if (is_usable(now, index, request, {})) candidates_.push_back(index);
   }
@@ -96,9 +96,9 @@
 std::size_t ServerSelector::choose(double now, const PendingRequest& request) {
   std::size_t local = 0;
   while (local < candidates_.size() && !inputs_.subset.is_remote(servers_[candidates_[local]])) ++local;
-  const std::size_t first = random_.below(local > 0 ? local : candidates_.size());
+  const std::size_t first = random_.uniform_index(local > 0 ? local : candidates_.size());
   if (candidates_.size() == 1) return candidates_[first];
-  std::size_t second = random_.below(candidates_.size() - 1);
+  std::size_t second = random_.uniform_index(candidates_.size() - 1);
   if (second >= first) ++second;
   const std::size_t a = candidates_[first], b = candidates_[second];
   std::size_t best = load_score(now, servers_[b]) < load_score(now, servers_[a]) ? b : a;
@@ -116,7 +116,7 @@
 std::optional<std::size_t> ServerSelector::select_unconfirmed(double now, const PendingRequest& request) {
   if (inputs_.lease.is_current() || now < next_unconfirmed_at_) return std::nullopt;
   const auto selection_order = [this](std::size_t index) {
-    return std::pair(servers_[index].unconfirmed_at, -servers_[index].accepted_at);
+    return std::pair(servers_[index].last_unconfirmed_use_at, -servers_[index].last_answered_sent_at);
   };
   std::optional<std::size_t> best;
   for (const std::size_t index : inputs_.subset.ready()) {
@@ -126,7 +126,7 @@
     if (!best || selection_order(index) < selection_order(*best)) best = index;
   }
   if (!best) return std::nullopt;
-  servers_[*best].unconfirmed_at = now;
+  servers_[*best].last_unconfirmed_use_at = now;
   next_unconfirmed_at_ = now + kUnconfirmedInterval;
   return best;
 }
--- a/policy/server_table.h
+++ b/policy/server_table.h
@@ -30,9 +30,9 @@
   bool slot_is_free = false;             // its index can be reused for another server
   double first_seen_at = 0;
 
-  bool in_subset = false;          // set by Subset
-  double accepted_at = kNever;     // when the last request that it answered successfully was sent
-  double unconfirmed_at = kNever;  // when it was last selected without a valid lease
+  bool in_subset = false;                   // set by Subset
+  double last_answered_sent_at = kNever;    // when the last request that it answered successfully was sent
+  double last_unconfirmed_use_at = kNever;  // when it was last selected without a valid lease
   double saturated_until = 0;  // after a rejection: when an attempt of this replica at it has probably ended
   Throughput throughput;
   OutlierDetector outlier;
--- a/policy/slow_start.cpp
+++ b/policy/slow_start.cpp
@@ -29,7 +29,7 @@
   return budget.tokens_ >= 1;
 }
 
-void SlowStart::spend(double now, const Endpoint& endpoint, SlowStartBudget& budget) const {
+void SlowStart::consume_token(double now, const Endpoint& endpoint, SlowStartBudget& budget) const {
   if (capacity(now, endpoint) < 1) budget.tokens_ -= 1;
 }
 
--- a/policy/slow_start.h
+++ b/policy/slow_start.h
@@ -29,7 +29,7 @@
  public:
   SlowStart(double min_capacity, double window) : min_capacity_(min_capacity), window_(window) {}
 
-  void request_admitted(double now) { admitted_rate_.add(now); }
+  void record_admission(double now) { admitted_rate_.add(now); }
 
   // The fraction of its full capacity that a server is certain to have reached, up to 1.
   double capacity(double now, const Endpoint& endpoint) const;
@@ -37,7 +37,7 @@
   // Whether the budget allows one more attempt. `total_weight`: the sum over all ready servers.
   bool allows(double now, const Endpoint& endpoint, SlowStartBudget& budget, double total_weight) const;
   // Takes a token for an attempt that is sent.
-  void spend(double now, const Endpoint& endpoint, SlowStartBudget& budget) const;
+  void consume_token(double now, const Endpoint& endpoint, SlowStartBudget& budget) const;
 
  private:
   static constexpr double kAdmittedTimeConstant = 5;  // s
--- a/policy/tenant_limiter.cpp
+++ b/policy/tenant_limiter.cpp
@@ -61,7 +61,7 @@
 }
 
 // The suppression factor is cached unless it is 0 or 1.
-bool TenantLimiter::admits(double now, Random& random) {
+bool TenantLimiter::admit(double now, Random& random) {
   double factor = suppression(window_.sums(now));
   if (factor > 0 && factor < 1) {
     if (now >= cached_until_) {
--- a/policy/tenant_limiter.h
+++ b/policy/tenant_limiter.h
@@ -16,7 +16,7 @@
   TenantLimiter(const Tenant& tenant, const Settings& settings);
 
   // Returns whether one more request is admitted; the request is counted either way.
-  bool admits(double now, Random& random);
+  bool admit(double now, Random& random);
 
   // Whether the tenant has stayed within its quota over the window. Its requests then get a higher
   // concurrency limit; otherwise tenants that flood the tier would use up all capacity. Lowering the limit
--- a/tests/policy/endpoint_lease_test.cpp
+++ b/tests/policy/endpoint_lease_test.cpp
@@ -43,20 +43,20 @@
 TEST(EndpointLease, HasNoEffectWithAnInfiniteDuration) {
   const EndpointLease lease(std::numeric_limits<double>::infinity());
   EXPECT_TRUE(lease.is_current());
-  EXPECT_TRUE(lease.covers(1e9, -1e9));
+  EXPECT_TRUE(lease.is_valid(1e9, -1e9));
 }
 
 TEST(EndpointLease, RunsFromTheListOrTheLastAcceptedRequest) {
   EndpointLease lease(kLease);
   lease.mark_list_current();
-  EXPECT_TRUE(lease.covers(100, 0));
+  EXPECT_TRUE(lease.is_valid(100, 0));
   lease.mark_list_stale(100);
-  EXPECT_TRUE(lease.covers(104.9, 0));
-  EXPECT_FALSE(lease.covers(105, 0));
-  EXPECT_TRUE(lease.covers(105, 101));
-  EXPECT_FALSE(lease.covers(106, 101));
+  EXPECT_TRUE(lease.is_valid(104.9, 0));
+  EXPECT_FALSE(lease.is_valid(105, 0));
+  EXPECT_TRUE(lease.is_valid(105, 101));
+  EXPECT_FALSE(lease.is_valid(106, 101));
   lease.mark_list_current();
-  EXPECT_TRUE(lease.covers(200, 101));
+  EXPECT_TRUE(lease.is_valid(200, 101));
 }
 
 TEST(EndpointLease, EndsSoonerForChangesFromBeforeDiscoveryMoved) {
@@ -64,10 +64,10 @@
   lease.mark_list_current();
   lease.mark_list_stale(100);
   lease.on_discovery_moved(100.5, 2);
-  EXPECT_TRUE(lease.covers(103.4, 0));
-  EXPECT_FALSE(lease.covers(103.5, 0));
-  EXPECT_TRUE(lease.covers(104, 100.6)) << "accepted after the move: the lease has its full duration";
-  EXPECT_FALSE(lease.covers(104, 100.4));
+  EXPECT_TRUE(lease.is_valid(103.4, 0));
+  EXPECT_FALSE(lease.is_valid(103.5, 0));
+  EXPECT_TRUE(lease.is_valid(104, 100.6)) << "accepted after the move: the lease has its full duration";
+  EXPECT_FALSE(lease.is_valid(104, 100.4));
 }
 
 TEST(StaleEndpointList, ExcludesARejectingServerWhenItsLeaseEnds) {
