--- a/include/thymewood/balancer.h
+++ b/include/thymewood/balancer.h
@@ -21,7 +21,7 @@
   double rate_limit = 0;          // learned limit, requests per second
   double suppression_factor = 0;  // 0: all requests admitted, 1: all denied
   double total = 0;               // requests in the sliding window
-  double declined = 0;            // denied requests among these
+  double denied = 0;              // denied requests among these
 };
 
 // A snapshot of the learned concurrency limit.
--- a/include/thymewood/events.h
+++ b/include/thymewood/events.h
@@ -71,8 +71,8 @@
 
 // Describes how a call to discovery failed, or how a watch ended.
 struct WatchFailure {
-  bool was_open = false;  // an open watch that had delivered a response
-  double waited = 0;      // how long the call waited for a response
+  bool had_responded = false;  // an open watch that had delivered a response
+  double wait_time = 0;        // how long the call waited for a response
 };
 
 // A response of discovery, or the failure of a call to it.
@@ -91,12 +91,13 @@
 // Settings::endpoint_lease is infinite.
 struct EndpointListFreshness {
   enum class State {
-    kCurrent,  // a watch is open and all of its updates have been delivered
-    kStale,    // no watch is open, or the watch has gone silent
-    kMoved     // discovery has moved to another address: changes it already had count as notified sooner
+    kCurrent,        // a watch is open and all of its updates have been delivered
+    kStale,          // no watch is open, or the watch has gone silent
+    kDiscoveryMoved  // discovery has moved to another address: changes it already had count as notified
+                     // sooner
   };
   State state = State::kCurrent;
-  double as_of = 0;  // with kStale: the time until which the list was current
+  double current_until = 0;  // with kStale: the time until which the list was current
 };
 
 // The live replicas of the load balancer and the rank of this one among them. Overrides the configured
--- a/node/discovery_connection.cpp
+++ b/node/discovery_connection.cpp
@@ -107,9 +107,9 @@
     if (error) event.with("error", error.message());
   }
   WatchFailure failure;
-  failure.was_open = has_response_;
+  failure.had_responded = has_response_;
   // A connection that was never established has not waited in discovery's queue.
-  if (is_request_sent_ && !has_response_) failure.waited = seconds_since(request_sent_at_);
+  if (is_request_sent_ && !has_response_) failure.wait_time = seconds_since(request_sent_at_);
   owner->on_ended(*this, {reason, error, failure, last_received_at_});
 }
 
--- a/node/dispatcher.cpp
+++ b/node/dispatcher.cpp
@@ -181,7 +181,7 @@
 }
 
 void Dispatcher::on_discovery_moved() {
-  post_event(EndpointListFreshness{EndpointListFreshness::State::kMoved});
+  post_event(EndpointListFreshness{EndpointListFreshness::State::kDiscoveryMoved});
 }
 
 void Dispatcher::on_watch_failed(const WatchFailure& failure) {
--- a/policy/balancer.cpp
+++ b/policy/balancer.cpp
@@ -114,8 +114,8 @@
         watch_backoff_.reset();
         return lease_.mark_list_current();
       case EndpointListFreshness::State::kStale:
-        return lease_.mark_list_stale(freshness.as_of);
-      case EndpointListFreshness::State::kMoved:
+        return lease_.mark_list_stale(freshness.current_until);
+      case EndpointListFreshness::State::kDiscoveryMoved:
         watch_backoff_.reset();
         return lease_.on_discovery_moved(now_, kDiscoveryMoveLeaseReduction);
     }
--- a/policy/watch_backoff.h
+++ b/policy/watch_backoff.h
@@ -33,13 +33,13 @@
   // s; delay before the next call.
   double next_delay(const std::optional<WatchFailure>& failure, Random& random) {
     if (!failure) return delay_after_unknown_failure(random);
-    if (failure->was_open)
+    if (failure->had_responded)
       return random.unit() *
              std::min(kMaxReopenDelay, poll_interval_ > 0 ? poll_interval_ / 4 : kMaxReopenDelay);
-    if (failure->waited >= kMinQueuedWait) {
+    if (failure->wait_time >= kMinQueuedWait) {
       const double interval =
           kMeanCallInterval * (kMinIntervalFraction + random.unit() * (2 - 2 * kMinIntervalFraction));
-      return std::max(kInitialDelay, interval - failure->waited);
+      return std::max(kInitialDelay, interval - failure->wait_time);
     }
     return delay_after_immediate_failure(random);
   }
--- a/tests/policy/tenant_limiter_test.cpp
+++ b/tests/policy/tenant_limiter_test.cpp
@@ -64,7 +64,7 @@
   EXPECT_GT(admitted, 0.8 * limit * 8);
   EXPECT_LT(admitted, 1.6 * limit * 8);
   EXPECT_NEAR(view.suppression_factor, 1 - view.rate_limit / (4 * limit), 0.05);
-  EXPECT_GT(view.declined, 0);
+  EXPECT_GT(view.denied, 0);
 }
 
 // Server errors can occur at any load and must not lower the limit of a tenant, least of all to a part of its
@@ -170,7 +170,7 @@
     if (!all<Send>(actions).empty()) replica.end("r" + std::to_string(i), Outcome::kSuccess);
   }
   EXPECT_GT(rejected, 300);
-  EXPECT_EQ(replica.balancer.tenant(replica.now, 0).declined, rejected);
+  EXPECT_EQ(replica.balancer.tenant(replica.now, 0).denied, rejected);
 }
 
 // Clients that are rejected at the same time must not retry at the same time.
