--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -37,7 +37,7 @@
       rapidjson::Document batch;
       batch.ParseInsitu(line.data());
       json::require_valid(batch);
-      turn = std::to_string(json::token(batch, "turn"));
+      turn = std::to_string(json::unsigned_integer(batch, "turn"));
       if (!write_line(adapter.process(batch))) return kExitOutputFailed;
     } catch (const std::exception& error) {
       std::fprintf(stderr, "thymewood_simulator_adapter: line %llu, turn %s: %s\n",
--- a/adapter/simulator_adapter.cpp
+++ b/adapter/simulator_adapter.cpp
@@ -11,7 +11,7 @@
 
 const rapidjson::StringBuffer& SimulatorAdapter::process(const Value& batch) {
   const double now = json::number(batch, "clock");
-  reply_.begin(json::token(batch, "turn"));
+  reply_.begin(json::unsigned_integer(batch, "turn"));
   for (const Value& node : json::array(batch, "nodes").GetArray()) process_node(now, node);
   return reply_.finish();
 }
@@ -36,7 +36,7 @@
 
 void SimulatorAdapter::process_event(double now, const Value& event_json,
                                      std::unique_ptr<Balancer>& balancer) {
-  const std::string_view kind = json::text(event_json, "kind");
+  const std::string_view kind = json::string(event_json, "kind");
   if (kind == "TABLE") {
     events_.read_endpoint_list(event_json);
   } else if (kind == "OPEN_INSTANCE") {
@@ -52,8 +52,8 @@
 void SimulatorAdapter::start_balancer(double now, const Value& event_json,
                                       std::unique_ptr<Balancer>& balancer) {
   balancer.reset();
-  const std::uint64_t seed = json::token(event_json, "initSeed");
-  const Settings settings = json::read_settings(json::need(event_json, "config"));
+  const std::uint64_t seed = json::unsigned_integer(event_json, "initSeed");
+  const Settings settings = json::read_settings(json::required_field(event_json, "config"));
   json::validate_settings(settings);
   balancer = std::make_unique<Balancer>(settings, seed);
   actions_.clear();  // drops those of the previous instance, which ended in this batch
--- a/json/field_reader.cpp
+++ b/json/field_reader.cpp
@@ -17,7 +17,7 @@
     throw SyntaxError(rapidjson::GetParseError_En(document.GetParseError()), document.GetErrorOffset());
 }
 
-const Value* find(const Value& object, const char* field) {
+const Value* find_field(const Value& object, const char* field) {
   if (!object.IsObject())
     throw FieldError(field, "not an object",
                      std::string("not an object: expected one with field '") + field + "'");
@@ -25,65 +25,65 @@
   return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
 }
 
-const Value& need(const Value& object, const char* field) {
-  const Value* value = find(object, field);
+const Value& required_field(const Value& object, const char* field) {
+  const Value* value = find_field(object, field);
   if (value == nullptr) throw FieldError(field, "missing", std::string("field '") + field + "' is missing");
   return *value;
 }
 
-void wrong(const char* field, const char* expected) {
+void throw_invalid_field(const char* field, const char* expected) {
   const std::string reason = std::string("is not ") + expected;
   throw FieldError(field, reason, std::string("field '") + field + "' " + reason);
 }
 
 double number(const Value& object, const char* field) {
-  const Value& value = need(object, field);
-  if (!value.IsNumber()) wrong(field, "a number");
+  const Value& value = required_field(object, field);
+  if (!value.IsNumber()) throw_invalid_field(field, "a number");
   return value.GetDouble();
 }
 
 double number_or(const Value& object, const char* field, double default_value) {
-  return find(object, field) == nullptr ? default_value : number(object, field);
+  return find_field(object, field) == nullptr ? default_value : number(object, field);
 }
 
 int integer(const Value& object, const char* field) {
-  const Value& value = need(object, field);
+  const Value& value = required_field(object, field);
   if (value.IsInt()) return value.GetInt();
-  wrong(field, "an integer in range");
+  throw_invalid_field(field, "an integer in range");
 }
 
-int whole_or(const Value& object, const char* field, int default_value) {
-  return find(object, field) == nullptr ? default_value : integer(object, field);
+int integer_or(const Value& object, const char* field, int default_value) {
+  return find_field(object, field) == nullptr ? default_value : integer(object, field);
 }
 
 std::size_t index_or_zero(const Value& object, const char* field) {
-  const int value = whole_or(object, field, 0);
-  if (value < 0) wrong(field, "a non-negative integer");
+  const int value = integer_or(object, field, 0);
+  if (value < 0) throw_invalid_field(field, "a non-negative integer");
   return static_cast<std::size_t>(value);
 }
 
-bool flag(const Value& object, const char* field) {
-  const Value* value = find(object, field);
+bool boolean_or_false(const Value& object, const char* field) {
+  const Value* value = find_field(object, field);
   if (value == nullptr) return false;
-  if (!value->IsBool()) wrong(field, "true or false");
+  if (!value->IsBool()) throw_invalid_field(field, "true or false");
   return value->GetBool();
 }
 
-std::string_view text(const Value& object, const char* field) {
-  const Value& value = need(object, field);
-  if (!value.IsString()) wrong(field, "a string");
+std::string_view string(const Value& object, const char* field) {
+  const Value& value = required_field(object, field);
+  if (!value.IsString()) throw_invalid_field(field, "a string");
   return {value.GetString(), value.GetStringLength()};
 }
 
-std::uint64_t token(const Value& object, const char* field) {
-  const Value& value = need(object, field);
-  if (!value.IsUint64()) wrong(field, "an unsigned 64-bit integer");
+std::uint64_t unsigned_integer(const Value& object, const char* field) {
+  const Value& value = required_field(object, field);
+  if (!value.IsUint64()) throw_invalid_field(field, "an unsigned 64-bit integer");
   return value.GetUint64();
 }
 
 const Value& array(const Value& object, const char* field) {
-  const Value& value = need(object, field);
-  if (!value.IsArray()) wrong(field, "an array");
+  const Value& value = required_field(object, field);
+  if (!value.IsArray()) throw_invalid_field(field, "an array");
   return value;
 }
 
--- a/json/field_reader.h
+++ b/json/field_reader.h
@@ -46,19 +46,19 @@
 void require_valid(const rapidjson::Document& document);
 
 // Returns nullptr if the field is absent or null. This and all readers below throw FieldError.
-[[nodiscard]] const Value* find(const Value& object, const char* field);
-const Value& need(const Value& object, const char* field);
+[[nodiscard]] const Value* find_field(const Value& object, const char* field);
+const Value& required_field(const Value& object, const char* field);
 // Throws FieldError. `expected`: what the value must be.
-[[noreturn]] void wrong(const char* field, const char* expected);
+[[noreturn]] void throw_invalid_field(const char* field, const char* expected);
 
 double number(const Value& object, const char* field);
 double number_or(const Value& object, const char* field, double default_value);
 int integer(const Value& object, const char* field);
-int whole_or(const Value& object, const char* field, int default_value);
+int integer_or(const Value& object, const char* field, int default_value);
 std::size_t index_or_zero(const Value& object, const char* field);
-bool flag(const Value& object, const char* field);  // false if the field is absent
-std::string_view text(const Value& object, const char* field);
-std::uint64_t token(const Value& object, const char* field);
+bool boolean_or_false(const Value& object, const char* field);  // false if the field is absent
+std::string_view string(const Value& object, const char* field);
+std::uint64_t unsigned_integer(const Value& object, const char* field);
 const Value& array(const Value& object, const char* field);
 
 }  // namespace thymewood::json
--- a/json/settings_reader.cpp
+++ b/json/settings_reader.cpp
@@ -94,7 +94,7 @@
 }
 
 Idempotency read_idempotency(const Value& in) {
-  const std::string_view value = text(in, key::kIdempotency);
+  const std::string_view value = string(in, key::kIdempotency);
   if (value == "safe") return Idempotency::kIdempotent;
   if (value == "keyed") return Idempotency::kIdempotentWithKey;
   if (value == "unsafe") return Idempotency::kNotIdempotent;
@@ -102,7 +102,7 @@
 }
 
 DedupScope read_dedup_scope(const Value& in) {
-  const std::string_view value = text(in, key::kDedupScope);
+  const std::string_view value = string(in, key::kDedupScope);
   if (value == "all") return DedupScope::kAll;
   if (value == "zone") return DedupScope::kZone;
   if (value == "cell") return DedupScope::kCell;
@@ -125,15 +125,16 @@
 
 Tenant read_tenant(const Value& in) {
   Tenant out;
-  if (find(in, key::kQuota) != nullptr) out.quota = number(in, key::kQuota);
+  if (find_field(in, key::kQuota) != nullptr) out.quota = number(in, key::kQuota);
   return out;
 }
 
 void read_bounds(const Value& in, Settings& out) {
-  out.max_attempts = whole_or(in, key::kMaxAttempts, 1);
-  out.can_hedge = flag(in, key::kCanHedge);
-  out.can_cancel = flag(in, key::kCanCancel);
-  out.max_retry_after = flag(in, key::kHonorsRetryAfter) ? number_or(in, key::kMaxRetryAfter, 0) : 0;
+  out.max_attempts = integer_or(in, key::kMaxAttempts, 1);
+  out.can_hedge = boolean_or_false(in, key::kCanHedge);
+  out.can_cancel = boolean_or_false(in, key::kCanCancel);
+  out.max_retry_after =
+      boolean_or_false(in, key::kHonorsRetryAfter) ? number_or(in, key::kMaxRetryAfter, 0) : 0;
 }
 
 void read_rules(const Value& in, Settings& out) {
@@ -151,18 +152,18 @@
   Settings out;
   out.replica_index = integer(in, key::kReplicaIndex);
   out.replica_count = integer(in, key::kReplicaCount);
-  out.tier = whole_or(in, key::kTier, 0);
-  out.zone = whole_or(in, key::kZone, 0);
+  out.tier = integer_or(in, key::kTier, 0);
+  out.zone = integer_or(in, key::kZone, 0);
   out.clock_granularity = number_or(in, key::kClockGranularity, 0);
   for (const Value& item : array(in, key::kClasses).GetArray()) out.classes.push_back(read_class(item));
-  if (find(in, key::kTenants) != nullptr) {
+  if (find_field(in, key::kTenants) != nullptr) {
     for (const Value& item : array(in, key::kTenants).GetArray()) out.tenants.push_back(read_tenant(item));
   }
   out.over_quota_weight = number_or(in, key::kOverQuotaWeight, 1);
-  read_bounds(need(in, key::kBounds), out);
-  out.uses_watch = find(in, key::kWatchMode) != nullptr && text(in, key::kWatchMode) == "subscribe";
-  if (const Value* rules = find(in, key::kRules)) read_rules(*rules, out);
-  if (const Value* costs = find(in, key::kCosts))
+  read_bounds(required_field(in, key::kBounds), out);
+  out.uses_watch = find_field(in, key::kWatchMode) != nullptr && string(in, key::kWatchMode) == "subscribe";
+  if (const Value* rules = find_field(in, key::kRules)) read_rules(*rules, out);
+  if (const Value* costs = find_field(in, key::kCosts))
     out.cross_zone_cost = number_or(*costs, key::kCrossZoneCost, 0);
   return out;
 }
--- a/node/config.cpp
+++ b/node/config.cpp
@@ -43,19 +43,19 @@
 }
 
 std::uint64_t read_seed(const json::Value& in) {
-  const std::string_view digits = json::text(in, "seed");
+  const std::string_view digits = json::string(in, "seed");
   std::uint64_t seed = 0;
   const auto [end, conversion_error] =
       std::from_chars(digits.data(), digits.data() + digits.size(), seed, 16);
   if (conversion_error != std::errc() || end != digits.data() + digits.size()) {
-    json::wrong("seed", "a hexadecimal number");
+    json::throw_invalid_field("seed", "a hexadecimal number");
   }
   return seed;
 }
 
 asio::ip::tcp::endpoint to_socket_address(std::string_view text, const char* field) {
   const auto address = parse_socket_address(text);
-  if (!address) json::wrong(field, "an address with a port");
+  if (!address) json::throw_invalid_field(field, "an address with a port");
   return *address;
 }
 
@@ -66,33 +66,33 @@
 
 double read_timeout(const json::Value& in, const char* field, double default_seconds) {
   const double seconds = json::number_or(in, field, default_seconds);
-  if (!(seconds > 0 && seconds < kMaxTimeout)) json::wrong(field, "a number above 0");
+  if (!(seconds > 0 && seconds < kMaxTimeout)) json::throw_invalid_field(field, "a number above 0");
   return seconds;
 }
 
 void read_limits(const json::Value& in, Config& config) {
-  const json::Value* const limits = json::find(in, "limits");
+  const json::Value* const limits = json::find_field(in, "limits");
   const int descriptors =
-      limits != nullptr ? json::whole_or(*limits, "sockets", kDefaultDescriptors) : kDefaultDescriptors;
-  if (descriptors < kMinDescriptors) json::wrong("sockets", "at least 64");
+      limits != nullptr ? json::integer_or(*limits, "sockets", kDefaultDescriptors) : kDefaultDescriptors;
+  if (descriptors < kMinDescriptors) json::throw_invalid_field("sockets", "at least 64");
   config.max_descriptors = static_cast<std::size_t>(descriptors);
   const int memory_mib =
-      limits != nullptr ? json::whole_or(*limits, "memory_mb", kDefaultMemoryMib) : kDefaultMemoryMib;
-  if (memory_mib < kMinMemoryMib) json::wrong("memory_mb", "at least 8");
+      limits != nullptr ? json::integer_or(*limits, "memory_mb", kDefaultMemoryMib) : kDefaultMemoryMib;
+  if (memory_mib < kMinMemoryMib) json::throw_invalid_field("memory_mb", "at least 8");
   config.memory_bytes = static_cast<std::size_t>(memory_mib) * kBytesPerMib;
 }
 
 std::vector<std::string> read_names(const json::Value& list) {
   std::vector<std::string> names;
-  for (const json::Value& item : list.GetArray()) names.emplace_back(json::text(item, "name"));
+  for (const json::Value& item : list.GetArray()) names.emplace_back(json::string(item, "name"));
   return names;
 }
 
 ZoneNames read_zones(const json::Value& settings) {
   ZoneNames zones;
-  if (json::find(settings, "azs") == nullptr) return zones;
+  if (json::find_field(settings, "azs") == nullptr) return zones;
   for (const json::Value& zone : json::array(settings, "azs").GetArray()) {
-    if (!zone.IsString()) json::wrong("azs", "an array of strings");
+    if (!zone.IsString()) json::throw_invalid_field("azs", "an array of strings");
     zones.names.emplace_back(zone.GetString(), zone.GetStringLength());
   }
   return zones;
@@ -112,43 +112,45 @@
   config.connect_timeout = read_timeout(bounds, "dialTimeout", kDefaultConnectTimeout);
   config.server_idle_timeout = read_timeout(bounds, "idleClose", kDefaultServerIdleTimeout);
   config.settings.endpoint_lease = endpoint_lease_of(config.settings, config.connect_timeout);
-  const int max_pending = json::whole_or(bounds, "maxOpen", kDefaultMaxPendingRequests);
-  if (max_pending < 1) json::wrong("maxOpen", "at least 1");
+  const int max_pending = json::integer_or(bounds, "maxOpen", kDefaultMaxPendingRequests);
+  if (max_pending < 1) json::throw_invalid_field("maxOpen", "at least 1");
   config.max_pending_requests = static_cast<std::size_t>(max_pending);
 }
 
 void read_settings_section(const json::Value& in, Config& config) {
-  const json::Value& settings = json::need(in, "settings");
+  const json::Value& settings = json::required_field(in, "settings");
   config.settings = json::read_settings(settings);
   config.class_names = read_names(json::array(settings, "categories"));
-  if (json::find(settings, "realms") != nullptr)
+  if (json::find_field(settings, "realms") != nullptr)
     config.tenant_names = read_names(json::array(settings, "realms"));
   config.zones = read_zones(settings);
-  read_bounds(json::need(settings, "bounds"), config);
+  read_bounds(json::required_field(settings, "bounds"), config);
 }
 
 // Messages between replicas require the platform's permission, a listen address and the addresses of the
 // peers.
 std::optional<PeerAddresses> read_peers(const json::Value& in, const Settings& settings) {
-  const json::Value* const permitted = json::find(json::need(json::need(in, "settings"), "bounds"), "peers");
+  const json::Value* const permitted =
+      json::find_field(json::required_field(json::required_field(in, "settings"), "bounds"), "peers");
   if (permitted == nullptr || !permitted->IsBool() || !permitted->GetBool()) return std::nullopt;
-  if (json::find(in, "peer_listen") == nullptr || json::find(in, "peers") == nullptr) return std::nullopt;
+  if (json::find_field(in, "peer_listen") == nullptr || json::find_field(in, "peers") == nullptr)
+    return std::nullopt;
   PeerAddresses peers;
-  peers.listen = to_peer_address(json::text(in, "peer_listen"), "peer_listen");
+  peers.listen = to_peer_address(json::string(in, "peer_listen"), "peer_listen");
   for (const json::Value& peer : json::array(in, "peers").GetArray()) {
-    if (!peer.IsString()) json::wrong("peers", "an array of addresses with ports");
+    if (!peer.IsString()) json::throw_invalid_field("peers", "an array of addresses with ports");
     peers.peers.push_back(to_peer_address({peer.GetString(), peer.GetStringLength()}, "peers"));
   }
   if (static_cast<std::size_t>(settings.replica_index) >= peers.peers.size())
-    json::wrong("peers", "an address for this node's own position");
-  if (peers.peers.size() > kMaxPeers) json::wrong("peers", "60000 addresses at most");
-  if (json::find(in, "peers_all") != nullptr)
-    peers.broadcast = to_peer_address(json::text(in, "peers_all"), "peers_all");
+    json::throw_invalid_field("peers", "an address for this node's own position");
+  if (peers.peers.size() > kMaxPeers) json::throw_invalid_field("peers", "60000 addresses at most");
+  if (json::find_field(in, "peers_all") != nullptr)
+    peers.broadcast = to_peer_address(json::string(in, "peers_all"), "peers_all");
   return peers;
 }
 
 void read_known_endpoints(const json::Value& in, const Clock& clock, Config& config) {
-  const json::Value* const known = json::find(in, "known");
+  const json::Value* const known = json::find_field(in, "known");
   if (known == nullptr) return;
   try {
     config.known_endpoints = read_endpoint_list(*known, config.zones, clock.reading(), config.start_times);
@@ -168,11 +170,11 @@
   const char* key = "";
   try {
     key = "name";
-    config.name = json::find(in, key) != nullptr ? std::string(json::text(in, key)) : "node";
+    config.name = json::find_field(in, key) != nullptr ? std::string(json::string(in, key)) : "node";
     key = "listen";
-    config.listen_address = to_socket_address(json::text(in, key), key);
+    config.listen_address = to_socket_address(json::string(in, key), key);
     key = "discovery";
-    config.discovery_address = to_socket_address(json::text(in, key), key);
+    config.discovery_address = to_socket_address(json::string(in, key), key);
     key = "seed";
     config.seed = read_seed(in);
     key = "limits";
--- a/node/endpoint_list.cpp
+++ b/node/endpoint_list.cpp
@@ -45,35 +45,35 @@
 constexpr std::uint64_t kMaxUnixMs = 1ULL << 53;  // largest integer that every JSON parser represents exactly
 
 EndpointState read_state(const json::Value& entry) {
-  const std::string_view state = json::text(entry, wire::kState);
+  const std::string_view state = json::string(entry, wire::kState);
   if (state == "up") return EndpointState::kReady;
   if (state == "draining") return EndpointState::kDraining;
   if (state == "removed") return EndpointState::kRemoved;
-  json::wrong(wire::kState, "up, draining or removed");
+  json::throw_invalid_field(wire::kState, "up, draining or removed");
 }
 
 // Fills in `listed` field by field, so that the fields before an invalid one are kept.
 void read_entry(const json::Value& entry, const ZoneNames& zones, const ClockReading& now,
                 StartTimes& start_times, ListedEndpoint& listed) {
   Endpoint& endpoint = listed.endpoint;
-  endpoint.address = json::text(entry, wire::kName);
-  if (endpoint.address.empty()) json::wrong(wire::kName, "a name");
+  endpoint.address = json::string(entry, wire::kName);
+  if (endpoint.address.empty()) json::throw_invalid_field(wire::kName, "a name");
   endpoint.state = read_state(entry);
   // For a removed server only the name is required.
-  if (json::find(entry, wire::kSocketAddress) != nullptr || endpoint.state != EndpointState::kRemoved) {
-    const auto address = parse_socket_address(json::text(entry, wire::kSocketAddress));
-    if (!address) json::wrong(wire::kSocketAddress, "an address with a port");
+  if (json::find_field(entry, wire::kSocketAddress) != nullptr || endpoint.state != EndpointState::kRemoved) {
+    const auto address = parse_socket_address(json::string(entry, wire::kSocketAddress));
+    if (!address) json::throw_invalid_field(wire::kSocketAddress, "an address with a port");
     listed.socket_address = *address;
   }
-  if (json::find(entry, wire::kZone) != nullptr) {
-    const auto it = std::find(zones.names.begin(), zones.names.end(), json::text(entry, wire::kZone));
+  if (json::find_field(entry, wire::kZone) != nullptr) {
+    const auto it = std::find(zones.names.begin(), zones.names.end(), json::string(entry, wire::kZone));
     endpoint.zone = static_cast<int>(it - zones.names.begin());
   }
-  endpoint.cell = json::whole_or(entry, wire::kCell, 0);
+  endpoint.cell = json::integer_or(entry, wire::kCell, 0);
   endpoint.weight = json::number_or(entry, wire::kWeight, 1);
-  if (json::find(entry, wire::kStartedAt) != nullptr) {
+  if (json::find_field(entry, wire::kStartedAt) != nullptr) {
     const auto unix_ms =
-        static_cast<std::int64_t>(std::min(json::token(entry, wire::kStartedAt), kMaxUnixMs));
+        static_cast<std::int64_t>(std::min(json::unsigned_integer(entry, wire::kStartedAt), kMaxUnixMs));
     endpoint.started_at = start_times.started_at(endpoint.address, unix_ms, now);
   }
 }
@@ -83,8 +83,8 @@
 EndpointList read_endpoint_list(const json::Value& in, const ZoneNames& zones, const ClockReading& now,
                                 StartTimes& start_times) {
   EndpointList list;
-  list.version = json::token(in, wire::kVersion);
-  list.is_full = json::flag(in, wire::kIsFull);
+  list.version = json::unsigned_integer(in, wire::kVersion);
+  list.is_full = json::boolean_or_false(in, wire::kIsFull);
   std::size_t position = 0;
   for (const json::Value& entry : json::array(in, wire::kEndpoints).GetArray()) {
     ListedEndpoint listed;
