--- a/node/main.cpp
+++ b/node/main.cpp
@@ -29,10 +29,10 @@
   return kExitBadConfiguration;
 }
 
-thymewood::operators::OperatorsFile read_operators_file_from_environment() {
+thymewood::operators::OperatorConfig read_operators_file_from_environment() {
   const char* const path = std::getenv("THYMEWOOD_OPERATORS");
   if (path == nullptr || *path == '\0') return {};
-  return thymewood::operators::read_operators_file(path);
+  return thymewood::operators::load_operator_config(path);
 }
 
 int run(const char* config_path) {
@@ -43,7 +43,7 @@
   asio::signal_set reload_signals(io, SIGHUP), stop_signals(io, SIGTERM, SIGINT);
   const node::Clock clock;
   node::Config config;
-  thymewood::operators::OperatorsFile operators;
+  thymewood::operators::OperatorConfig operators;
   try {
     config = node::read_config(config_path, clock);
     operators = read_operators_file_from_environment();
--- a/operators/operators_file.cpp
+++ b/operators/operators_file.cpp
@@ -61,37 +61,37 @@
 
 }  // namespace
 
-InvalidOperatorsFile::InvalidOperatorsFile(const std::string& file, std::uint32_t line,
-                                           const std::string& key, const std::string& reason)
+InvalidOperatorConfig::InvalidOperatorConfig(const std::string& file, std::uint32_t line,
+                                             const std::string& key, const std::string& reason)
     : std::runtime_error(message_of(file, line, key, reason)),
       file_(file),
       line_(line),
       key_(key),
       reason_(reason) {}
 
-OperatorsFile parse_operators_file(const std::string& text, const std::string& name) {
+OperatorConfig parse_operator_config(const std::string& text, const std::string& name) {
   try {
     const toml::table document = toml::parse(text);
     TomlTable root(name, document);
-    OperatorsFile out;
+    OperatorConfig out;
     if (const std::optional<TomlTable> table = root.table("fleet"))
       out.replica_set = read_replica_set(*table);
     root.reject_unknown_keys();
     return out;
   } catch (const toml::parse_error& error) {
-    throw InvalidOperatorsFile(name, error.source().begin.line, "", std::string(error.description()));
+    throw InvalidOperatorConfig(name, error.source().begin.line, "", std::string(error.description()));
   }
 }
 
-OperatorsFile read_operators_file(const std::string& path) {
+OperatorConfig load_operator_config(const std::string& path) {
   std::error_code ignored;
   if (!std::filesystem::exists(path, ignored)) return {};
   std::ifstream in(path, std::ios::binary);
   std::ostringstream text;
   text << in.rdbuf();
   if (!in || std::filesystem::is_directory(path, ignored))
-    throw InvalidOperatorsFile(path, 0, "", "cannot be read");
-  return parse_operators_file(text.str(), path);
+    throw InvalidOperatorConfig(path, 0, "", "cannot be read");
+  return parse_operator_config(text.str(), path);
 }
 
 }  // namespace thymewood::operators
--- a/operators/operators_file.h
+++ b/operators/operators_file.h
@@ -21,16 +21,16 @@
   bool rejects_when_isolated = false;  // key refuse_when_cut_off: isolated from most nodes and most servers
 };
 
-struct OperatorsFile {
+struct OperatorConfig {
   ReplicaSetOptions replica_set;
 };
 
 // what() is one line: file, line, key and reason.
-class InvalidOperatorsFile : public std::runtime_error {
+class InvalidOperatorConfig : public std::runtime_error {
  public:
   // `line`: 0 if the error concerns the file as a whole. `key`: empty if it concerns no single key.
-  InvalidOperatorsFile(const std::string& file, std::uint32_t line, const std::string& key,
-                       const std::string& reason);
+  InvalidOperatorConfig(const std::string& file, std::uint32_t line, const std::string& key,
+                        const std::string& reason);
   [[nodiscard]] const std::string& file() const { return file_; }
   [[nodiscard]] std::uint32_t line() const { return line_; }
   [[nodiscard]] const std::string& key() const { return key_; }
@@ -43,9 +43,9 @@
   std::string reason_;
 };
 
-// Throws InvalidOperatorsFile. A missing file leaves everything off; a file that exists but cannot be read is
-// an error.
-[[nodiscard]] OperatorsFile read_operators_file(const std::string& path);
-[[nodiscard]] OperatorsFile parse_operators_file(const std::string& text, const std::string& name);
+// Throws InvalidOperatorConfig. A missing file leaves everything off; a file that exists but cannot be read
+// is an error.
+[[nodiscard]] OperatorConfig load_operator_config(const std::string& path);
+[[nodiscard]] OperatorConfig parse_operator_config(const std::string& text, const std::string& name);
 
 }  // namespace thymewood::operators
--- a/operators/toml_table.cpp
+++ b/operators/toml_table.cpp
@@ -20,7 +20,7 @@
 void TomlTable::reject(const char* key, const std::string& reason) const {
   const toml::node* node = table_.get(key);
   const toml::source_region& where = node == nullptr ? table_.source() : node->source();
-  throw InvalidOperatorsFile(file_, where.begin.line, key, reason);
+  throw InvalidOperatorConfig(file_, where.begin.line, key, reason);
 }
 
 std::optional<double> TomlTable::number(const char* key, double min, double max) {
--- a/operators/toml_table.h
+++ b/operators/toml_table.h
@@ -10,7 +10,7 @@
 
 namespace thymewood::operators {
 
-// All errors are thrown as InvalidOperatorsFile with the line of the key.
+// All errors are thrown as InvalidOperatorConfig with the line of the key.
 class TomlTable {
  public:
   // Both arguments must outlive the reader.
--- a/tests/operators/operators_file_test.cpp
+++ b/tests/operators/operators_file_test.cpp
@@ -13,21 +13,21 @@
 
 std::string error_of(const std::string& text) {
   try {
-    static_cast<void>(parse_operators_file(text, "o.toml"));
+    static_cast<void>(parse_operator_config(text, "o.toml"));
     return "";
-  } catch (const InvalidOperatorsFile& error) {
+  } catch (const InvalidOperatorConfig& error) {
     return error.what();
   }
 }
 
 TEST(OperatorsFile, WithoutAFileOrATableEverythingIsOff) {
-  EXPECT_FALSE(read_operators_file("/no/such/file").replica_set.enabled);
-  EXPECT_FALSE(parse_operators_file("", "o.toml").replica_set.enabled);
-  EXPECT_FALSE(parse_operators_file("[fleet]\nperiod_ms = 100\n", "o.toml").replica_set.enabled);
+  EXPECT_FALSE(load_operator_config("/no/such/file").replica_set.enabled);
+  EXPECT_FALSE(parse_operator_config("", "o.toml").replica_set.enabled);
+  EXPECT_FALSE(parse_operator_config("[fleet]\nperiod_ms = 100\n", "o.toml").replica_set.enabled);
 }
 
 TEST(OperatorsFile, ExampleIsOffAndStatesTheDefaults) {
-  const ReplicaSetOptions example = read_operators_file(DEPLOY "/operators.toml").replica_set;
+  const ReplicaSetOptions example = load_operator_config(DEPLOY "/operators.toml").replica_set;
   EXPECT_FALSE(example.enabled);
   const ReplicaSetOptions defaults;
   EXPECT_EQ(example.name, defaults.name);
@@ -42,7 +42,7 @@
 
 TEST(OperatorsFile, DefaultTimesScaleWithTheProbeInterval) {
   const ReplicaSetOptions options =
-      parse_operators_file("[fleet]\nenabled = true\nperiod_ms = 200\nname = \"x\"\n", "o").replica_set;
+      parse_operator_config("[fleet]\nenabled = true\nperiod_ms = 200\nname = \"x\"\n", "o").replica_set;
   EXPECT_TRUE(options.enabled);
   EXPECT_EQ(options.name, "x");
   EXPECT_DOUBLE_EQ(options.detector.probe_interval, 0.2);
@@ -78,7 +78,7 @@
 TEST(OperatorsFile, AnUnreadableFileIsAnError) {
   const std::string directory = testing::TempDir() + "/operators_" + std::to_string(::getpid());
   std::filesystem::create_directories(directory);
-  EXPECT_THROW(static_cast<void>(read_operators_file(directory)), InvalidOperatorsFile);
+  EXPECT_THROW(static_cast<void>(load_operator_config(directory)), InvalidOperatorConfig);
   std::filesystem::remove_all(directory);
 }
 
