--- a/fleet_rig/mutations.py
+++ b/fleet_rig/mutations.py
@@ -101,7 +101,7 @@
         original='request->is_attempt_open.push_back(true);',
         replacement='static int n = 0;\n'
                     '  if (++n % 200 == 0) upstream_.start(action.server, request->message, {timeout, timeout}, true,\n'
-                    '                                      {[] { return true; }, [](Upstream::End&&) {}});\n'
+                    '                                      {[] { return true; }, [](Upstream::Result&&) {}});\n'
                     '  request->is_attempt_open.push_back(true);',
         scenario='calm',
         expected='no-double-effect',
--- a/node/client_session.cpp
+++ b/node/client_session.cpp
@@ -269,12 +269,12 @@
   // was suspended or while the connection was in the listen queue, and the client may have disconnected
   // since.
   const SocketArrival arrival = read_socket_arrival(socket_.native_handle());
-  const bool may_have_closed = !arrival.known || arrival.age >= kLateRead || reader_.buffered() > 0;
+  const bool may_have_closed = !arrival.known || arrival.age >= kLateReadThreshold || reader_.buffered() > 0;
   if (may_have_closed && !read_available()) {
     return reader_.is_peer_closed() ? close(SessionEnd::kClientClosed) : shed();
   }
   // The dispatcher's deadline margin covers shorter delays.
-  event.time_left -= std::max(0.0, arrival.age - kLateRead);
+  event.time_left -= std::max(0.0, arrival.age - kLateReadThreshold);
   dispatch(std::move(event), std::move(request));
 }
 
--- a/node/dispatcher.cpp
+++ b/node/dispatcher.cpp
@@ -122,7 +122,7 @@
   requests_.respond(*request, {was_sent ? FinalResponse::Kind::kFailed : FinalResponse::Kind::kRejected,
                                was_sent ? 0 : default_retry_after_,
                                {}});
-  requests_.withdraw_attempts(*request);
+  requests_.cancel_unsent_attempts(*request);
   post_event(RequestAbandoned{id});
   requests_.remove_if_complete(id);
 }
@@ -240,7 +240,8 @@
   if (pending != nullptr && !pending->has_open_attempt()) perform(Fail{new_request->id});
 }
 
-void Dispatcher::on_attempt_ended(const std::string& id, int attempt, double sent_at, Upstream::End&& end) {
+void Dispatcher::on_attempt_ended(const std::string& id, int attempt, double sent_at,
+                                  Upstream::Result&& end) {
   PendingRequest* const request = requests_.find(id);
   if (request == nullptr) return;
   request->is_attempt_open[static_cast<std::size_t>(attempt)] = false;
@@ -262,7 +263,7 @@
   event.attempt = attempt;
   event.outcome = end.outcome;
   // Excludes the time that a complete response stayed unread while this process was paused.
-  event.elapsed = std::max(0.0, clock_.now() - sent_at - end.unread);
+  event.elapsed = std::max(0.0, clock_.now() - sent_at - end.unread_time);
   event.request_complete = request->is_answered();
   post_event(std::move(event));
   requests_.remove_if_complete(id);
@@ -288,7 +289,7 @@
   request->attempts.push_back(upstream_.start(action.server, request->message, {timeout, send_by},
                                               request->is_retryable,
                                               {[this, id = action.id] { return may_send(id); },
-                                               [this, id = action.id, attempt, now](Upstream::End&& end) {
+                                               [this, id = action.id, attempt, now](Upstream::Result&& end) {
                                                  on_attempt_ended(id, attempt, now, std::move(end));
                                                }}));
 }
@@ -300,7 +301,7 @@
   refresh_list(now);
   const PendingRequest* const request = requests_.find_unanswered(id);
   if (request == nullptr) return false;
-  if (now - request->received_at < kLateRead) return true;
+  if (now - request->received_at < kLateReadThreshold) return true;
   const auto is_client_waiting = request->is_client_waiting;
   return (*is_client_waiting)();
 }
--- a/node/dispatcher.h
+++ b/node/dispatcher.h
@@ -69,7 +69,7 @@
   void post_event(Event event);
   void dispatch(const Event& event);
   void on_first_list();
-  void on_attempt_ended(const std::string& id, int attempt, double sent_at, Upstream::End&& end);
+  void on_attempt_ended(const std::string& id, int attempt, double sent_at, Upstream::Result&& end);
   void on_deadline(const std::string& id);
   void set_ready(const std::string& server, bool is_ready);
   void remove_unlisted(const EndpointList& list);
--- a/node/pending_requests.cpp
+++ b/node/pending_requests.cpp
@@ -85,12 +85,12 @@
 void PendingRequests::abandon(PendingRequest& request) {
   request.on_response = nullptr;
   request.deadline_timer.reset();
-  withdraw_attempts(request);
+  cancel_unsent_attempts(request);
 }
 
-void PendingRequests::withdraw_attempts(const PendingRequest& request) {
+void PendingRequests::cancel_unsent_attempts(const PendingRequest& request) {
   for (std::size_t i = 0; i < request.attempts.size(); ++i) {
-    if (request.is_attempt_open[i]) upstream_.withdraw(request.attempts[i]);
+    if (request.is_attempt_open[i]) upstream_.cancel_if_unsent(request.attempts[i]);
   }
 }
 
--- a/node/pending_requests.h
+++ b/node/pending_requests.h
@@ -74,7 +74,7 @@
   void abandon(PendingRequest& request);
   // Ends the attempts whose request is not yet fully written. The settings determine whether the others are
   // cancelled.
-  void withdraw_attempts(const PendingRequest& request);
+  void cancel_unsent_attempts(const PendingRequest& request);
   // Removes the request if it needs no response any more and has no attempt in flight.
   void remove_if_complete(const std::string& id);
 
--- a/node/socket_arrival.h
+++ b/node/socket_arrival.h
@@ -21,7 +21,7 @@
 
 // The client of a request that was unread for longer may have disconnected, which is checked before
 // forwarding. Shorter delays are attributed to a busy event loop.
-constexpr double kLateRead = 0.020;  // s
+constexpr double kLateReadThreshold = 0.020;  // s
 
 // If a response was unread for longer, this process had been suspended, and the delay is excluded from the
 // server's response time. Shorter delays are included: a node that is short of CPU time must include its own
--- a/node/upstream.cpp
+++ b/node/upstream.cpp
@@ -47,8 +47,8 @@
   if (const std::shared_ptr<UpstreamAttempt> attempt = handle.lock()) attempt->shorten_deadline(deadline);
 }
 
-void Upstream::withdraw(const Handle& handle) {
-  if (const std::shared_ptr<UpstreamAttempt> attempt = handle.lock()) attempt->withdraw();
+void Upstream::cancel_if_unsent(const Handle& handle) {
+  if (const std::shared_ptr<UpstreamAttempt> attempt = handle.lock()) attempt->cancel_if_unsent();
 }
 
 void Upstream::cancel(const Handle& handle) {
--- a/node/upstream.h
+++ b/node/upstream.h
@@ -22,7 +22,7 @@
 class Upstream final : private ConnectionEvictor {
  public:
   using Limits = UpstreamLimits;
-  using End = UpstreamAttemptResult;
+  using Result = UpstreamAttemptResult;
   using Handle = std::weak_ptr<UpstreamAttempt>;
 
   Upstream(boost::asio::io_context& io, const Limits& limits, MemoryBudget& memory_budget);
@@ -48,7 +48,7 @@
   void shorten_deadline(const Handle& attempt, Clock::Steady::time_point deadline);
 
   // Ends an attempt as kNotSent unless its last byte is written, in which case it continues.
-  void withdraw(const Handle& attempt);
+  void cancel_if_unsent(const Handle& attempt);
 
   // Closes the attempt's connection. The attempt is reported as kCancelled unless another result is already
   // pending.
--- a/node/upstream_attempt.cpp
+++ b/node/upstream_attempt.cpp
@@ -98,7 +98,7 @@
   if (pool_) arm_timer();
 }
 
-void UpstreamAttempt::withdraw() {
+void UpstreamAttempt::cancel_if_unsent() {
   if (!is_sent_) finish_later(Outcome::kNotSent);
 }
 
@@ -258,7 +258,7 @@
   UpstreamAttemptResult result;
   result.outcome = outcome;
   if (const std::shared_ptr<UpstreamConnection> connection = std::exchange(connection_, nullptr)) {
-    result.unread = free_connection(connection, reuse);
+    result.unread_time = free_connection(connection, reuse);
   }
   if (outcome == Outcome::kSuccess) result.response = parser_->release();
   const AttemptCallbacks callbacks = std::move(callbacks_);
@@ -279,7 +279,7 @@
   const bool is_complete = parser_ && parser_->is_done();
   // A quick response cannot have been unread for long, which saves most attempts the system call.
   double age = 0;
-  if (to_seconds(now - write_started_at_) >= kLateRead && is_complete) {
+  if (to_seconds(now - write_started_at_) >= kLateReadThreshold && is_complete) {
     age = read_socket_arrival(connection->socket.native_handle()).age;
   }
   if (reuse == ConnectionReuse::kReuse) {
--- a/node/upstream_attempt.h
+++ b/node/upstream_attempt.h
@@ -26,7 +26,7 @@
   Outcome outcome = Outcome::kUnknown;
   HttpResponse response;  // only with kSuccess
   // s; how long the response was unread because this process was suspended; otherwise 0.
-  double unread = 0;
+  double unread_time = 0;
 };
 
 // Callbacks to the owner of the request.
@@ -62,7 +62,7 @@
   void send_on(std::shared_ptr<UpstreamConnection> connection);
 
   void shorten_deadline(Clock::Steady::time_point deadline);
-  void withdraw();
+  void cancel_if_unsent();
 
   // Stops writing; the outcome is reported from the event loop.
   void finish_later(Outcome outcome);
@@ -87,7 +87,7 @@
   void on_read(boost::system::error_code error);
   void on_response();
   void record_idle_lifetime(Outcome outcome);
-  // Returns the value for UpstreamAttemptResult::unread.
+  // Returns the value for UpstreamAttemptResult::unread_time.
   [[nodiscard]] double free_connection(const std::shared_ptr<UpstreamConnection>& connection,
                                        ConnectionReuse reuse);
 
--- a/tests/node/pause_test.cpp
+++ b/tests/node/pause_test.cpp
@@ -168,9 +168,9 @@
   request->target("/close/k");
   request->set("X-Request-ID", "r");
   request->prepare_payload();
-  std::optional<Upstream::End> end;
+  std::optional<Upstream::Result> end;
   const Upstream::Handle attempt = upstream.start(
-      "s0", request, {10}, true, {[] { return true; }, [&](Upstream::End&& e) { end = std::move(e); }});
+      "s0", request, {10}, true, {[] { return true; }, [&](Upstream::Result&& e) { end = std::move(e); }});
   // Runs the loop until the request is sent, and not after that.
   while (server.requests().empty()) io.run_one_for(2ms);
   EXPECT_FALSE(end);
@@ -180,8 +180,8 @@
     return end.has_value();
   }));
   EXPECT_EQ(end->outcome, Outcome::kSuccess);
-  EXPECT_GT(end->unread, 0.3);
-  EXPECT_LT(end->unread, 10);
+  EXPECT_GT(end->unread_time, 0.3);
+  EXPECT_LT(end->unread_time, 10);
 }
 
 // Whether a request may be sent is checked again once the connection is established.
@@ -200,7 +200,7 @@
     const std::size_t before = ends.size();
     const Upstream::Handle attempt =
         upstream.start("s0", request, {timeout}, true,
-                       {std::move(may_send), [&](Upstream::End&& e) { ends.push_back(e.outcome); }});
+                       {std::move(may_send), [&](Upstream::Result&& e) { ends.push_back(e.outcome); }});
     sleep_for(30ms);
     io.restart();
     ASSERT_TRUE(eventually([&] {
