--- a/node/client_listener.cpp
+++ b/node/client_listener.cpp
@@ -61,7 +61,7 @@
 void ClientListener::accept() {
   if (is_accepting_ || is_retry_pending_ || !acceptor_.is_open() || !callbacks_.can_accept()) return;
   acceptor_.async_accept([this, generation = accept_generation_](error_code error, tcp::socket socket) {
-    if (generation != accept_generation_) {  // replaced by recover()
+    if (generation != accept_generation_) {  // replaced by resume_after_exception()
       if (!error) callbacks_.on_accept(std::move(socket));
       return;
     }
@@ -81,7 +81,7 @@
 void ClientListener::on_accept_failed(error_code error) {
   log_warning("accept_failed").with("error", error.message());
   static_cast<void>(accept_on_reserve());
-  retry_timer_.expires_after(Clock::span(kAcceptRetryDelay));
+  retry_timer_.expires_after(Clock::to_duration(kAcceptRetryDelay));
   retry_timer_.async_wait([this](error_code cancelled) {
     is_retry_pending_ = false;
     if (!cancelled) accept();
@@ -104,7 +104,7 @@
   return true;
 }
 
-void ClientListener::recover() {
+void ClientListener::resume_after_exception() {
   if (!acceptor_.is_open() || !is_accepting_) return accept();
   ++accept_generation_;
   is_accepting_ = false;
--- a/node/client_listener.h
+++ b/node/client_listener.h
@@ -63,7 +63,7 @@
 
   // Resumes accepting after an exception escaped from a handler, in which case Asio drops an accept that
   // fails inside that handler.
-  void recover();
+  void resume_after_exception();
 
   // Accepts the connections in the listen queue without blocking, while can_accept() allows it. Returns
   // whether the queue is empty.
@@ -80,7 +80,7 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer retry_timer_;
   ReserveDescriptor reserve_;
-  std::uint64_t accept_generation_ = 0;  // identifies accepts that recover() has replaced
+  std::uint64_t accept_generation_ = 0;  // identifies accepts that resume_after_exception() has replaced
   bool is_accepting_ = false;
   bool is_retry_pending_ = false;
 };
--- a/node/client_session.cpp
+++ b/node/client_session.cpp
@@ -93,7 +93,7 @@
   const bool was_waiting = state_ == State::kWaiting;
   state_ = State::kClosed;
   if (context_ != nullptr) context_->sessions.remove_idle(*this);
-  halt(timer_);
+  cancel_timer(timer_);
   error_code ignored;
   socket_.close(ignored);
   SessionContext* context = std::exchange(context_, nullptr);
@@ -123,7 +123,7 @@
 }
 
 void ClientSession::set_timeout(double seconds) {
-  timer_.expires_after(Clock::span(seconds));
+  timer_.expires_after(Clock::to_duration(seconds));
   timer_.async_wait([self = shared_from_this()](error_code cancelled) {
     if (!cancelled && Clock::Steady::now() >= self->timer_.expiry()) {
       self->run_guarded([&] { self->on_timeout(); });
@@ -296,7 +296,7 @@
 void ClientSession::begin_waiting() {
   state_ = State::kWaiting;
   context_->sessions.remove_idle(*this);
-  halt(timer_);
+  cancel_timer(timer_);
 }
 
 // Dispatcher::submit() may throw halfway when out of memory; the client gets a response in any case.
--- a/node/clock.h
+++ b/node/clock.h
@@ -15,8 +15,8 @@
   using Steady = std::chrono::steady_clock;
 
   double now() const { return std::chrono::duration<double>(Steady::now() - start_).count(); }
-  Steady::time_point at(double seconds) const { return start_ + span(seconds); }
-  static Steady::duration span(double seconds) {
+  Steady::time_point to_time_point(double seconds) const { return start_ + to_duration(seconds); }
+  static Steady::duration to_duration(double seconds) {
     return std::chrono::duration_cast<Steady::duration>(std::chrono::duration<double>(seconds));
   }
 
@@ -30,7 +30,7 @@
 };
 
 // Cancels a timer without throwing.
-inline void halt(boost::asio::steady_timer& timer) {
+inline void cancel_timer(boost::asio::steady_timer& timer) {
   boost::system::error_code ignored;
   timer.cancel(ignored);
 }
--- a/node/connection_pool.cpp
+++ b/node/connection_pool.cpp
@@ -110,7 +110,7 @@
 
 void ConnectionPool::serve_waiting_after_cool_down() {
   cool_down_waits_ += 1;
-  const auto timer = std::make_shared<asio::steady_timer>(context_->io, Clock::span(kCoolDown));
+  const auto timer = std::make_shared<asio::steady_timer>(context_->io, Clock::to_duration(kCoolDown));
   timer->async_wait([self = shared_from_this(), timer](error_code) {
     if (self->context_->is_alive) self->on_cool_down_ended();
   });
@@ -147,7 +147,7 @@
   connection->endpoint = endpoint_;
   connecting_count_ += 1;
   context_->connection_count += 1;
-  connection->timer.expires_after(Clock::span(context_->limits.connect_timeout));
+  connection->timer.expires_after(Clock::to_duration(context_->limits.connect_timeout));
   connection->timer.async_wait([connection](error_code cancelled) {
     ConnectionPool& pool = *connection->pool;
     if (!cancelled && pool.context_->is_alive) pool.on_connect_ended(connection, false);
@@ -163,7 +163,7 @@
   // Both the timeout and the completion of the connect may be reported.
   if (connection->state != UpstreamConnection::State::kConnecting) return;
   connection->state = UpstreamConnection::State::kInUse;
-  halt(connection->timer);
+  cancel_timer(connection->timer);
   connecting_count_ -= 1;
   if (!is_connected) {
     close(connection, CloseReason::kConnectFailed);
@@ -222,7 +222,7 @@
   connection->state = UpstreamConnection::State::kIdle;
   const bool needs_cool_down = origin == Origin::kReleased;
   connection->cool_down_until =
-      Clock::Steady::now() + (needs_cool_down ? Clock::span(kCoolDown) : Clock::Steady::duration{});
+      Clock::Steady::now() + (needs_cool_down ? Clock::to_duration(kCoolDown) : Clock::Steady::duration{});
   idle_.push_back(connection);
   const std::uint64_t period = ++connection->idle_period;
   const auto close_for = [connection, period](CloseReason reason) {
@@ -235,7 +235,8 @@
   };
   // The server's idle timeout starts when it sends its response, which may have been unread while this
   // process was suspended.
-  connection->timer.expires_at(idle_since + Clock::span(context_->limits.idle_timeout * kIdleTimeoutFactor));
+  connection->timer.expires_at(idle_since +
+                               Clock::to_duration(context_->limits.idle_timeout * kIdleTimeoutFactor));
   connection->timer.async_wait(close_for(CloseReason::kIdleTimeout));
   connection->socket.async_wait(tcp::socket::wait_read, close_for(CloseReason::kClosedByServer));
 }
@@ -263,7 +264,7 @@
   idle_.erase(idle_.begin() + static_cast<std::ptrdiff_t>(index));
   connection->state = UpstreamConnection::State::kInUse;
   connection->idle_period += 1;
-  halt(connection->timer);
+  cancel_timer(connection->timer);
   error_code ignored;
   connection->socket.cancel(ignored);  // cancels the wait for the server's close
   return connection;
--- a/node/discovery_connection.cpp
+++ b/node/discovery_connection.cpp
@@ -86,7 +86,7 @@
 
 void DiscoveryConnection::close() {
   error_code ignored;
-  halt(timer_);
+  cancel_timer(timer_);
   socket_.close(ignored);
 }
 
@@ -114,7 +114,7 @@
 }
 
 void DiscoveryConnection::restart_timer(double seconds) {
-  timer_.expires_after(Clock::span(seconds));
+  timer_.expires_after(Clock::to_duration(seconds));
   timer_.async_wait([self = shared_from_this()](error_code cancelled) {
     if (!cancelled) self->on_timer();
   });
--- a/node/dispatcher.cpp
+++ b/node/dispatcher.cpp
@@ -60,7 +60,7 @@
   post_event(Started{});
   if (uses_watch_) return;
   is_awaiting_first_list_ = true;
-  const auto timer = std::make_shared<asio::steady_timer>(io_, Clock::span(kFirstListTimeout));
+  const auto timer = std::make_shared<asio::steady_timer>(io_, Clock::to_duration(kFirstListTimeout));
   timer->async_wait([this, timer](error_code cancelled) {
     if (!cancelled) on_first_list();
   });
@@ -189,7 +189,7 @@
   if (uses_watch_) return;
   // If lists are pushed, the balancer never requests a watch, so the node reconnects by itself.
   const double backoff = kPushReconnectBackoff * std::uniform_real_distribution<>(0.5, 1.5)(jitter_);
-  const auto timer = std::make_shared<asio::steady_timer>(io_, Clock::span(backoff));
+  const auto timer = std::make_shared<asio::steady_timer>(io_, Clock::to_duration(backoff));
   timer->async_wait([this, timer](error_code cancelled) {
     if (!cancelled) endpoint_watch_.watch();
   });
@@ -339,7 +339,7 @@
 }
 
 void Dispatcher::perform(const SetTimer& action) {
-  const auto timer = std::make_shared<asio::steady_timer>(io_, clock_.at(action.at));
+  const auto timer = std::make_shared<asio::steady_timer>(io_, clock_.to_time_point(action.at));
   timer->async_wait([this, timer, token = action.token](error_code cancelled) {
     if (!cancelled) post_event(TimerFired{token});
   });
--- a/node/frontend.h
+++ b/node/frontend.h
@@ -37,11 +37,11 @@
   // Throws boost::system::system_error if the address cannot be bound or listened on.
   void listen(const boost::asio::ip::tcp::endpoint& endpoint) { listener_.listen(endpoint); }
   void start() { listener_.accept(); }
-  [[nodiscard]] boost::asio::ip::tcp::endpoint local() const { return listener_.local_endpoint(); }
+  [[nodiscard]] boost::asio::ip::tcp::endpoint local_endpoint() const { return listener_.local_endpoint(); }
 
   // Called after an exception escaped from a handler: resumes the accept that the handler may have left
   // incomplete.
-  void recover() { listener_.recover(); }
+  void resume_after_exception() { listener_.resume_after_exception(); }
 
   // Starts the graceful shutdown; calls `done` when no connection is left.
   void drain(std::function<void()> done) { shutdown_.start(catalog_.classes, std::move(done)); }
--- a/node/graceful_shutdown.cpp
+++ b/node/graceful_shutdown.cpp
@@ -36,8 +36,8 @@
     longest_timeout = std::max(longest_timeout, std::min(c.client_timeout, kMaxClientTimeout));
   const double close_after = std::max(kAcceptPeriod, longest_timeout - kLastRequestMargin);
   const Clock::Steady::time_point now = Clock::Steady::now();
-  response_deadline_ = now + Clock::span(longest_timeout + kResponseMargin);
-  accept_deadline_ = now + Clock::span(close_after);
+  response_deadline_ = now + Clock::to_duration(longest_timeout + kResponseMargin);
+  accept_deadline_ = now + Clock::to_duration(close_after);
   // Requests accepted earlier may have later deadlines.
   dispatcher_.limit_deadlines(clock_.now() + longest_timeout + kResponseMargin);
   schedule(kAcceptPeriod, &GracefulShutdown::stop_accepting);
@@ -49,7 +49,7 @@
 }
 
 void GracefulShutdown::schedule(double seconds, void (GracefulShutdown::*step)()) {
-  const auto timer = std::make_shared<asio::steady_timer>(io_, Clock::span(seconds));
+  const auto timer = std::make_shared<asio::steady_timer>(io_, Clock::to_duration(seconds));
   timer->async_wait([this, timer, step](error_code) { (this->*step)(); });
 }
 
--- a/node/load_balancer_node.cpp
+++ b/node/load_balancer_node.cpp
@@ -70,7 +70,7 @@
   dispatcher_.start(config_.known_endpoints);
   frontend_.start();
   start_peers();
-  log_info("listening").with("node", config_.name).with("address", to_text(frontend_.local()));
+  log_info("listening").with("node", config_.name).with("address", to_text(frontend_.local_endpoint()));
 }
 
 void LoadBalancerNode::listen() {
@@ -120,7 +120,7 @@
 }
 
 void LoadBalancerNode::recover() {
-  frontend_.recover();
+  frontend_.resume_after_exception();
   discovery_.recover();
 }
 
--- a/node/peers.cpp
+++ b/node/peers.cpp
@@ -101,7 +101,7 @@
   const double deadline = std::min(detector_.next_deadline(), view_tracker_.next_deadline());
   if (deadline == scheduled_at_ || deadline == std::numeric_limits<double>::infinity()) return;
   scheduled_at_ = deadline;
-  timer_.expires_at(clock_.at(deadline));
+  timer_.expires_at(clock_.to_time_point(deadline));
   timer_.async_wait([this](error_code cancelled) {
     if (cancelled || has_left_) return;
     scheduled_at_ = 0;
@@ -149,7 +149,7 @@
   if (has_left_) return;
   process(detector_.leave());
   has_left_ = true;
-  halt(timer_);
+  cancel_timer(timer_);
   error_code ignored;
   socket_.close(ignored);
 }
--- a/node/pending_requests.cpp
+++ b/node/pending_requests.cpp
@@ -50,13 +50,13 @@
   request.deadline = deadline;
   request.attempts_deadline = deadline - margin;
   request.deadline_timer = std::make_unique<asio::steady_timer>(
-      io_, clock_.at(deadline - margin * kDeadlineMargin / kResponseMargin));
+      io_, clock_.to_time_point(deadline - margin * kDeadlineMargin / kResponseMargin));
   request.deadline_timer->async_wait([this, id](boost::system::error_code cancelled) {
     if (!cancelled) on_deadline_(id);
   });
   for (std::size_t i = 0; i < request.attempts.size(); ++i) {
     if (request.is_attempt_open[i])
-      upstream_.shorten_deadline(request.attempts[i], clock_.at(request.attempts_deadline));
+      upstream_.shorten_deadline(request.attempts[i], clock_.to_time_point(request.attempts_deadline));
   }
 }
 
--- a/node/session_table.cpp
+++ b/node/session_table.cpp
@@ -29,7 +29,7 @@
 }
 
 bool SessionTable::evict(double min_age) {
-  const Clock::Steady::time_point max_accepted_at = Clock::Steady::now() - Clock::span(min_age);
+  const Clock::Steady::time_point max_accepted_at = Clock::Steady::now() - Clock::to_duration(min_age);
   for (const std::list<ClientSession*>* list : {&no_valid_request_, &between_requests_}) {
     for (ClientSession* session : *list) {
       // The sessions behind this one were accepted later.
--- a/node/upstream_attempt.cpp
+++ b/node/upstream_attempt.cpp
@@ -67,8 +67,8 @@
   request_ = request;
   is_retryable_ = is_retryable;
   const Clock::Steady::time_point now = Clock::Steady::now();
-  deadline_ = now + Clock::span(timeouts.timeout);
-  send_by_ = now + Clock::span(std::min(timeouts.timeout, timeouts.send_timeout));
+  deadline_ = now + Clock::to_duration(timeouts.timeout);
+  send_by_ = now + Clock::to_duration(std::min(timeouts.timeout, timeouts.send_timeout));
   arm_timer();
   pool_->assign_connection(shared_from_this());
 }
@@ -249,7 +249,7 @@
 
 void UpstreamAttempt::finish(Outcome outcome, ConnectionReuse reuse) {
   if (std::exchange(state_, State::kEnded) == State::kEnded) return;
-  halt(timer_);
+  cancel_timer(timer_);
   record_idle_lifetime(outcome);
   if (pool_) {
     pool_->remove_waiting(shared_from_this());
@@ -283,7 +283,7 @@
     age = read_socket_arrival(connection->socket.native_handle()).age;
   }
   if (reuse == ConnectionReuse::kReuse) {
-    pool_->release(connection, now - Clock::span(age));
+    pool_->release(connection, now - Clock::to_duration(age));
   } else {
     pool_->close(connection, CloseReason::kNotReusable);
   }
--- a/node/upstream_connection.cpp
+++ b/node/upstream_connection.cpp
@@ -39,7 +39,7 @@
 
 void UpstreamConnection::close() {
   state = State::kClosed;
-  halt(timer);
+  cancel_timer(timer);
   boost::system::error_code ignored;
   socket.close(ignored);
 }
