--- a/membership/detector.cpp
+++ b/membership/detector.cpp
@@ -67,7 +67,7 @@
 // No datagram could be received while the event loop was paused, so missing acks and refutations in this time
 // must not count against peers. The pause itself counts against this node's local health.
 void Detector::recover_from_pause(double now, double duration) {
-  counters_.pauses += 1;
+  counters_.loop_pauses += 1;
   outputs_.emplace_back(LoopPaused{duration});
   merger_.extend_suspicions(duration);
   prober_.restart(now);
@@ -97,13 +97,13 @@
   // This node also receives its own broadcasts.
   if (message.sender == local_.id && sender == local_.id) return std::nullopt;
   if (!sender || *sender != message.sender) {
-    counters_.unknown_senders += 1;
+    counters_.source_address_mismatches += 1;
     return std::nullopt;
   }
   MemberTable::Member& member = table_.at(message.sender);
   const std::uint64_t start_time = start_time_of(message.incarnation);
   if (start_time < start_time_of(member.record.incarnation)) {
-    counters_.stale += 1;
+    counters_.stale_incarnations += 1;
     // Sent either by an earlier process of this node, or by a new one whose clock was set back. The ack
     // carries the receiver's own record, so that a new process can raise its incarnation above it.
     if (message.kind == MessageKind::kPing)
@@ -126,13 +126,13 @@
       counters_.too_long += 1;
       return;
     case DecodeError::kUnknownProtocol:
-      counters_.unknown_protocols += 1;
+      counters_.invalid_magic += 1;
       return;
     case DecodeError::kUnsupportedVersion:
       counters_.unsupported_versions += 1;
       return;
     case DecodeError::kReplicaSetMismatch:
-      counters_.other_replica_set += 1;
+      counters_.replica_set_mismatches += 1;
       return;
     case DecodeError::kChecksumMismatch:
       counters_.checksum_mismatches += 1;
--- a/membership/detector_output.h
+++ b/membership/detector_output.h
@@ -58,23 +58,23 @@
   // Dropped datagrams by reason; see DecodeError.
   std::uint64_t too_short = 0;
   std::uint64_t too_long = 0;
-  std::uint64_t unknown_protocols = 0;
+  std::uint64_t invalid_magic = 0;
   std::uint64_t unsupported_versions = 0;
-  std::uint64_t other_replica_set = 0;
+  std::uint64_t replica_set_mismatches = 0;
   std::uint64_t checksum_mismatches = 0;
   std::uint64_t invalid_fields = 0;
-  std::uint64_t unknown_senders = 0;  // the source address does not belong to the sender id
+  std::uint64_t source_address_mismatches = 0;  // the source address does not belong to the sender id
   std::uint64_t duplicates = 0;
-  std::uint64_t stale = 0;  // sent by an earlier process of the sender
+  std::uint64_t stale_incarnations = 0;  // sent by an earlier process of the sender
 
   std::uint64_t pings = 0;
-  std::uint64_t unanswered = 0;
-  std::uint64_t answered_indirectly = 0;
+  std::uint64_t unacked_probes = 0;
+  std::uint64_t indirect_acks = 0;
   std::uint64_t suspicions = 0;
-  std::uint64_t refuted = 0;  // suspicions ended by a refutation
+  std::uint64_t refuted_suspicions = 0;  // suspicions ended by a refutation
   std::uint64_t failures = 0;
-  std::uint64_t refutations = 0;  // refutations of claims about this node
-  std::uint64_t pauses = 0;       // event loop pauses
+  std::uint64_t local_refutations = 0;  // refutations of claims about this node
+  std::uint64_t loop_pauses = 0;        // event loop pauses
 };
 
 }  // namespace thymewood::membership
--- a/membership/prober.cpp
+++ b/membership/prober.cpp
@@ -112,7 +112,7 @@
   const bool was_retry = retry_target_ == probe.target;
   retry_target_.reset();
   if (probe.is_acked) return std::nullopt;
-  counters_.unanswered += 1;
+  counters_.unacked_probes += 1;
   // A nack shows that this node is reachable. Relays that send neither an ack nor a nack count against this
   // node's own health.
   health_.adjust(probe.indirect_requests > 0 ? probe.indirect_requests - probe.nacks : 1);
@@ -134,7 +134,7 @@
     table_.at(message.sender).round_trip_time =
         now - (is_second_ping ? probe_->indirect_at : probe_->sent_at);
   } else if (!probe_->is_acked) {
-    counters_.answered_indirectly += 1;
+    counters_.indirect_acks += 1;
   }
   probe_->is_acked = true;
   return true;
--- a/membership/record_merger.cpp
+++ b/membership/record_merger.cpp
@@ -99,7 +99,7 @@
   const MemberTable::Member& member = table_.at(record.id);
   const MemberRecord previous = member.record;
   const bool was_restarted = start_time_of(record.incarnation) != start_time_of(previous.incarnation);
-  if (member.suspicion && record.state == MemberState::kAlive) counters_.refuted += 1;
+  if (member.suspicion && record.state == MemberState::kAlive) counters_.refuted_suspicions += 1;
   table_.replace(record);
   gossip_.add(record);
   if (record.state != previous.state || was_restarted)
@@ -110,7 +110,7 @@
   const Incarnation own = table_.local_record().incarnation;
   if (record.incarnation < own) return;
   if (record.state != MemberState::kAlive) {
-    counters_.refutations += 1;
+    counters_.local_refutations += 1;
     health_.adjust(1);
     refute(record);
     return;
--- a/node/peer_report.cpp
+++ b/node/peer_report.cpp
@@ -40,18 +40,19 @@
   const auto bytes = static_cast<double>(counters.sent_bytes + counters.received_bytes);
   out << ",\"bytes_a_second\":" << bytes / std::max(kMinUptime, uptime) << ",\"sent\":" << counters.sent
       << ",\"unsent\":" << send_failures << ",\"came\":" << counters.received
-      << ",\"pings\":" << counters.pings << ",\"unanswered\":" << counters.unanswered
-      << ",\"helped\":" << counters.answered_indirectly << ",\"suspicions\":" << counters.suspicions
-      << ",\"cleared\":" << counters.refuted << ",\"failures\":" << counters.failures
-      << ",\"objections\":" << counters.refutations << ",\"aways\":" << counters.pauses;
+      << ",\"pings\":" << counters.pings << ",\"unanswered\":" << counters.unacked_probes
+      << ",\"helped\":" << counters.indirect_acks << ",\"suspicions\":" << counters.suspicions
+      << ",\"cleared\":" << counters.refuted_suspicions << ",\"failures\":" << counters.failures
+      << ",\"objections\":" << counters.local_refutations << ",\"aways\":" << counters.loop_pauses;
 }
 
 void write_dropped(std::ostream& out, const DetectorCounters& counters) {
   out << ",\"dropped\":{\"short\":" << counters.too_short << ",\"long\":" << counters.too_long
-      << ",\"strange\":" << counters.unknown_protocols << ",\"newer\":" << counters.unsupported_versions
-      << ",\"other_fleet\":" << counters.other_replica_set << ",\"damaged\":" << counters.checksum_mismatches
-      << ",\"senseless\":" << counters.invalid_fields << ",\"strangers\":" << counters.unknown_senders
-      << ",\"repeated\":" << counters.duplicates << ",\"old\":" << counters.stale << '}';
+      << ",\"strange\":" << counters.invalid_magic << ",\"newer\":" << counters.unsupported_versions
+      << ",\"other_fleet\":" << counters.replica_set_mismatches
+      << ",\"damaged\":" << counters.checksum_mismatches << ",\"senseless\":" << counters.invalid_fields
+      << ",\"strangers\":" << counters.source_address_mismatches << ",\"repeated\":" << counters.duplicates
+      << ",\"old\":" << counters.stale_incarnations << '}';
 }
 
 void write_peers(std::ostream& out, const membership::Detector& detector) {
--- a/tests/membership/detector_test.cpp
+++ b/tests/membership/detector_test.cpp
@@ -116,7 +116,7 @@
   for (int i = 0; i < net.size(); ++i) {
     EXPECT_EQ(net.detector(i).counters().suspicions, 0u);
     EXPECT_EQ(net.detector(i).local_health(), 0);
-    EXPECT_EQ(net.detector(i).counters().unanswered, 0u);
+    EXPECT_EQ(net.detector(i).counters().unacked_probes, 0u);
   }
 }
 
@@ -145,8 +145,7 @@
     net.start_all();
     net.run(200);
     EXPECT_EQ(net.false_failures(), 0) << seed;
-    EXPECT_GT(net.detector(2).counters().answered_indirectly + net.detector(5).counters().answered_indirectly,
-              0u);
+    EXPECT_GT(net.detector(2).counters().indirect_acks + net.detector(5).counters().indirect_acks, 0u);
   }
 }
 
@@ -157,7 +156,7 @@
     net.start_all();
     net.run(300);
     EXPECT_EQ(net.false_failures(), 0) << seed;
-    EXPECT_GT(net.detector(0).counters().answered_indirectly, 0u);
+    EXPECT_GT(net.detector(0).counters().indirect_acks, 0u);
   }
 }
 
@@ -262,7 +261,7 @@
     net.run(60);
     for (const MemberChanged& c : net.node(3).changes)
       EXPECT_NE(c.current.state, MemberState::kFailed) << "seed " << seed;
-    EXPECT_GE(net.detector(3).counters().pauses, 1u);
+    EXPECT_GE(net.detector(3).counters().loop_pauses, 1u);
     EXPECT_TRUE(net.run_until(30, [&] { return net.has_converged(); }))
         << "all nodes must see it as alive again";
   }
--- a/tests/membership/false_datagram_test.cpp
+++ b/tests/membership/false_datagram_test.cpp
@@ -87,18 +87,18 @@
   const auto make_leaving = [](Message& m) { m.kind = MessageKind::kLeaving; };
   inject(std::nullopt, make_leaving);
   inject(NodeId{3}, make_leaving);
-  EXPECT_EQ(net.detector(0).counters().unknown_senders, 2u)
+  EXPECT_EQ(net.detector(0).counters().source_address_mismatches, 2u)
       << "one from an unknown address, one from the address of another node";
   inject(NodeId{2}, [&](Message& m) {
     make_leaving(m);
     m.replica_set_id += 1;
   });
-  EXPECT_EQ(net.detector(0).counters().other_replica_set, 1u);
+  EXPECT_EQ(net.detector(0).counters().replica_set_mismatches, 1u);
   inject(NodeId{2}, [&](Message& m) {
     make_leaving(m);
     m.incarnation -= Incarnation{1} << kRefutationBits;
   });
-  EXPECT_EQ(net.detector(0).counters().stale, 1u);
+  EXPECT_EQ(net.detector(0).counters().stale_incarnations, 1u);
   Datagram d = encode(message_of(net, 2));
   d.bytes[20] ^= 1;
   net.inject(0, NodeId{2}, d);
@@ -127,7 +127,7 @@
     for (NodeId k = 0; k < 6; ++k) before.push_back(net.detector(i).record(k).incarnation);
   }
   const std::uint64_t duplicates = net.detector(0).counters().duplicates,
-                      stale = net.detector(0).counters().stale;
+                      stale = net.detector(0).counters().stale_incarnations;
   for (const auto& [from, to, datagram] : traffic) net.inject(to, static_cast<NodeId>(from), datagram);
   net.run(60);
   std::size_t at = 0;
@@ -136,7 +136,7 @@
       EXPECT_EQ(net.detector(i).record(k).incarnation, before[at++]) << "observer " << i << ", node " << k;
   }
   EXPECT_GT(net.detector(0).counters().duplicates, duplicates);
-  EXPECT_GT(net.detector(0).counters().stale, stale);
+  EXPECT_GT(net.detector(0).counters().stale_incarnations, stale);
   EXPECT_EQ(net.false_failures(), 0);
 }
 
