--- a/tests/node/client_disconnect_test.cpp
+++ b/tests/node/client_disconnect_test.cpp
@@ -63,7 +63,7 @@
   ConfigText node_config = config();
   node_config.known = endpoint_list_json(7, true, endpoint_json("s0", full.address()));
   node_config.discovery = discovery.address();
-  Program program(node_config.text(), 0, true, "", child_setup());
+  NodeProcess program(node_config.text(), 0, true, "", child_setup());
   RawConnection client = RawConnection::connect_to(program.port());
   client.write(ClientRequest{.id = "disconnected"}.text());
   ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }));
@@ -85,7 +85,7 @@
   ConfigText node_config = config();
   node_config.known = endpoint_list_json(7, true, endpoint_json("s0", listener.address()));
   node_config.discovery = discovery.address();
-  Program program(node_config.text(), 0, true, "", child_setup());
+  NodeProcess program(node_config.text(), 0, true, "", child_setup());
   RawConnection client = RawConnection::connect_to(program.port());
   const std::string body(64 * 1024, 'b');
   client.write(ClientRequest{.id = "disconnected", .body = body}.text());
--- a/tests/node/deployment.h
+++ b/tests/node/deployment.h
@@ -29,7 +29,7 @@
     }
     if (config.known.empty()) config.known = endpoint_list_json(7, true, endpoints);
     config.discovery = discovery.address();
-    program = std::make_unique<Program>(config.text(), max_descriptors, true, "", before_exec);
+    program = std::make_unique<NodeProcess>(config.text(), max_descriptors, true, "", before_exec);
   }
   RawConnection client(bool small_buffers = false) const {
     return RawConnection::connect_to(program->port(), small_buffers);
@@ -37,7 +37,7 @@
 
   FakeDiscovery discovery;
   ConfigText config;
-  std::unique_ptr<Program> program;
+  std::unique_ptr<NodeProcess> program;
 };
 
 // A client's HTTP request; with the defaults it is valid.
--- a/tests/node/deployments_test.cpp
+++ b/tests/node/deployments_test.cpp
@@ -183,12 +183,12 @@
   config.bounds = GetParam().bounds;
   config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   if (GetParam().field != nullptr) {
-    Program program(config.text(), 0, false);
+    NodeProcess program(config.text(), 0, false);
     EXPECT_EQ(program.exit_status(), 2);
     EXPECT_NE(program.log().find(GetParam().field), std::string::npos) << program.log();
     return;
   }
-  Program program(config.text());
+  NodeProcess program(config.text());
   for (int i = 0; i < 3; ++i) {
     RawConnection client = RawConnection::connect_to(program.port());
     const std::string key = std::string(GetParam().name) == "DedupWindowZero" ? "k" : "";
--- a/tests/node/drain_test.cpp
+++ b/tests/node/drain_test.cpp
@@ -46,7 +46,7 @@
                   R"("secondCopies":true,"dialTimeout":12.0,"idleClose":60.0)";
   config.known = endpoint_list_json(7, true, endpoint_json("s0", full.address()));
   config.discovery = discovery.address();
-  Program program(config.text());
+  NodeProcess program(config.text());
   RawConnection client = RawConnection::connect_to(program.port());
   client.write(ClientRequest{}.text());
   ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }));
@@ -150,7 +150,7 @@
   ASSERT_TRUE(eventually([&] { return new_discovery.calls().size() == 1; }));
   d.program->signal(SIGTERM);
   d.program->reload("{}");
-  ASSERT_TRUE(eventually([&] { return d.program->logged("event=reload_failed") == 1; }));
+  ASSERT_TRUE(eventually([&] { return d.program->count_in_log("event=reload_failed") == 1; }));
   gate.open();
   EXPECT_EQ(status_of(client.read_message()), 200);
   EXPECT_EQ(d.program->exit_status(), 0);
@@ -163,7 +163,7 @@
     ConfigText config;
     config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
     config.discovery = discovery.address();
-    Program program(config.text());
+    NodeProcess program(config.text());
     program.signal(SIGTERM);
     program.signal(SIGHUP);
     EXPECT_EQ(program.exit_status(), 0);
--- a/tests/node/handover_test.cpp
+++ b/tests/node/handover_test.cpp
@@ -108,7 +108,7 @@
                   R"("secondCopies":true,"dialTimeout":12.0,"idleClose":60.0)";
   config.known = endpoint_list_json(7, true, endpoint_json("s0", full.address()));
   config.discovery = discovery.address();
-  Program program(config.text());
+  NodeProcess program(config.text());
   RawConnection client = RawConnection::connect_to(program.port());
   const auto start = std::chrono::steady_clock::now();
   client.write(ClientRequest{.id = "late", .timeout = "9000"}.text());
@@ -157,7 +157,7 @@
   ConfigText config;
   config.known = endpoint_list_json(7, true, endpoint_json("s0", listener.address()));
   config.discovery = discovery.address();
-  Program program(config.text());
+  NodeProcess program(config.text());
   RawConnection client = RawConnection::connect_to(program.port());
   const std::string body(64 * 1024, 'b');
   client.write(ClientRequest{.id = "half", .body = body}.text());
--- a/tests/node/node_program.h
+++ b/tests/node/node_program.h
@@ -55,12 +55,12 @@
 }
 
 // The node's process, with its configuration and log in temporary files.
-class Program {
+class NodeProcess {
  public:
   // `max_descriptors`: the limit of open descriptors; 0 leaves it as it is. `operators`: the text of the
   // operators' file; if empty, there is none. `before_exec` runs in the child process before the exec.
-  explicit Program(const std::string& config, rlim_t max_descriptors = 0, bool wait_for_start = true,
-                   const std::string& operators = "", void (*before_exec)() = nullptr) {
+  explicit NodeProcess(const std::string& config, rlim_t max_descriptors = 0, bool wait_for_start = true,
+                       const std::string& operators = "", void (*before_exec)() = nullptr) {
     static std::atomic<int> count = 0;
     path_prefix_ = testing::TempDir() + "/node_" + std::to_string(getpid()) + "_" + std::to_string(++count);
     std::ofstream(path_prefix_ + ".json") << config;
@@ -86,7 +86,7 @@
       EXPECT_TRUE(eventually([this] { return port() != 0; })) << this->log();
     }
   }
-  ~Program() {
+  ~NodeProcess() {
     if (pid_ > 0) {
       ::kill(pid_, SIGTERM);
       EXPECT_EQ(exit_status(), 0) << log();  // an error that a sanitizer finds also makes it non-zero
@@ -96,8 +96,8 @@
     std::remove((path_prefix_ + ".log").c_str());
     std::remove((path_prefix_ + ".toml").c_str());
   }
-  Program(const Program&) = delete;
-  Program& operator=(const Program&) = delete;
+  NodeProcess(const NodeProcess&) = delete;
+  NodeProcess& operator=(const NodeProcess&) = delete;
 
   int port() {
     if (port_ == 0) {
@@ -162,7 +162,7 @@
     ::prlimit(pid_, RLIMIT_FSIZE, &limit, nullptr);
   }
   // Counts the occurrences of a text in the log.
-  int logged(const std::string& text) const {
+  int count_in_log(const std::string& text) const {
     const std::string all = log();
     int count = 0;
     for (std::size_t pos = all.find(text); pos != std::string::npos; pos = all.find(text, pos + 1)) ++count;
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -100,7 +100,7 @@
   ConfigText config;
   config.discovery = discovery.address();
   config.mode = "automatic";
-  Program program(config.text());
+  NodeProcess program(config.text());
   ASSERT_TRUE(eventually([&] { return discovery.calls().size() == 1; }));
   discovery.set_response("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
                          chunk(endpoint_list_json(3, true, endpoint_json("s0", server.address())) + "\n"));
@@ -165,7 +165,7 @@
   discovery.set_response(http_response(503, ""));
   ConfigText config;
   config.discovery = discovery.address();
-  Program program(config.text());
+  NodeProcess program(config.text());
   ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= 2; }));
   RawConnection probe = RawConnection::connect_to(program.port());
   probe.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -243,7 +243,7 @@
 
 TEST(Lifecycle, InvalidConfigurationExitsWithTheNameOfTheField) {
   const auto expect_rejected = [](const std::string& config, const std::string& field) {
-    Program program(config, 0, false);
+    NodeProcess program(config, 0, false);
     EXPECT_EQ(program.exit_status(), 2);
     const std::string log = program.log();
     EXPECT_NE(log.find(field), std::string::npos) << log;
--- a/tests/node/outcomes_test.cpp
+++ b/tests/node/outcomes_test.cpp
@@ -199,7 +199,7 @@
   ConfigText config;
   config.discovery = discovery.address();
   config.known = endpoint_list_json(7, true, endpoint_json("s0", "127.0.0.1:" + std::to_string(port)));
-  Program program(config.text());
+  NodeProcess program(config.text());
   RawConnection client = RawConnection::connect_to(program.port());
   client.write(ClientRequest{}.text());
   EXPECT_EQ(status_of(client.read_message()), 503)
--- a/tests/node/pause_test.cpp
+++ b/tests/node/pause_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Suspends the process and waits until the signal has taken effect.
-void suspend(const Program& program) {
+void suspend(const NodeProcess& program) {
   program.signal(SIGSTOP);
   ASSERT_TRUE(eventually([&] { return program.state() == 'T'; }));
 }
@@ -139,7 +139,7 @@
                   R"("secondCopies":true,"dialTimeout":12.0,"idleClose":60.0)";
   config.known = endpoint_list_json(7, true, endpoint_json("s0", full.address()));
   config.discovery = discovery.address();
-  Program program(config.text());
+  NodeProcess program(config.text());
   RawConnection client = RawConnection::connect_to(program.port());
   client.write(ClientRequest{.id = "late"}.text());
   ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }));
--- a/tests/node/peers_test.cpp
+++ b/tests/node/peers_test.cpp
@@ -63,8 +63,8 @@
     result.peers += "],";
     return result;
   }
-  std::unique_ptr<Program> start(int index, const std::string& operators = kPeersEnabled) const {
-    return std::make_unique<Program>(config(index).text(), 0, true, operators);
+  std::unique_ptr<NodeProcess> start(int index, const std::string& operators = kPeersEnabled) const {
+    return std::make_unique<NodeProcess>(config(index).text(), 0, true, operators);
   }
   const asio::ip::udp::endpoint& peer(int index) const { return peers_[static_cast<std::size_t>(index)]; }
 
@@ -81,12 +81,12 @@
 };
 
 // The latest replica_set_changed event in the log; empty if there is none.
-std::string latest_view(const Program& program) {
+std::string latest_view(const NodeProcess& program) {
   const std::string log = program.log();
   const std::size_t at = log.rfind("event=replica_set_changed ");
   return at == std::string::npos ? "" : log.substr(at, log.find('\n', at) - at);
 }
-bool latest_view_contains(const Program& program, const std::string& fields) {
+bool latest_view_contains(const NodeProcess& program, const std::string& fields) {
   return latest_view(program).find(fields) != std::string::npos;
 }
 
@@ -106,10 +106,10 @@
     ConfigText config = replica_set.config(0);
     if (!test_case.is_permitted) config.bounds = ConfigText().bounds;
     if (!test_case.has_addresses) config.peers.clear();
-    Program program(config.text(), 0, true, test_case.operators);
+    NodeProcess program(config.text(), 0, true, test_case.operators);
     EXPECT_EQ(count_udp_sockets(program.pid()), 0) << test_case.description;
     for (const char* event : {"fleet:", "event=replica_set_changed", "event=node_"})
-      EXPECT_EQ(program.logged(event), 0) << test_case.description;
+      EXPECT_EQ(program.count_in_log(event), 0) << test_case.description;
   }
   const auto program = replica_set.start(0);
   EXPECT_EQ(count_udp_sockets(program->pid()), 1) << "one UDP socket when enabled";
@@ -122,7 +122,7 @@
     FakeServer server(replies(200, "ok"));
     ConfigText config = replica_set.config(0);
     config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
-    Program program(config.text(), 0, true, operators);
+    NodeProcess program(config.text(), 0, true, operators);
     RawConnection client = RawConnection::connect_to(program.port());
     client.write(ClientRequest{.id = "r1"}.text());
     ASSERT_EQ(status_of(client.read_message()), 200);
@@ -138,18 +138,18 @@
 
 TEST(Peers, DiscoverEachOtherAndDetectAFailureAndARestart) {
   const ReplicaSet replica_set(3);
-  std::vector<std::unique_ptr<Program>> nodes;
+  std::vector<std::unique_ptr<NodeProcess>> nodes;
   for (int i = 0; i < 3; ++i) nodes.push_back(replica_set.start(i));
   for (const auto& node : nodes)
     EXPECT_TRUE(eventually([&] { return latest_view_contains(*node, kThreeOfThree); }));
   nodes[1]->kill();
   for (const int i : {0, 2}) {
-    Program& node = *nodes[static_cast<std::size_t>(i)];
+    NodeProcess& node = *nodes[static_cast<std::size_t>(i)];
     EXPECT_TRUE(eventually([&] {
       return latest_view_contains(
           node, "live_count=2 max_count=3 reachable_count=2 configured_count=3 connectivity=partial ");
     })) << latest_view(node);
-    EXPECT_GE(node.logged("event=node_failed node=1 previous=suspect "), 1);
+    EXPECT_GE(node.count_in_log("event=node_failed node=1 previous=suspect "), 1);
   }
   EXPECT_TRUE(eventually([&] { return latest_view_contains(*nodes[2], "rank=1 live_count=2 "); }))
       << "the failed node no longer counts in its rank";
@@ -163,60 +163,62 @@
 
 TEST(Peers, ANodeThatShutsDownLeavesWithoutBeingSuspected) {
   const ReplicaSet replica_set(3);
-  std::vector<std::unique_ptr<Program>> nodes;
+  std::vector<std::unique_ptr<NodeProcess>> nodes;
   for (int i = 0; i < 3; ++i) nodes.push_back(replica_set.start(i));
   for (const auto& node : nodes)
     EXPECT_TRUE(eventually([&] { return latest_view_contains(*node, kThreeOfThree); }));
   nodes[1]->signal(SIGTERM);
   EXPECT_EQ(nodes[1]->exit_status(), 0);
   for (const int i : {0, 2}) {
-    Program& node = *nodes[static_cast<std::size_t>(i)];
+    NodeProcess& node = *nodes[static_cast<std::size_t>(i)];
     EXPECT_TRUE(eventually([&] {
       return latest_view_contains(
           node, "live_count=2 max_count=2 reachable_count=2 configured_count=3 connectivity=complete ");
     })) << latest_view(node);
-    EXPECT_EQ(node.logged("event=node_left node=1 previous=alive "), 1);
-    EXPECT_EQ(node.logged("event=node_suspected node=1 previous=alive "), 0);
+    EXPECT_EQ(node.count_in_log("event=node_left node=1 previous=alive "), 1);
+    EXPECT_EQ(node.count_in_log("event=node_suspected node=1 previous=alive "), 0);
   }
 }
 
 TEST(Peers, APausedNodeFailsNoPeerAfterItResumes) {
   const ReplicaSet replica_set(3);
-  std::vector<std::unique_ptr<Program>> nodes;
+  std::vector<std::unique_ptr<NodeProcess>> nodes;
   for (int i = 0; i < 3; ++i) nodes.push_back(replica_set.start(i));
   for (const auto& node : nodes)
     EXPECT_TRUE(eventually([&] { return latest_view_contains(*node, kThreeOfThree); }));
   nodes[0]->signal(SIGSTOP);
-  EXPECT_TRUE(eventually([&] { return nodes[1]->logged("event=node_failed node=0 previous=suspect ") > 0; }));
+  EXPECT_TRUE(
+      eventually([&] { return nodes[1]->count_in_log("event=node_failed node=0 previous=suspect ") > 0; }));
   nodes[0]->signal(SIGCONT);
   for (const auto& node : nodes)
     EXPECT_TRUE(eventually([&] {
       return latest_view_contains(
           *node, "live_count=3 max_count=3 reachable_count=3 configured_count=3 connectivity=complete ");
     }));
-  EXPECT_GE(nodes[0]->logged("event=event_loop_paused for="), 1);
-  EXPECT_EQ(nodes[0]->logged("event=node_failed "), 0);
+  EXPECT_GE(nodes[0]->count_in_log("event=event_loop_paused for="), 1);
+  EXPECT_EQ(nodes[0]->count_in_log("event=node_failed "), 0);
 }
 
 TEST(Peers, AGrownReplicaSetConvergesOnceAllNodesAreConfigured) {
   const ReplicaSet replica_set(4);
-  std::vector<std::unique_ptr<Program>> nodes;
+  std::vector<std::unique_ptr<NodeProcess>> nodes;
   for (int i = 0; i < 2; ++i)
-    nodes.push_back(std::make_unique<Program>(replica_set.config(i, 2).text(), 0, true, kPeersEnabled));
+    nodes.push_back(std::make_unique<NodeProcess>(replica_set.config(i, 2).text(), 0, true, kPeersEnabled));
   for (const auto& node : nodes)
     EXPECT_TRUE(eventually([&] { return latest_view_contains(*node, kTwoOfTwo); }));
   for (int i = 2; i < 4; ++i) nodes.push_back(replica_set.start(i));
-  EXPECT_TRUE(eventually([&] { return nodes[2]->logged("event=node_failed node=0 previous=suspect ") > 0; }))
-      << "the old nodes do not have the new node configured and do not respond to it";
+  EXPECT_TRUE(eventually([&] {
+    return nodes[2]->count_in_log("event=node_failed node=0 previous=suspect ") > 0;
+  })) << "the old nodes do not have the new node configured and do not respond to it";
   EXPECT_TRUE(eventually([&] {
     return latest_view_contains(*nodes[2], "rank=2 live_count=4 max_count=4 ") &&
            latest_view_contains(*nodes[2], "connectivity=partitioned ");
   })) << "a partitioned node uses its configured counts: "
       << latest_view(*nodes[2]);
   for (int i = 0; i < 2; ++i) {
-    const Program& old = *nodes[static_cast<std::size_t>(i)];
+    const NodeProcess& old = *nodes[static_cast<std::size_t>(i)];
     EXPECT_TRUE(latest_view_contains(old, kTwoOfTwo)) << latest_view(old);
-    EXPECT_EQ(old.logged("event=node_failed "), 0);
+    EXPECT_EQ(old.count_in_log("event=node_failed "), 0);
   }
   for (int i = 0; i < 2; ++i) {
     nodes[static_cast<std::size_t>(i)].reset();  // restart with all four peers configured
@@ -241,7 +243,7 @@
     config.known = endpoint_list_json(7, true, endpoint_json("s0", address));
     const std::string operators =
         std::string(kPeersEnabled) + (is_enabled ? "refuse_when_cut_off = true\n" : "");
-    Program node(config.text(), 0, true, operators);
+    NodeProcess node(config.text(), 0, true, operators);
     const auto health_status = [&node] {
       RawConnection connection = RawConnection::connect_to(node.port());
       connection.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -279,13 +281,13 @@
   const auto a = replica_set.start(0), b = replica_set.start(1);
   EXPECT_TRUE(eventually([&] { return latest_view_contains(*a, "connectivity=complete "); }));
   a->signal(SIGUSR1);
-  EXPECT_TRUE(eventually([&] { return a->logged("fleet: {") == 1; }));
+  EXPECT_TRUE(eventually([&] { return a->count_in_log("fleet: {") == 1; }));
   const std::string log = a->log();
   for (const char* part : {"\"confidence\":\"whole\"", "\"number\":1,\"state\":\"alive\"",
                            "\"bytes_a_second\":", "\"damaged\":0"})
     EXPECT_NE(log.find(part), std::string::npos) << part;
   a->signal(SIGUSR1);
-  EXPECT_TRUE(eventually([&] { return a->logged("fleet: {") == 2; })) << "one report per signal";
+  EXPECT_TRUE(eventually([&] { return a->count_in_log("fleet: {") == 2; })) << "one report per signal";
 }
 
 TEST(Peers, AFloodOfDatagramsDelaysNoRequestAndIsCounted) {
@@ -293,7 +295,7 @@
   FakeServer server(replies(200, "ok"));
   ConfigText config = replica_set.config(0);
   config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
-  Program node(config.text(), 0, true, kPeersEnabled);
+  NodeProcess node(config.text(), 0, true, kPeersEnabled);
   const auto peer = replica_set.start(1);
   EXPECT_TRUE(eventually([&] { return latest_view_contains(node, "connectivity=complete "); }));
   std::atomic<bool> is_done = false;
@@ -323,18 +325,18 @@
   is_done = true;
   flood.join();
   node.signal(SIGUSR1);
-  EXPECT_TRUE(eventually([&] { return node.logged("fleet: {") == 1; }));
+  EXPECT_TRUE(eventually([&] { return node.count_in_log("fleet: {") == 1; }));
   const std::string log = node.log();
   EXPECT_EQ(log.find("\"strangers\":0,"), std::string::npos)
       << "datagrams from unknown addresses are counted as dropped";
   EXPECT_EQ(log.find("\"short\":0,"), std::string::npos);
-  EXPECT_EQ(node.logged("event=node_left node=1 previous=alive "), 0) << "and are not applied";
+  EXPECT_EQ(node.count_in_log("event=node_left node=1 previous=alive "), 0) << "and are not applied";
 }
 
 TEST(Peers, InvalidConfigurationsFailAtStartup) {
   const ReplicaSet replica_set(2);
   const auto startup_error = [](const std::string& config, const std::string& operators) {
-    Program program(config, 0, false, operators);
+    NodeProcess program(config, 0, false, operators);
     EXPECT_EQ(program.exit_status(), 2);
     return program.log();
   };
--- a/tests/node/reload_test.cpp
+++ b/tests/node/reload_test.cpp
@@ -42,7 +42,7 @@
   for (std::size_t i = 0; i < invalid.size(); ++i) {
     d.program->reload(invalid[i]);
     ASSERT_TRUE(eventually([&] {
-      return d.program->logged("event=reload_failed") == static_cast<int>(i + 1);
+      return d.program->count_in_log("event=reload_failed") == static_cast<int>(i + 1);
     })) << d.program->log();
   }
   EXPECT_TRUE(eventually_serves(d, "ok"));
@@ -65,13 +65,15 @@
   config.discovery = new_discovery.address();
   d.program->remove_config();
   d.program->signal(SIGHUP);
-  ASSERT_TRUE(eventually([&] { return d.program->logged("event=reload_failed") == 1; })) << d.program->log();
+  ASSERT_TRUE(eventually([&] { return d.program->count_in_log("event=reload_failed") == 1; }))
+      << d.program->log();
   const std::string complete_config = config.text();
   for (const std::size_t length : {std::size_t{0}, complete_config.size() / 2, complete_config.size() - 1}) {
     d.program->reload(complete_config.substr(0, length));
     EXPECT_TRUE(eventually_serves(d, "ok"));
   }
-  ASSERT_TRUE(eventually([&] { return d.program->logged("event=reload_failed") >= 2; })) << d.program->log();
+  ASSERT_TRUE(eventually([&] { return d.program->count_in_log("event=reload_failed") >= 2; }))
+      << d.program->log();
   EXPECT_EQ(new_discovery.calls().size(), 0U);
   d.program->reload(complete_config);
   EXPECT_TRUE(eventually([&] { return new_discovery.calls().size() == 1; })) << d.program->log();
@@ -122,7 +124,7 @@
   ConfigText config = d.config;
   config.discovery = "127.0.0.1:" + std::to_string(port);
   d.program->reload(config.text());
-  ASSERT_TRUE(eventually([&] { return d.program->logged("event=reload ") == 1; }));
+  ASSERT_TRUE(eventually([&] { return d.program->count_in_log("event=reload ") == 1; }));
   FakeDiscovery new_discovery(port);
   new_discovery.set_response(
       kWatchResponseHead +
--- a/tests/node/scripted_discovery.h
+++ b/tests/node/scripted_discovery.h
@@ -20,7 +20,7 @@
 // Sends requests to a node, each with a unique id on a new connection.
 class RequestSender {
  public:
-  explicit RequestSender(Program& program) : program_(program) {}
+  explicit RequestSender(NodeProcess& program) : program_(program) {}
   // Sends the next request and returns the response.
   std::string response() {
     RawConnection client = RawConnection::connect_to(program_.port());
@@ -30,7 +30,7 @@
   int status() { return status_of(response()); }
 
  private:
-  Program& program_;
+  NodeProcess& program_;
   int sent_requests_ = 0;
 };
 
@@ -79,13 +79,13 @@
     text.known = known;
     text.mode = mode;
     text.discovery = discovery.address();
-    program = std::make_unique<Program>(text.text());
+    program = std::make_unique<NodeProcess>(text.text());
     requests = std::make_unique<RequestSender>(*program);
   }
   // Sends the next request and returns the status of the response.
   int status() { return requests->status(); }
   ConfigText text;
-  std::unique_ptr<Program> program;
+  std::unique_ptr<NodeProcess> program;
   std::unique_ptr<RequestSender> requests;
 };
 
--- a/tests/node/service_test.cpp
+++ b/tests/node/service_test.cpp
@@ -238,7 +238,7 @@
   config.discovery = discovery.address();
   config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   config.bounds = R"("cancel":true,"maxAttempts":3,"dialTimeout":14.0,"idleClose":60.0)";
-  Program program(config.text());
+  NodeProcess program(config.text());
   RawConnection one = RawConnection::connect_to(program.port()),
                 two = RawConnection::connect_to(program.port());
   one.write(ClientRequest{.id = "one"}.text());
@@ -267,7 +267,7 @@
   ConfigText config;
   config.discovery = discovery.address();
   config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
-  Program program(config.text());
+  NodeProcess program(config.text());
   for (int i = 0; i < 5; ++i) {
     RawConnection client = RawConnection::connect_to(program.port());
     client.write(ClientRequest{.id = "u" + std::to_string(i)}.text());
@@ -289,7 +289,7 @@
   config.discovery = discovery.address();
   config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   config.bounds = R"("cancel":true,"maxAttempts":3,"dialTimeout":14.0,"idleClose":60.0)";
-  Program program(config.text());
+  NodeProcess program(config.text());
   server.fill();
   RawConnection client = RawConnection::connect_to(program.port());
   client.write(ClientRequest{}.text());
--- a/tests/node/stale_endpoints_test.cpp
+++ b/tests/node/stale_endpoints_test.cpp
@@ -93,9 +93,9 @@
     text.position = index;
     text.total = kNodes;
     text.seed = std::to_string(index + 1);
-    return std::make_unique<Program>(text.text());
+    return std::make_unique<NodeProcess>(text.text());
   };
-  std::vector<std::unique_ptr<Program>> nodes;
+  std::vector<std::unique_ptr<NodeProcess>> nodes;
   for (int i = 0; i < kNodes; ++i) nodes.push_back(start_node(i));
   ASSERT_TRUE(eventually([&] { return discovery.watches() == kNodes; }));
   discovery.go_down();
--- a/tests/node/wall_clock_test.cpp
+++ b/tests/node/wall_clock_test.cpp
@@ -111,7 +111,7 @@
   };
   for (int i = 0; i < 50; ++i) ASSERT_EQ(status(), 200);
   d.discovery.push(endpoint_list_json(8, false, endpoint_started_now("s1", warming_up.address())));
-  ASSERT_TRUE(eventually([&] { return status() == 200 && d.program->logged("list_received") > 0; }));
+  ASSERT_TRUE(eventually([&] { return status() == 200 && d.program->count_in_log("list_received") > 0; }));
   const std::size_t before = warmed_up.requests().size();
   for (int i = 0; i < 200; ++i) EXPECT_EQ(status(), 200);
   const std::size_t to_warmed_up = warmed_up.requests().size() - before;
--- a/tests/node/watch_test.cpp
+++ b/tests/node/watch_test.cpp
@@ -78,7 +78,7 @@
                                         unreadable_entry + ("," + unnamed_entries) + "," +
                                             endpoint_json("s1", other_server.address(), "draining")));
     EXPECT_TRUE(eventually([&] { return requests.status() == 503; })) << unreadable_entry;
-    EXPECT_GE(d.program->logged("endpoints[0]: field '"), 1) << d.program->log();
+    EXPECT_GE(d.program->count_in_log("endpoints[0]: field '"), 1) << d.program->log();
     d.discovery.push(endpoint_list_json(9, false, endpoint_json("s0", server.address())));
     EXPECT_TRUE(eventually([&] { return body_of(requests.response()) == "recovered"; })) << unreadable_entry;
     EXPECT_EQ(d.discovery.calls().size(), 1U) << "a malformed entry must not end the watch";
@@ -275,7 +275,7 @@
     config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
     config.mode = "automatic";
     config.discovery = agent.address();
-    Program program(config.text(), 0, false);
+    NodeProcess program(config.text(), 0, false);
     // The node's timeout for the first list starts when it logs that it is listening.
     auto start = Steady::now();
     ASSERT_TRUE(eventually([&] {
@@ -316,7 +316,7 @@
   config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   config.mode = "automatic";
   config.discovery = agent.address();
-  Program program(config.text());
+  NodeProcess program(config.text());
   RawConnection client = RawConnection::connect_to(program.port());
   const auto start = Steady::now();
   client.write(ClientRequest{.id = "short_timeout", .timeout = "400"}.text());
