--- a/tests/fleet_rig/machine_test.cpp
+++ b/tests/fleet_rig/machine_test.cpp
@@ -188,7 +188,7 @@
 
 // A stopped node keeps its listening socket: the kernel completes connections, but no request is answered.
 TEST(Machine, PausedNodeStillAcceptsConnections) {
-  node::ConfigText config;
+  node::NodeConfig config;
   const std::string folder = folder_of("node");
   std::filesystem::create_directories(folder);
   config.known = node::endpoint_list_json(7, true, node::endpoint_json("s0", "127.0.0.1:9"));
--- a/tests/node/client_disconnect_test.cpp
+++ b/tests/node/client_disconnect_test.cpp
@@ -34,8 +34,8 @@
 
 class ClientDisconnect : public testing::TestWithParam<DisconnectCase> {
  protected:
-  ConfigText config(double connect_timeout = 12) const {
-    ConfigText out;
+  NodeConfig config(double connect_timeout = 12) const {
+    NodeConfig out;
     out.bounds = std::string(R"("cancel":)") + (GetParam().cancel_enabled ? "true" : "false") +
                  R"(,"maxAttempts":3,"maxRetryAfter":2.0,"retryAfter":true,"secondCopies":true,)"
                  R"("idleClose":60.0,"dialTimeout":)" +
@@ -60,7 +60,7 @@
   FullListener full;
   full.fill();
   FakeDiscovery discovery;
-  ConfigText node_config = config();
+  NodeConfig node_config = config();
   node_config.known = endpoint_list_json(7, true, endpoint_json("s0", full.address()));
   node_config.discovery = discovery.address();
   NodeProcess program(node_config.text(), 0, true, "", child_setup());
@@ -82,7 +82,7 @@
 TEST_P(ClientDisconnect, WhileTheRequestIsPartlyWritten) {
   FullListener listener(true);
   FakeDiscovery discovery;
-  ConfigText node_config = config();
+  NodeConfig node_config = config();
   node_config.known = endpoint_list_json(7, true, endpoint_json("s0", listener.address()));
   node_config.discovery = discovery.address();
   NodeProcess program(node_config.text(), 0, true, "", child_setup());
--- a/tests/node/deployment.h
+++ b/tests/node/deployment.h
@@ -20,7 +20,7 @@
 // which watches a fake discovery service. Discovery sends no update unless the test pushes one.
 class Deployment {
  public:
-  explicit Deployment(const std::vector<FakeServer*>& servers, ConfigText initial_config = {},
+  explicit Deployment(const std::vector<FakeServer*>& servers, NodeConfig initial_config = {},
                       rlim_t max_descriptors = 0, void (*before_exec)() = nullptr)
       : config(std::move(initial_config)) {
     std::string endpoints;
@@ -36,7 +36,7 @@
   }
 
   FakeDiscovery discovery;
-  ConfigText config;
+  NodeConfig config;
   std::unique_ptr<NodeProcess> program;
 };
 
--- a/tests/node/deployments_test.cpp
+++ b/tests/node/deployments_test.cpp
@@ -47,8 +47,8 @@
 
 class DeploymentSettings : public testing::TestWithParam<SettingsProfile> {
  protected:
-  static ConfigText config() {
-    ConfigText out;
+  static NodeConfig config() {
+    NodeConfig out;
     out.categories = GetParam().categories;
     out.rules = GetParam().rules;
     return out;
@@ -80,7 +80,7 @@
 // the client may repeat gets a 503.
 TEST_P(DeploymentSettings, RetriesFollowTheIdempotencyOfTheClass) {
   FakeServer one(replies(500, "no")), two(replies(500, "no"));
-  ConfigText node_config = config();
+  NodeConfig node_config = config();
   node_config.known = endpoint_list_json(
       7, true,
       endpoint_json("s0", one.address(), "up", 1) + "," + endpoint_json("s1", two.address(), "up", 2));
@@ -129,7 +129,7 @@
 // The node's safety margins are small against a short timeout: the server gets most of it.
 TEST(ShortTimeouts, LeaveMostOfTheTimeToTheServer) {
   FakeServer server(replies(200, "ok"));
-  ConfigText config;
+  NodeConfig config;
   config.categories = kProfiles[0].categories;
   Deployment d({&server}, config);
   RawConnection client = d.client();
@@ -178,7 +178,7 @@
 
 TEST_P(UnusualSettings, AreAppliedOrRejectedWithTheFieldName) {
   FakeServer server(replies(200, "ok"));
-  ConfigText config;
+  NodeConfig config;
   config.categories = GetParam().categories;
   config.bounds = GetParam().bounds;
   config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
--- a/tests/node/drain_test.cpp
+++ b/tests/node/drain_test.cpp
@@ -15,7 +15,7 @@
 TEST(Drain, AcceptedRequestsAreAnsweredBeforeTheKill) {
   for (const char* cancel : {"true", "false"}) {
     FakeServer hanging_server([](RawConnection&, const std::string&) { return true; });
-    ConfigText config;
+    NodeConfig config;
     config.bounds = std::string(R"("cancel":)") + cancel +
                     R"(,"maxAttempts":3,"maxRetryAfter":2.0,"retryAfter":true,"secondCopies":true,)"
                     R"("dialTimeout":0.5,"idleClose":60.0)";
@@ -41,7 +41,7 @@
   FullListener full;
   full.fill();
   FakeDiscovery discovery;
-  ConfigText config;
+  NodeConfig config;
   config.bounds = R"("cancel":true,"maxAttempts":1,"maxRetryAfter":2.0,"retryAfter":true,)"
                   R"("secondCopies":true,"dialTimeout":12.0,"idleClose":60.0)";
   config.known = endpoint_list_json(7, true, endpoint_json("s0", full.address()));
@@ -60,7 +60,7 @@
 // With a client timeout of 0.5 s, the kill comes 0.7 s after it.
 TEST(Drain, FollowsTheLongestClientTimeout) {
   FakeServer hanging_server([](RawConnection&, const std::string&) { return true; });
-  ConfigText config;
+  NodeConfig config;
   config.categories = R"({"name":"close","aim":0.2,"giveUp":0.5,"effect":"unsafe","lateWorth":0.5})";
   Deployment d({&hanging_server}, config);
   RawConnection client = d.client(), idle = d.client();
@@ -142,7 +142,7 @@
   // All signals are pending before the node handles the first one.
   d.program->signal(SIGSTOP);
   ASSERT_TRUE(eventually([&] { return d.program->state() == 'T'; }));
-  ConfigText config = d.config;
+  NodeConfig config = d.config;
   config.discovery = new_discovery.address();
   d.program->reload(config.text());
   for (const int number : {SIGTERM, SIGINT}) d.program->signal(number);
@@ -160,7 +160,7 @@
   FakeServer server(replies(200, "ok"));
   for (int i = 0; i < 5; ++i) {
     FakeDiscovery discovery;
-    ConfigText config;
+    NodeConfig config;
     config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
     config.discovery = discovery.address();
     NodeProcess program(config.text());
--- a/tests/node/handover_test.cpp
+++ b/tests/node/handover_test.cpp
@@ -23,7 +23,7 @@
     closed_at = std::chrono::steady_clock::now();
     return false;
   });
-  ConfigText config;
+  NodeConfig config;
   config.bounds = R"("cancel":true,"maxAttempts":3,"maxRetryAfter":2.0,"retryAfter":true,)"
                   R"("secondCopies":true,"dialTimeout":0.5,"idleClose":3.0)";
   Deployment d({&server}, config);
@@ -55,7 +55,7 @@
   FakeServer other(replies(200, "ok"));
   FullListener full;
   full.fill();
-  ConfigText config;
+  NodeConfig config;
   config.bounds = R"("cancel":true,"maxAttempts":3,"maxRetryAfter":2.0,"retryAfter":true,)"
                   R"("secondCopies":true,"dialTimeout":12.0,"idleClose":60.0)";
   config.categories =
@@ -103,7 +103,7 @@
   FullListener full;
   full.fill();
   FakeDiscovery discovery;
-  ConfigText config;
+  NodeConfig config;
   config.bounds = R"("cancel":true,"maxAttempts":1,"maxRetryAfter":2.0,"retryAfter":true,)"
                   R"("secondCopies":true,"dialTimeout":12.0,"idleClose":60.0)";
   config.known = endpoint_list_json(7, true, endpoint_json("s0", full.address()));
@@ -154,7 +154,7 @@
   FullListener listener(true);
   FakeServer other(replies(200, "other"));
   FakeDiscovery discovery;
-  ConfigText config;
+  NodeConfig config;
   config.known = endpoint_list_json(7, true, endpoint_json("s0", listener.address()));
   config.discovery = discovery.address();
   NodeProcess program(config.text());
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -97,7 +97,7 @@
 TEST(Watch, NodeReconnectsByItselfWhereListsArePushed) {
   FakeServer server(replies(200, "ok"));
   FakeDiscovery discovery;
-  ConfigText config;
+  NodeConfig config;
   config.discovery = discovery.address();
   config.mode = "automatic";
   NodeProcess program(config.text());
@@ -163,7 +163,7 @@
   FakeServer server(replies(200, "ok"));
   FakeDiscovery discovery;
   discovery.set_response(http_response(503, ""));
-  ConfigText config;
+  NodeConfig config;
   config.discovery = discovery.address();
   NodeProcess program(config.text());
   ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= 2; }));
@@ -251,17 +251,17 @@
   };
   expect_rejected("{", "RELAY_CONFIG");
   expect_rejected("{}", "listen");
-  expect_rejected(ConfigText{.listen = "nowhere"}.text(), "listen");
-  expect_rejected(ConfigText{.discovery = "1.2.3.4:999999"}.text(), "discovery");
-  expect_rejected(ConfigText{.known = "{\"index\":1}"}.text(), "endpoints");
-  expect_rejected(ConfigText{.bounds = R"("maxAttempts":0)"}.text(), "bounds.maxAttempts");
+  expect_rejected(NodeConfig{.listen = "nowhere"}.text(), "listen");
+  expect_rejected(NodeConfig{.discovery = "1.2.3.4:999999"}.text(), "discovery");
+  expect_rejected(NodeConfig{.known = "{\"index\":1}"}.text(), "endpoints");
+  expect_rejected(NodeConfig{.bounds = R"("maxAttempts":0)"}.text(), "bounds.maxAttempts");
   Listener in_use([](RawConnection&) {});
-  expect_rejected(ConfigText{.listen = in_use.address()}.text(), "listen");
+  expect_rejected(NodeConfig{.listen = in_use.address()}.text(), "listen");
 }
 
 TEST(Lifecycle, SurvivesDescriptorExhaustion) {
   FakeServer server(replies(200, "ok"));
-  ConfigText config;
+  NodeConfig config;
   config.sockets = 1024;
   Deployment d({&server}, config, 64);
   {
--- a/tests/node/outcomes_test.cpp
+++ b/tests/node/outcomes_test.cpp
@@ -196,7 +196,7 @@
     port = stopped.listener().port();
   }
   FakeDiscovery discovery;
-  ConfigText config;
+  NodeConfig config;
   config.discovery = discovery.address();
   config.known = endpoint_list_json(7, true, endpoint_json("s0", "127.0.0.1:" + std::to_string(port)));
   NodeProcess program(config.text());
--- a/tests/node/pause_test.cpp
+++ b/tests/node/pause_test.cpp
@@ -134,7 +134,7 @@
   FullListener full;
   full.fill();
   FakeDiscovery discovery;
-  ConfigText config;
+  NodeConfig config;
   config.bounds = R"("cancel":true,"maxAttempts":1,"maxRetryAfter":2.0,"retryAfter":true,)"
                   R"("secondCopies":true,"dialTimeout":12.0,"idleClose":60.0)";
   config.known = endpoint_list_json(7, true, endpoint_json("s0", full.address()));
--- a/tests/node/peers_test.cpp
+++ b/tests/node/peers_test.cpp
@@ -50,17 +50,18 @@
     for (int i = 0; i < count; ++i) peers_.push_back(addresses_.udp(1, i + 1, kPort));
   }
   // Configuration of a node that lists the first `configured_count` peers; -1 lists all.
-  ConfigText config(int index, int configured_count = -1) const {
+  NodeConfig config(int index, int configured_count = -1) const {
     const std::size_t count =
         configured_count < 0 ? peers_.size() : static_cast<std::size_t>(configured_count);
-    ConfigText result;
+    NodeConfig result;
     result.bounds = kPeersPermittedBounds;
-    result.position = index;
-    result.total = static_cast<int>(count);
-    result.peers = "\"peer_listen\":\"" + to_text(peers_[static_cast<std::size_t>(index)]) + "\",\"peers\":[";
+    result.replica_index = index;
+    result.replica_count = static_cast<int>(count);
+    result.extra_fields =
+        "\"peer_listen\":\"" + to_text(peers_[static_cast<std::size_t>(index)]) + "\",\"peers\":[";
     for (std::size_t i = 0; i < count; ++i)
-      result.peers += (i == 0 ? "\"" : ",\"") + to_text(peers_[i]) + "\"";
-    result.peers += "],";
+      result.extra_fields += (i == 0 ? "\"" : ",\"") + to_text(peers_[i]) + "\"";
+    result.extra_fields += "],";
     return result;
   }
   std::unique_ptr<NodeProcess> start(int index, const std::string& operators = kPeersEnabled) const {
@@ -103,9 +104,9 @@
         Case{"an empty file", true, true, "# nothing\n"},
         Case{"the platform does not permit it", false, true, kPeersEnabled},
         Case{"no addresses are configured", true, false, kPeersEnabled}}) {
-    ConfigText config = replica_set.config(0);
-    if (!test_case.is_permitted) config.bounds = ConfigText().bounds;
-    if (!test_case.has_addresses) config.peers.clear();
+    NodeConfig config = replica_set.config(0);
+    if (!test_case.is_permitted) config.bounds = NodeConfig().bounds;
+    if (!test_case.has_addresses) config.extra_fields.clear();
     NodeProcess program(config.text(), 0, true, test_case.operators);
     EXPECT_EQ(count_udp_sockets(program.pid()), 0) << test_case.description;
     for (const char* event : {"fleet:", "event=replica_set_changed", "event=node_"})
@@ -120,7 +121,7 @@
   std::vector<std::string> forwarded;
   for (const std::string& operators : {std::string(), std::string("[fleet]\nenabled = false\n")}) {
     FakeServer server(replies(200, "ok"));
-    ConfigText config = replica_set.config(0);
+    NodeConfig config = replica_set.config(0);
     config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
     NodeProcess program(config.text(), 0, true, operators);
     RawConnection client = RawConnection::connect_to(program.port());
@@ -239,7 +240,7 @@
     auto server = std::make_unique<FakeServer>(replies(200, "ok"));
     const std::string address = server->address();
     const int port = std::stoi(address.substr(address.find(':') + 1));
-    ConfigText config = replica_set.config(0);
+    NodeConfig config = replica_set.config(0);
     config.known = endpoint_list_json(7, true, endpoint_json("s0", address));
     const std::string operators =
         std::string(kPeersEnabled) + (is_enabled ? "refuse_when_cut_off = true\n" : "");
@@ -293,7 +294,7 @@
 TEST(Peers, AFloodOfDatagramsDelaysNoRequestAndIsCounted) {
   const ReplicaSet replica_set(2);
   FakeServer server(replies(200, "ok"));
-  ConfigText config = replica_set.config(0);
+  NodeConfig config = replica_set.config(0);
   config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   NodeProcess node(config.text(), 0, true, kPeersEnabled);
   const auto peer = replica_set.start(1);
@@ -342,13 +343,13 @@
   };
   EXPECT_NE(startup_error(replica_set.config(0).text(), "[fleet]\nenabled = 7\n").find(":2: 'enabled'"),
             std::string::npos);
-  ConfigText config = replica_set.config(0);
-  config.peers = R"("peer_listen":"127.0.0.1:x","peers":["127.0.0.1:7946"],)";
+  NodeConfig config = replica_set.config(0);
+  config.extra_fields = R"("peer_listen":"127.0.0.1:x","peers":["127.0.0.1:7946"],)";
   EXPECT_NE(startup_error(config.text(), kPeersEnabled).find("peer_listen"), std::string::npos);
-  config.peers = R"("peer_listen":"127.0.0.1:7946","peers":["127.0.0.1:7946",3],)";
+  config.extra_fields = R"("peer_listen":"127.0.0.1:7946","peers":["127.0.0.1:7946",3],)";
   EXPECT_NE(startup_error(config.text(), kPeersEnabled).find("peers"), std::string::npos);
   config = replica_set.config(1);
-  config.peers = R"("peer_listen":"127.0.0.1:7946","peers":["127.0.0.1:7946"],)";
+  config.extra_fields = R"("peer_listen":"127.0.0.1:7946","peers":["127.0.0.1:7946"],)";
   EXPECT_NE(startup_error(config.text(), kPeersEnabled).find("own position"), std::string::npos);
   const auto running_node = replica_set.start(0);
   EXPECT_NE(startup_error(replica_set.config(0).text(), kPeersEnabled).find("peer_listen: "),
--- a/tests/node/reload_test.cpp
+++ b/tests/node/reload_test.cpp
@@ -23,7 +23,7 @@
   new_discovery.set_response(
       kWatchResponseHead +
       chunk(endpoint_list_json(3, true, endpoint_json("n0", new_server.address())) + "\n"));
-  ConfigText config = d.config;
+  NodeConfig config = d.config;
   config.discovery = new_discovery.address();
   d.program->reload(config.text());
   ASSERT_TRUE(eventually_serves(d, "new"));
@@ -38,7 +38,7 @@
   Deployment d({&server});
   ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() == 1; }));
   const std::vector<std::string> invalid = {"{\"name\":", "", "{}",
-                                            ConfigText{.discovery = "nowhere"}.text()};
+                                            NodeConfig{.discovery = "nowhere"}.text()};
   for (std::size_t i = 0; i < invalid.size(); ++i) {
     d.program->reload(invalid[i]);
     ASSERT_TRUE(eventually([&] {
@@ -61,7 +61,7 @@
   Deployment d({&server});
   ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() == 1; }));
   FakeDiscovery new_discovery;
-  ConfigText config = d.config;
+  NodeConfig config = d.config;
   config.discovery = new_discovery.address();
   d.program->remove_config();
   d.program->signal(SIGHUP);
@@ -84,7 +84,7 @@
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   FakeDiscovery new_discovery;
-  ConfigText config = d.config;
+  NodeConfig config = d.config;
   config.discovery = new_discovery.address();
   d.program->fill_log();
   d.program->reload("{");
@@ -99,7 +99,7 @@
   Deployment d({&server});
   FakeDiscovery discovery_a, discovery_b;
   for (int i = 0; i < 20; ++i) {
-    ConfigText config = d.config;
+    NodeConfig config = d.config;
     config.discovery = (i % 2 == 0 ? discovery_a : discovery_b).address();
     d.program->reload(config.text());
     ASSERT_TRUE(d.program->running());
@@ -121,7 +121,7 @@
     FakeDiscovery stopped_discovery;
     port = stopped_discovery.listener().port();
   }
-  ConfigText config = d.config;
+  NodeConfig config = d.config;
   config.discovery = "127.0.0.1:" + std::to_string(port);
   d.program->reload(config.text());
   ASSERT_TRUE(eventually([&] { return d.program->count_in_log("event=reload ") == 1; }));
@@ -144,7 +144,7 @@
   ASSERT_TRUE(eventually([&] { return server.requests().size() == 1; }));
   d.program->signal(SIGTERM);
   FakeDiscovery new_discovery;
-  ConfigText config = d.config;
+  NodeConfig config = d.config;
   config.discovery = new_discovery.address();
   d.program->reload(config.text());
   EXPECT_TRUE(eventually([&] { return new_discovery.calls().size() == 1; }));
--- a/tests/node/scripted_discovery.h
+++ b/tests/node/scripted_discovery.h
@@ -76,15 +76,15 @@
 struct WatchingNode {
   WatchingNode(ScriptedDiscovery& discovery, const std::string& known,
                const std::string& mode = "subscribe") {
-    text.known = known;
-    text.mode = mode;
-    text.discovery = discovery.address();
-    program = std::make_unique<NodeProcess>(text.text());
+    config.known = known;
+    config.mode = mode;
+    config.discovery = discovery.address();
+    program = std::make_unique<NodeProcess>(config.text());
     requests = std::make_unique<RequestSender>(*program);
   }
   // Sends the next request and returns the status of the response.
   int status() { return requests->status(); }
-  ConfigText text;
+  NodeConfig config;
   std::unique_ptr<NodeProcess> program;
   std::unique_ptr<RequestSender> requests;
 };
--- a/tests/node/service_test.cpp
+++ b/tests/node/service_test.cpp
@@ -37,7 +37,7 @@
 
 TEST(MisbehavingClients, SilentConnectionsAreEvictedBeforeServedClients) {
   FakeServer server(replies(200, "ok"));
-  ConfigText config;
+  NodeConfig config;
   config.sockets = 64;  // allows 20 client connections
   Deployment d({&server}, config);
   RawConnection served = d.client();
@@ -158,7 +158,7 @@
 // The request bodies of all connections share one memory budget.
 TEST(Limits, BodiesBeyondTheMemoryBudgetAreRejectedWithRetryAfter) {
   FakeServer server(replies(200, "ok"));
-  ConfigText config;
+  NodeConfig config;
   config.memory_mb = 8;  // 2.7 MB of these are for messages, which is enough for 40 bodies
   Deployment d({&server}, config);
   constexpr int kClients = 80;
@@ -234,7 +234,7 @@
 TEST(MisbehavingServers, DuplicateResponseDoesNotAnswerTheWaitingAttempt) {
   FullListener server;
   FakeDiscovery discovery;
-  ConfigText config;
+  NodeConfig config;
   config.discovery = discovery.address();
   config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   config.bounds = R"("cancel":true,"maxAttempts":3,"dialTimeout":14.0,"idleClose":60.0)";
@@ -264,7 +264,7 @@
     if (!connection.read_message().empty()) ++requests;
   });
   FakeDiscovery discovery;
-  ConfigText config;
+  NodeConfig config;
   config.discovery = discovery.address();
   config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   NodeProcess program(config.text());
@@ -285,7 +285,7 @@
 TEST(AddressReuse, NewServerAtARemovedServersAddressGetsItsOwnConnection) {
   FullListener server;
   FakeDiscovery discovery;
-  ConfigText config;
+  NodeConfig config;
   config.discovery = discovery.address();
   config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   config.bounds = R"("cancel":true,"maxAttempts":3,"dialTimeout":14.0,"idleClose":60.0)";
--- a/tests/node/stale_endpoints_test.cpp
+++ b/tests/node/stale_endpoints_test.cpp
@@ -87,11 +87,11 @@
   QueueingDiscovery discovery(300ms, 2000ms);
   const std::string known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   const auto start_node = [&](int index) {
-    ConfigText text;
+    NodeConfig text;
     text.known = known;
     text.discovery = discovery.address();
-    text.position = index;
-    text.total = kNodes;
+    text.replica_index = index;
+    text.replica_count = kNodes;
     text.seed = std::to_string(index + 1);
     return std::make_unique<NodeProcess>(text.text());
   };
--- a/tests/node/system_calls_test.cpp
+++ b/tests/node/system_calls_test.cpp
@@ -88,7 +88,7 @@
   const Fault& fault = all_faults()[GetParam()];
   FakeServer one(replies(200, "ok")), two(replies(200, "ok"));
   const CallPlanFile plan;
-  ConfigText config;
+  NodeConfig config;
   config.bounds = R"("cancel":true,"maxAttempts":3,"maxRetryAfter":2.0,"retryAfter":true,)"
                   R"("secondCopies":true,"dialTimeout":0.5,"idleClose":60.0)";
   Deployment d({&one, &two}, config, 0, load_shim);
--- a/tests/node/watch_test.cpp
+++ b/tests/node/watch_test.cpp
@@ -23,7 +23,7 @@
 // Objects may be indented, with blank lines before, between and after them.
 TEST(EndpointLists, AcceptIndentedObjectsSplitOverChunks) {
   FakeServer server(replies(200, "ok"));
-  Deployment d({}, ConfigText{.known = endpoint_list_json(1, true, "")});
+  Deployment d({}, NodeConfig{.known = endpoint_list_json(1, true, "")});
   const std::string unusual_entry =
       R"({"name":"a}\"{[\\","address":"127.0.0.1:9","status":"draining","note":{"x":[1,{}]}})";
   const std::string objects =
@@ -226,7 +226,7 @@
         chunk(endpoint_list_json(3, true, endpoint_json("s0", server.address(), "draining")) + "\n"));
     connection.read_until_close();
   });
-  ConfigText text = node.text;
+  NodeConfig text = node.config;
   text.discovery = new_discovery.address();
   const auto start = Steady::now();
   node.program->reload(text.text());
@@ -271,7 +271,7 @@
           chunk(endpoint_list_json(8, true, endpoint_json("s0", server.address(), "draining")) + "\n"));
       connection.read_until_close();
     });
-    ConfigText config;
+    NodeConfig config;
     config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
     config.mode = "automatic";
     config.discovery = agent.address();
@@ -312,7 +312,7 @@
 TEST(PushedLists, RequestIsRejectedBeforeItsTimeoutWhenTheAgentIsSilent) {
   FakeServer server(replies(200, "ok"));
   ScriptedDiscovery agent([](RawConnection& connection, int) { connection.read_until_close(); });
-  ConfigText config;
+  NodeConfig config;
   config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   config.mode = "automatic";
   config.discovery = agent.address();
