--- a/tests/node/client_disconnect_test.cpp
+++ b/tests/node/client_disconnect_test.cpp
@@ -76,7 +76,7 @@
   // The node either uses the connection for the next request, or closes it and opens a second one.
   std::string first_request = server.read_message();
   if (first_request.empty()) first_request = RawConnection(full.accept()).read_message();
-  EXPECT_EQ(field_of(first_request, "X-Request-ID"), "next") << first_request;
+  EXPECT_EQ(header_of(first_request, "X-Request-ID"), "next") << first_request;
 }
 
 TEST_P(ClientDisconnect, WhileTheRequestIsPartlyWritten) {
@@ -96,7 +96,7 @@
   disconnect(client);
   sleep_for(kDisconnectGrace);
   const std::string received = server.read_until_close();
-  EXPECT_EQ(field_of(received, "X-Request-ID"), "disconnected") << received.substr(0, 200);
+  EXPECT_EQ(header_of(received, "X-Request-ID"), "disconnected") << received.substr(0, 200);
   EXPECT_LT(body_of(received).size(), body.size())
       << "the last byte of the request was sent after its client had disconnected";
 }
@@ -105,7 +105,7 @@
 // connected.
 TEST_P(ClientDisconnect, WhileItsFirstAttemptIsInFlight) {
   Gate gate;
-  const FakeServer::Reply reject = [&](RawConnection& connection, const std::string&) {
+  const FakeServer::Handler reject = [&](RawConnection& connection, const std::string&) {
     return gate.wait() && connection.write(http_response(503, "", "X-Not-Processed: 1\r\n"));
   };
   FakeServer one(reject), two(reject);
@@ -125,7 +125,7 @@
   int forwarded = 0;
   for (FakeServer* server : {&one, &two})
     for (const std::string& request : server->requests())
-      forwarded += field_of(request, "X-Request-ID") == "disconnected";
+      forwarded += header_of(request, "X-Request-ID") == "disconnected";
   EXPECT_EQ(forwarded, 1);
 }
 
@@ -133,7 +133,7 @@
 TEST_P(ClientDisconnect, WhileTheNodeIsPausedWithAnAttemptInFlight) {
   Gate gate;
   std::atomic<bool> response_written = false;
-  const FakeServer::Reply reject = [&](RawConnection& connection, const std::string&) {
+  const FakeServer::Handler reject = [&](RawConnection& connection, const std::string&) {
     const bool is_written = gate.wait() && connection.write(http_response(503, "", "X-Not-Processed: 1\r\n"));
     response_written = true;
     return is_written;
@@ -158,14 +158,14 @@
   int forwarded = 0;
   for (FakeServer* server : {&one, &two})
     for (const std::string& request : server->requests())
-      forwarded += field_of(request, "X-Request-ID") == "disconnected";
+      forwarded += header_of(request, "X-Request-ID") == "disconnected";
   EXPECT_EQ(forwarded, 1);
 }
 
 // The node is stopped while one client connects, sends a request and disconnects in the accept queue, and
 // another does so on an established connection.
 TEST_P(ClientDisconnect, BeforeItsRequestIsRead) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server}, config(), 0, child_setup());
   RawConnection established = d.client();
   established.write(ClientRequest{.id = "before"}.text());
@@ -182,7 +182,7 @@
   next.write(ClientRequest{.id = "after"}.text());
   EXPECT_EQ(status_of(next.read_message()), 200);
   for (const std::string& request : server.requests())
-    EXPECT_FALSE(field_of(request, "X-Request-ID").starts_with("disconnected"));
+    EXPECT_FALSE(header_of(request, "X-Request-ID").starts_with("disconnected"));
 }
 
 INSTANTIATE_TEST_SUITE_P(All, ClientDisconnect, testing::ValuesIn(all_cases()), test_name);
@@ -190,7 +190,7 @@
 // The node reads the client's FIN while it still writes a response and has the next pipelined request
 // buffered.
 TEST(PipelinedClient, NothingIsForwardedAfterACloseDuringItsResponse) {
-  FakeServer server(replies(200, std::string(std::size_t{1} << 20, 'a')));
+  FakeServer server(respond_with(200, std::string(std::size_t{1} << 20, 'a')));
   // Without TCP_INFO, which would also reveal the half-close, the node has only the FIN that it reads.
   Deployment d({&server}, {}, 0, disable_tcp_info);
   RawConnection client = d.client(true);
@@ -204,7 +204,8 @@
   ASSERT_EQ(status_of(other.read_message()), 200);
   const std::string responses = client.read_until_close();
   EXPECT_EQ(body_of(responses).size(), std::size_t{1} << 20) << "a response that has started is completed";
-  for (const std::string& request : server.requests()) EXPECT_NE(field_of(request, "X-Request-ID"), "second");
+  for (const std::string& request : server.requests())
+    EXPECT_NE(header_of(request, "X-Request-ID"), "second");
 }
 
 // Limited read-ahead: the node answers the pipelined requests that it has buffered, then rejects the next one
@@ -212,7 +213,7 @@
 TEST(PipelinedClient, AnswersBufferedRequestsAndRejectsFurtherOnes) {
   Gate gate;
   FakeServer server([&](RawConnection& connection, const std::string& request) {
-    return gate.wait() && connection.write(http_response(200, field_of(request, "X-Request-ID")));
+    return gate.wait() && connection.write(http_response(200, header_of(request, "X-Request-ID")));
   });
   Deployment d({&server});
   RawConnection client = d.client();
@@ -227,7 +228,7 @@
   for (std::string response = client.read_message(); !response.empty(); response = client.read_message()) {
     if (status_of(response) != 200) {
       EXPECT_EQ(status_of(response), 413) << response;
-      EXPECT_EQ(field_of(response, "Connection"), "close");
+      EXPECT_EQ(header_of(response, "Connection"), "close");
       break;
     }
     EXPECT_EQ(body_of(response), "r" + std::to_string(ok_responses));
--- a/tests/node/deployment.h
+++ b/tests/node/deployment.h
@@ -42,14 +42,14 @@
 
 // A client's HTTP request; with the defaults it is valid.
 struct ClientRequest {
-  std::string request_class = "close", id = "r1", method = "POST", body = "{}", path = "", fields = "";
+  std::string request_class = "close", id = "r1", method = "POST", body = "{}", path = "", headers = "";
   std::string timeout = "15000", key = "";
   std::string text() const {
     return method + " " + (path.empty() ? "/" + request_class + "/k1?x=1" : path) +
            " HTTP/1.1\r\nHost: origin.svc\r\n" + (id.empty() ? "" : "X-Request-ID: " + id + "\r\n") +
            "X-Priority-Class: " + request_class + "\r\nX-Tenant-Id: acme\r\n" +
            (timeout.empty() ? "" : "X-Timeout-Ms: " + timeout + "\r\n") +
-           (key.empty() ? "" : "Idempotency-Key: " + key + "\r\n") + fields +
+           (key.empty() ? "" : "Idempotency-Key: " + key + "\r\n") + headers +
            (body.empty() ? "" : "Content-Length: " + std::to_string(body.size()) + "\r\n") + "\r\n" + body;
   }
 };
--- a/tests/node/deployments_test.cpp
+++ b/tests/node/deployments_test.cpp
@@ -56,7 +56,7 @@
 };
 
 TEST_P(DeploymentSettings, OnlyConfiguredClassesAreServed) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server}, config());
   RawConnection client = d.client();
   for (const ClassUnderTest& c : classes_of(GetParam())) {
@@ -79,7 +79,7 @@
 // deduplication scope and window, and an idempotent one until its attempts are used up. Only a request that
 // the client may repeat gets a 503.
 TEST_P(DeploymentSettings, RetriesFollowTheIdempotencyOfTheClass) {
-  FakeServer one(replies(500, "no")), two(replies(500, "no"));
+  FakeServer one(respond_with(500, "no")), two(respond_with(500, "no"));
   NodeConfig node_config = config();
   node_config.known = endpoint_list_json(
       7, true,
@@ -88,7 +88,7 @@
   const auto sent_count = [&](const std::string& id) {
     std::size_t out = 0;
     for (FakeServer* server : {&one, &two})
-      for (const std::string& request : server->requests()) out += field_of(request, "X-Request-ID") == id;
+      for (const std::string& request : server->requests()) out += header_of(request, "X-Request-ID") == id;
     return out;
   };
   for (const ClassUnderTest& c : classes_of(GetParam())) {
@@ -128,14 +128,14 @@
 
 // The node's safety margins are small against a short timeout: the server gets most of it.
 TEST(ShortTimeouts, LeaveMostOfTheTimeToTheServer) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   NodeConfig config;
   config.categories = kProfiles[0].categories;
   Deployment d({&server}, config);
   RawConnection client = d.client();
   client.write(ClientRequest{.request_class = "fire", .timeout = "80"}.text());
   ASSERT_EQ(status_of(client.read_message()), 200);
-  EXPECT_GE(std::stoi(field_of(server.requests()[0], "X-Timeout-Ms")), 50)
+  EXPECT_GE(std::stoi(header_of(server.requests()[0], "X-Timeout-Ms")), 50)
       << "the server gets most of the 80 ms";
 }
 
@@ -177,7 +177,7 @@
 class UnusualSettings : public testing::TestWithParam<SettingsCase> {};
 
 TEST_P(UnusualSettings, AreAppliedOrRejectedWithTheFieldName) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   NodeConfig config;
   config.categories = GetParam().categories;
   config.bounds = GetParam().bounds;
--- a/tests/node/drain_test.cpp
+++ b/tests/node/drain_test.cpp
@@ -77,7 +77,7 @@
 // Clients may send on any open connection, so a session whose response is still being written when idle
 // connections are closed must close once it is complete.
 TEST(Drain, ResponseThatEndsAfterIdleConnectionsWereClosedEndsItsConnection) {
-  FakeServer server(replies(200, std::string(std::size_t{1} << 20, 'a')));
+  FakeServer server(respond_with(200, std::string(std::size_t{1} << 20, 'a')));
   Deployment d({&server});
   RawConnection slow = d.client(true), idle = d.client();
   idle.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -101,7 +101,7 @@
   GTEST_SKIP()
       << "the sanitizer's vptr check opens a pipe, which needs descriptors; see the Descriptors tests";
 #endif
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   RawConnection known = d.client();
   known.write(ClientRequest{.id = "known"}.text());
@@ -157,7 +157,7 @@
 }
 
 TEST(Drain, SignalsDuringStartupEndTheNodeCleanly) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   for (int i = 0; i < 5; ++i) {
     FakeDiscovery discovery;
     NodeConfig config;
--- a/tests/node/fake_discovery.h
+++ b/tests/node/fake_discovery.h
@@ -25,7 +25,7 @@
          R"(,"endpoints":[)" + endpoints + "]}";
 }
 
-inline std::string chunk(const std::string& bytes) {
+inline std::string http_chunk(const std::string& bytes) {
   std::ostringstream size;
   size << std::hex << bytes.size();
   return size.str() + "\r\n" + bytes + "\r\n";
@@ -45,7 +45,7 @@
                 requests_.push_back(request);
                 std::string response = response_;
                 if (response.empty())
-                  response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("\n");
+                  response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + http_chunk("\n");
                 // Under the lock, so that push() cannot write before the response head.
                 connection.write(response);
                 open_watch_ = &connection;
@@ -68,7 +68,7 @@
       return open_watch_ != nullptr && open_watch_->write(bytes);
     });
   }
-  bool push(const std::string& line) { return push_bytes(chunk(line + "\n")); }
+  bool push(const std::string& line) { return push_bytes(http_chunk(line + "\n")); }
   void close_watch() {
     const std::lock_guard lock(mutex_);
     if (open_watch_ != nullptr) ::shutdown(open_watch_->fd(), SHUT_RDWR);
--- a/tests/node/fake_server.h
+++ b/tests/node/fake_server.h
@@ -94,8 +94,8 @@
 // Passes each request to `reply`, which writes the response; the connection is closed if it returns false.
 class FakeServer {
  public:
-  using Reply = std::function<bool(RawConnection&, const std::string& request)>;
-  explicit FakeServer(Reply reply, int port = 0)
+  using Handler = std::function<bool(RawConnection&, const std::string& request)>;
+  explicit FakeServer(Handler reply, int port = 0)
       : reply_(std::move(reply)),
         listener_(
             [this](RawConnection& connection) {
@@ -120,21 +120,22 @@
   int closed_by_node() const { return closed_by_node_; }
 
  private:
-  Reply reply_;
+  Handler reply_;
   std::mutex mutex_;
   std::vector<std::string> requests_;
   std::atomic<int> closed_by_node_ = 0;
   Listener listener_;
 };
 
-inline std::string http_response(int status, const std::string& body, const std::string& fields = "") {
+inline std::string http_response(int status, const std::string& body, const std::string& headers = "") {
   return "HTTP/1.1 " + std::to_string(status) + " X\r\nContent-Length: " + std::to_string(body.size()) +
-         "\r\n" + fields + "\r\n" + body;
+         "\r\n" + headers + "\r\n" + body;
 }
 
-inline FakeServer::Reply replies(int status, const std::string& body, const std::string& fields = "") {
+inline FakeServer::Handler respond_with(int status, const std::string& body,
+                                        const std::string& headers = "") {
   return [=](RawConnection& connection, const std::string&) {
-    return connection.write(http_response(status, body, fields));
+    return connection.write(http_response(status, body, headers));
   };
 }
 
--- a/tests/node/handover_test.cpp
+++ b/tests/node/handover_test.cpp
@@ -52,7 +52,7 @@
   FakeServer first([&](RawConnection& connection, const std::string&) {
     return gate.wait() && connection.write(http_response(500, ""));
   });
-  FakeServer other(replies(200, "ok"));
+  FakeServer other(respond_with(200, "ok"));
   FullListener full;
   full.fill();
   NodeConfig config;
@@ -118,17 +118,17 @@
   const std::string request = server.read_message();
   const double elapsed = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
   ASSERT_FALSE(request.empty());
-  EXPECT_LE(std::stoi(field_of(request, "X-Timeout-Ms")), 9000 - 1000 + 150) << elapsed;
-  EXPECT_GT(std::stoi(field_of(request, "X-Timeout-Ms")), 1000);
+  EXPECT_LE(std::stoi(header_of(request, "X-Timeout-Ms")), 9000 - 1000 + 150) << elapsed;
+  EXPECT_GT(std::stoi(header_of(request, "X-Timeout-Ms")), 1000);
 }
 
 TEST(ForwardedTimeout, OfARetryExcludesTheFirstAttempt) {
   std::mutex mutex;
   std::vector<int> timeouts_ms;
-  const FakeServer::Reply reject = [&](RawConnection& connection, const std::string& request) {
+  const FakeServer::Handler reject = [&](RawConnection& connection, const std::string& request) {
     {
       const std::lock_guard lock(mutex);
-      timeouts_ms.push_back(std::stoi(field_of(request, "X-Timeout-Ms")));
+      timeouts_ms.push_back(std::stoi(header_of(request, "X-Timeout-Ms")));
     }
     sleep_for(1000ms);
     return connection.write(http_response(503, "", "X-Not-Processed: 1\r\n"));
@@ -152,7 +152,7 @@
 
 TEST_P(PartlyWrittenRequest, IsRetriedOnAnotherServerOnceItsServerIsUnusable) {
   FullListener listener(true);
-  FakeServer other(replies(200, "other"));
+  FakeServer other(respond_with(200, "other"));
   FakeDiscovery discovery;
   NodeConfig config;
   config.known = endpoint_list_json(7, true, endpoint_json("s0", listener.address()));
@@ -172,7 +172,7 @@
   EXPECT_EQ(status_of(response), 200);
   EXPECT_EQ(body_of(response), "other");
   const std::string received = server.read_until_close();
-  EXPECT_EQ(field_of(received, "X-Request-ID"), "half") << received.substr(0, 200);
+  EXPECT_EQ(header_of(received, "X-Request-ID"), "half") << received.substr(0, 200);
   EXPECT_LT(body_of(received).size(), body.size())
       << "the last byte of the request was sent to a server that accepts no requests";
 }
--- a/tests/node/idle_lifetime_test.cpp
+++ b/tests/node/idle_lifetime_test.cpp
@@ -38,7 +38,7 @@
 }
 
 // Resets each connection at its second request, like a middlebox that drops the state of idle connections.
-FakeServer::Reply resets_second_requests() {
+FakeServer::Handler resets_second_requests() {
   return [requests = std::make_shared<std::map<int, int>>()](RawConnection& connection, const std::string&) {
     static std::mutex mutex;
     const std::lock_guard lock(mutex);
--- a/tests/node/invalid_request_test.cpp
+++ b/tests/node/invalid_request_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 void expect_rejected(const std::string& request, int status) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   RawConnection client = d.client();
   client.write(request);
@@ -17,7 +17,9 @@
 
 TEST(InvalidRequest, Malformed) { expect_rejected("\x01\x02 what?\r\n\r\n", 400); }
 TEST(InvalidRequest, MissingId) { expect_rejected(ClientRequest{.id = ""}.text(), 400); }
-TEST(InvalidRequest, TwoIds) { expect_rejected(ClientRequest{.fields = "X-Request-ID: r2\r\n"}.text(), 400); }
+TEST(InvalidRequest, TwoIds) {
+  expect_rejected(ClientRequest{.headers = "X-Request-ID: r2\r\n"}.text(), 400);
+}
 TEST(InvalidRequest, UnknownClass) { expect_rejected(ClientRequest{.request_class = "dance"}.text(), 400); }
 TEST(InvalidRequest, ClassNotOfThePath) { expect_rejected(ClientRequest{.path = "/mark/k1"}.text(), 400); }
 TEST(InvalidRequest, UnknownPath) { expect_rejected("GET /ping HTTP/1.1\r\nHost: a\r\n\r\n", 404); }
@@ -39,8 +41,8 @@
   expect_rejected(ClientRequest{.body = std::string(256 * 1024 + 1, 'x')}.text(), 413);
 }
 TEST(InvalidRequest, ChunkedBodyTooLarge) {
-  expect_rejected(ClientRequest{.body = "", .fields = "Transfer-Encoding: chunked\r\n"}.text() + "40001\r\n" +
-                      std::string(256 * 1024 + 1, 'x') + "\r\n0\r\n\r\n",
+  expect_rejected(ClientRequest{.body = "", .headers = "Transfer-Encoding: chunked\r\n"}.text() +
+                      "40001\r\n" + std::string(256 * 1024 + 1, 'x') + "\r\n0\r\n\r\n",
                   413);
 }
 TEST(InvalidRequest, BodyOfGigabytes) {
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 TEST(Node, ForwardsARequestUnchanged) {
-  FakeServer server(replies(200, "the response", "Content-Type: text/x-mark\r\n"));
+  FakeServer server(respond_with(200, "the response", "Content-Type: text/x-mark\r\n"));
   Deployment d({&server});
   RawConnection client = d.client();
   client.write(
@@ -14,21 +14,21 @@
   const std::string response = client.read_message();
   EXPECT_EQ(status_of(response), 200) << response;
   EXPECT_EQ(body_of(response), "the response");
-  EXPECT_EQ(field_of(response, "Content-Type"), "text/x-mark");
+  EXPECT_EQ(header_of(response, "Content-Type"), "text/x-mark");
   ASSERT_EQ(server.requests().size(), 1U);
   const std::string request = server.requests()[0];
   EXPECT_EQ(request.rfind("POST /mark/k1?x=1 HTTP/1.1\r\n", 0), 0U) << request;
-  EXPECT_EQ(field_of(request, "X-Request-ID"), "r1");
-  EXPECT_EQ(field_of(request, "Idempotency-Key"), "k-77");
+  EXPECT_EQ(header_of(request, "X-Request-ID"), "r1");
+  EXPECT_EQ(header_of(request, "Idempotency-Key"), "k-77");
   EXPECT_EQ(body_of(request), "payload");
   // The node forwards the timeout of the attempt, which is shorter than the client's.
-  const int timeout_ms = std::stoi(field_of(request, "X-Timeout-Ms"));
+  const int timeout_ms = std::stoi(header_of(request, "X-Timeout-Ms"));
   EXPECT_GT(timeout_ms, 0);
   EXPECT_LT(timeout_ms, 9000);
 }
 
 TEST(Node, ReusesConnectionsOnBothSides) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   RawConnection client = d.client();
   for (int i = 0; i < 5; ++i) {
@@ -41,7 +41,7 @@
 // ---------------------------------------------------------------- clients
 
 TEST(Clients, SplitRequestIsReassembled) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   RawConnection client = d.client();
   for (const char c : ClientRequest{}.text()) client.write(std::string(1, c));
@@ -50,7 +50,7 @@
 
 TEST(Clients, PipelinedRequestsAreAnsweredInOrder) {
   FakeServer server([](RawConnection& connection, const std::string& request) {
-    return connection.write(http_response(200, field_of(request, "X-Request-ID")));
+    return connection.write(http_response(200, header_of(request, "X-Request-ID")));
   });
   Deployment d({&server});
   RawConnection client = d.client();
@@ -73,7 +73,7 @@
 // ---------------------------------------------------------------- discovery
 
 TEST(Watch, ResumesAfterTheKnownListAndReassemblesSplitAndJoinedLines) {
-  FakeServer old_server(replies(200, "old")), new_server(replies(200, "new"));
+  FakeServer old_server(respond_with(200, "old")), new_server(respond_with(200, "new"));
   Deployment d({&old_server});
   ASSERT_TRUE(eventually([&] { return !d.discovery.calls().empty(); }));
   EXPECT_NE(d.discovery.calls()[0].find("watch=1&after=7 "), std::string::npos);
@@ -81,8 +81,8 @@
       endpoint_list_json(8, false, endpoint_json("s0", old_server.address(), "draining")) + "\n\n" +
       endpoint_list_json(9, false, endpoint_json("s1", new_server.address())) + "\n";
   const std::size_t split = lines.size() / 3;
-  d.discovery.push_bytes(chunk(lines.substr(0, split)));
-  d.discovery.push_bytes(chunk(lines.substr(split)));
+  d.discovery.push_bytes(http_chunk(lines.substr(0, split)));
+  d.discovery.push_bytes(http_chunk(lines.substr(split)));
   int request_count = 0;
   EXPECT_TRUE(eventually([&] {
     RawConnection client = d.client();
@@ -95,15 +95,16 @@
 }
 
 TEST(Watch, NodeReconnectsByItselfWhereListsArePushed) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   FakeDiscovery discovery;
   NodeConfig config;
   config.discovery = discovery.address();
   config.mode = "automatic";
   NodeProcess program(config.text());
   ASSERT_TRUE(eventually([&] { return discovery.calls().size() == 1; }));
-  discovery.set_response("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-                         chunk(endpoint_list_json(3, true, endpoint_json("s0", server.address())) + "\n"));
+  discovery.set_response(
+      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+      http_chunk(endpoint_list_json(3, true, endpoint_json("s0", server.address())) + "\n"));
   // close_watch() is repeated, because the fake discovery may not have registered the watch yet.
   EXPECT_TRUE(eventually([&] {
     discovery.close_watch();
@@ -118,7 +119,7 @@
 
 // A removed server that is listed again is used again, and so is a draining one.
 TEST(Watch, RemovedServerIsUsedAgainAfterItsReturn) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   int request_count = 0;
   const auto status = [&] {
@@ -139,15 +140,16 @@
 }
 
 TEST(Watch, SilentWatchIsAbandoned) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   EXPECT_TRUE(eventually([&] { return d.discovery.calls().size() >= 2; }));
 }
 
 TEST(Watch, InvalidListsAreLoggedOnceAndTheLastOneIsRetained) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
-  d.discovery.set_response("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("{\"index\":\n"));
+  d.discovery.set_response("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+                           http_chunk("{\"index\":\n"));
   d.discovery.close_watch();
   ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() >= 3; }));
   const std::string log = d.program->log();
@@ -160,7 +162,7 @@
 }
 
 TEST(Watch, UnavailableDiscoveryIsPolledAgain) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   FakeDiscovery discovery;
   discovery.set_response(http_response(503, ""));
   NodeConfig config;
@@ -170,8 +172,9 @@
   RawConnection probe = RawConnection::connect_to(program.port());
   probe.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
   EXPECT_EQ(status_of(probe.read_message()), 503) << "there is no server yet";
-  discovery.set_response("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-                         chunk(endpoint_list_json(3, true, endpoint_json("s0", server.address())) + "\n"));
+  discovery.set_response(
+      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+      http_chunk(endpoint_list_json(3, true, endpoint_json("s0", server.address())) + "\n"));
   EXPECT_TRUE(eventually([&] {
     probe.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
     return status_of(probe.read_message()) == 200;
@@ -231,7 +234,7 @@
 }
 
 TEST(Lifecycle, FirstRequestDuringTheDrainIsServed) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   RawConnection fresh = d.client();
   d.program->signal(SIGTERM);
@@ -260,7 +263,7 @@
 }
 
 TEST(Lifecycle, SurvivesDescriptorExhaustion) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   NodeConfig config;
   config.sockets = 1024;
   Deployment d({&server}, config, 64);
@@ -281,7 +284,7 @@
 // The client must get exactly one response.
 TEST(Races, ExactlyOneResponse) {
   FakeServer server([](RawConnection& connection, const std::string& request) {
-    std::this_thread::sleep_for(std::chrono::milliseconds(std::stoi(field_of(request, "X-Timeout-Ms")) - 1));
+    std::this_thread::sleep_for(std::chrono::milliseconds(std::stoi(header_of(request, "X-Timeout-Ms")) - 1));
     return connection.write(http_response(200, "ok"));
   });
   Deployment d({&server});
--- a/tests/node/outcomes_test.cpp
+++ b/tests/node/outcomes_test.cpp
@@ -6,19 +6,19 @@
 namespace {
 
 TEST(Outcomes, RejectionWithoutProcessingIsRetried) {
-  FakeServer full(replies(503, "", "X-Not-Processed: 1\r\n")),
-      busy(replies(503, "", "X-Not-Processed: 1\r\n"));
+  FakeServer full(respond_with(503, "", "X-Not-Processed: 1\r\n")),
+      busy(respond_with(503, "", "X-Not-Processed: 1\r\n"));
   Deployment d({&full, &busy});
   RawConnection client = d.client();
   client.write(ClientRequest{}.text());
   const std::string response = client.read_message();
   EXPECT_EQ(status_of(response), 503);
-  EXPECT_FALSE(field_of(response, "Retry-After").empty());
+  EXPECT_FALSE(header_of(response, "Retry-After").empty());
   EXPECT_EQ(full.requests().size() + busy.requests().size(), 2U) << "one attempt at each server";
 }
 
 TEST(Outcomes, RejectedByOneServerIsServedByAnother) {
-  FakeServer full(replies(503, "", "X-Not-Processed: 1\r\n")), idle(replies(200, "ok"));
+  FakeServer full(respond_with(503, "", "X-Not-Processed: 1\r\n")), idle(respond_with(200, "ok"));
   Deployment d({&full, &idle});
   RawConnection client = d.client();
   for (int i = 0; i < 10; ++i) {
@@ -28,7 +28,7 @@
   EXPECT_EQ(idle.requests().size(), 10U);
 }
 
-void expect_502_without_retry(const FakeServer::Reply& reply) {
+void expect_502_without_retry(const FakeServer::Handler& reply) {
   FakeServer server(reply);
   Deployment d({&server});
   RawConnection client = d.client();
@@ -40,15 +40,15 @@
   EXPECT_TRUE(d.program->running());
 }
 
-TEST(Outcomes, ErrorMayHaveBeenProcessed) { expect_502_without_retry(replies(500, "no")); }
+TEST(Outcomes, ErrorMayHaveBeenProcessed) { expect_502_without_retry(respond_with(500, "no")); }
 TEST(Outcomes, UnmarkedServiceUnavailableMayHaveBeenProcessed) {
-  expect_502_without_retry(replies(503, "no"));
+  expect_502_without_retry(respond_with(503, "no"));
 }
 TEST(Outcomes, OtherValueOfNotProcessedHeaderIsIgnored) {
-  expect_502_without_retry(replies(504, "no", "X-Not-Processed: 0\r\n"));
+  expect_502_without_retry(respond_with(504, "no", "X-Not-Processed: 0\r\n"));
 }
 TEST(Outcomes, OtherStatusMayHaveBeenProcessed) {
-  expect_502_without_retry(replies(404, "no", "X-Not-Processed: 1\r\n"));
+  expect_502_without_retry(respond_with(404, "no", "X-Not-Processed: 1\r\n"));
 }
 TEST(Outcomes, CloseWithoutResponseMayHaveBeenProcessed) {
   expect_502_without_retry([](RawConnection&, const std::string&) { return false; });
@@ -100,7 +100,7 @@
 
 TEST(Outcomes, ResponseMayBeLargerThanARequest) {
   const std::string body = large_body(370'000);
-  FakeServer server(replies(200, body));
+  FakeServer server(respond_with(200, body));
   Deployment d({&server});
   RawConnection client = d.client();
   for (int i = 0; i < 3; ++i) {
@@ -112,12 +112,12 @@
   }
 }
 TEST(Outcomes, LargestResponseIsOneMebibyte) {
-  FakeServer server(replies(200, large_body(1024 * 1024)));
+  FakeServer server(respond_with(200, large_body(1024 * 1024)));
   Deployment d({&server});
   RawConnection client = d.client();
   client.write(ClientRequest{}.text());
   EXPECT_EQ(body_of(client.read_message()).size(), 1024U * 1024U);
-  expect_502_without_retry(replies(200, large_body(1024 * 1024 + 1)));
+  expect_502_without_retry(respond_with(200, large_body(1024 * 1024 + 1)));
 }
 TEST(Outcomes, ChunkedBodyBeyondTheLimitMayHaveBeenProcessed) {
   expect_502_without_retry([](RawConnection& connection, const std::string&) {
@@ -192,7 +192,7 @@
 TEST(Outcomes, ConnectFailureIsNotProcessed) {
   int port = 0;
   {
-    FakeServer stopped(replies(200, "x"));
+    FakeServer stopped(respond_with(200, "x"));
     port = stopped.listener().port();
   }
   FakeDiscovery discovery;
--- a/tests/node/pause_test.cpp
+++ b/tests/node/pause_test.cpp
@@ -18,7 +18,7 @@
 int count_requests(FakeServer& server, const std::string& prefix) {
   int out = 0;
   for (const std::string& request : server.requests())
-    out += field_of(request, "X-Request-ID").starts_with(prefix) ? 1 : 0;
+    out += header_of(request, "X-Request-ID").starts_with(prefix) ? 1 : 0;
   return out;
 }
 
@@ -30,7 +30,7 @@
 }
 
 TEST(PausedNode, ForwardsNothingForClientsThatLeftTheListenersQueue) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   request_and_wait(d, "before");
   suspend(*d.program);
@@ -49,7 +49,7 @@
 
 // On open connections and before the timeout, only the FIN shows that the clients have disconnected.
 TEST(PausedNode, ForwardsNothingForClientsThatClosedBeforeTheirTimeout) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   std::vector<RawConnection> clients;
   for (int i = 0; i < 20; ++i) {
@@ -71,7 +71,7 @@
 
 // The timeout counts from the arrival of the request's last byte.
 TEST(PausedNode, ShedsExpiredRequestsAndForwardsTheRemainingTimeout) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   request_and_wait(d, "before");
   suspend(*d.program);
@@ -85,14 +85,14 @@
   EXPECT_EQ(status_of(unexpired.read_message()), 200);
   EXPECT_EQ(count_requests(server, "expired"), 0);
   const std::vector<std::string> requests = server.requests();
-  const int remaining_ms = std::stoi(field_of(requests.back(), "X-Timeout-Ms"));
+  const int remaining_ms = std::stoi(header_of(requests.back(), "X-Timeout-Ms"));
   EXPECT_LE(remaining_ms, 7500) << "1.5 s of the timeout of 9 s have passed";
   EXPECT_GT(remaining_ms, 3000);
 }
 
 // Data that arrived before a timeout expired takes precedence over the timeout.
 TEST(PausedNode, ServesAFirstRequestThatArrivedInTimeButWasReadLate) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   RawConnection client = d.client();
   request_and_wait(d, "before");  // by then the first connection has been accepted too
@@ -105,7 +105,7 @@
 
 // The endpoint update is unread in the socket of the watch, and client requests may be read before it.
 TEST(PausedNode, ReadsTheEndpointListBeforeItForwards) {
-  FakeServer drained(replies(200, "drained")), other(replies(200, "other"));
+  FakeServer drained(respond_with(200, "drained")), other(respond_with(200, "other"));
   Deployment d({&drained, &other});
   ASSERT_TRUE(eventually([&] { return !d.discovery.calls().empty(); }));
   std::vector<RawConnection> clients;
@@ -155,7 +155,7 @@
 
 // The time for which a response was unread is not part of the server's response time.
 TEST(StarvedLoop, MeasuresAResponseUntilItsArrival) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   boost::asio::io_context io(1);
   MemoryBudget budget;
   budget.set_limit(1 << 20);
@@ -186,7 +186,7 @@
 
 // Whether a request may be sent is checked again once the connection is established.
 TEST(StarvedLoop, ChecksPermissionAndDeadlineBeforeSending) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   boost::asio::io_context io(1);
   MemoryBudget budget;
   budget.set_limit(1 << 20);
@@ -228,7 +228,7 @@
 
 // The node gets short slices of CPU time between suspensions.
 TEST(StarvedNode, ForwardsNothingForClientsThatDisconnected) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   request_and_wait(d, "before");
   for (int round = 0; round < 8; ++round) {
--- a/tests/node/peers_test.cpp
+++ b/tests/node/peers_test.cpp
@@ -120,7 +120,7 @@
   const ReplicaSet replica_set(2);
   std::vector<std::string> forwarded;
   for (const std::string& operators : {std::string(), std::string("[fleet]\nenabled = false\n")}) {
-    FakeServer server(replies(200, "ok"));
+    FakeServer server(respond_with(200, "ok"));
     NodeConfig config = replica_set.config(0);
     config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
     NodeProcess program(config.text(), 0, true, operators);
@@ -237,7 +237,7 @@
 TEST(Peers, AnIsolatedNodeRejectsRequestsWhereOperatorsEnableIt) {
   for (const bool is_enabled : {true, false}) {
     const ReplicaSet replica_set(2);
-    auto server = std::make_unique<FakeServer>(replies(200, "ok"));
+    auto server = std::make_unique<FakeServer>(respond_with(200, "ok"));
     const std::string address = server->address();
     const int port = std::stoi(address.substr(address.find(':') + 1));
     NodeConfig config = replica_set.config(0);
@@ -264,12 +264,12 @@
         send_request();
         return health_status() == 503;
       }));
-      EXPECT_NE(field_of(send_request(), "Retry-After"), "");
+      EXPECT_NE(header_of(send_request(), "Retry-After"), "");
     } else {
       for (int i = 0; i < 40; ++i) send_request();
       EXPECT_EQ(health_status(), 200);
     }
-    FakeServer restored_server(replies(200, "ok"), port);
+    FakeServer restored_server(respond_with(200, "ok"), port);
     EXPECT_TRUE(eventually([&] {
       send_request();
       return health_status() == 200 && status_of(send_request()) == 200;
@@ -293,7 +293,7 @@
 
 TEST(Peers, AFloodOfDatagramsDelaysNoRequestAndIsCounted) {
   const ReplicaSet replica_set(2);
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   NodeConfig config = replica_set.config(0);
   config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   NodeProcess node(config.text(), 0, true, kPeersEnabled);
--- a/tests/node/preconnect_test.cpp
+++ b/tests/node/preconnect_test.cpp
@@ -42,7 +42,7 @@
 
 // A closed-loop client must not be limited to one request per cool-down.
 TEST(Preconnect, ClientThatSendsItsNextRequestAtOnceGetsMoreConnections) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   RawConnection client = d.client();
   int requests = 0;
--- a/tests/node/raw_connection.h
+++ b/tests/node/raw_connection.h
@@ -121,7 +121,7 @@
   return response.size() < 12 ? 0 : std::stoi(response.substr(9, 3));
 }
 
-inline std::string field_of(const std::string& message, const std::string& name) {
+inline std::string header_of(const std::string& message, const std::string& name) {
   const std::size_t pos = message.find("\r\n" + name + ": ");
   if (pos == std::string::npos) return {};
   const std::size_t begin = pos + name.size() + 4;
--- a/tests/node/reload_test.cpp
+++ b/tests/node/reload_test.cpp
@@ -16,13 +16,13 @@
 
 // Versions at the old and the new address may be unrelated, so the node must request the full list.
 TEST(Reload, FollowsDiscoveryToItsNewAddressAndRequestsTheFullList) {
-  FakeServer old_server(replies(200, "old")), new_server(replies(200, "new"));
+  FakeServer old_server(respond_with(200, "old")), new_server(respond_with(200, "new"));
   Deployment d({&old_server});
   ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() == 1; }));
   FakeDiscovery new_discovery;
   new_discovery.set_response(
       kWatchResponseHead +
-      chunk(endpoint_list_json(3, true, endpoint_json("n0", new_server.address())) + "\n"));
+      http_chunk(endpoint_list_json(3, true, endpoint_json("n0", new_server.address())) + "\n"));
   NodeConfig config = d.config;
   config.discovery = new_discovery.address();
   d.program->reload(config.text());
@@ -34,7 +34,7 @@
 }
 
 TEST(Reload, InvalidFileIsLoggedAndChangesNothing) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() == 1; }));
   const std::vector<std::string> invalid = {"{\"name\":", "", "{}",
@@ -57,7 +57,7 @@
 
 // The file is missing or truncated at the first signals and complete at the last one.
 TEST(Reload, MissingOrTruncatedFileChangesNothing) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() == 1; }));
   FakeDiscovery new_discovery;
@@ -81,7 +81,7 @@
 
 // Guards against a full disk affecting requests. The log is the only file that a node writes.
 TEST(Reload, FullDiskUnderTheLogDoesNotAffectClients) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   FakeDiscovery new_discovery;
   NodeConfig config = d.config;
@@ -95,7 +95,7 @@
 }
 
 TEST(Reload, RepeatedReloadsLeaveOneWatchAtTheLastAddress) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   FakeDiscovery discovery_a, discovery_b;
   for (int i = 0; i < 20; ++i) {
@@ -114,7 +114,7 @@
 // The first connection to the new address fails. The backoff that grew with failures at the old address must
 // not apply to the new one.
 TEST(Reload, RetriesAFailedFirstConnection) {
-  FakeServer old_server(replies(200, "old")), new_server(replies(200, "new"));
+  FakeServer old_server(respond_with(200, "old")), new_server(respond_with(200, "new"));
   Deployment d({&old_server});
   int port = 0;
   {
@@ -128,7 +128,7 @@
   FakeDiscovery new_discovery(port);
   new_discovery.set_response(
       kWatchResponseHead +
-      chunk(endpoint_list_json(3, true, endpoint_json("n0", new_server.address())) + "\n"));
+      http_chunk(endpoint_list_json(3, true, endpoint_json("n0", new_server.address())) + "\n"));
   EXPECT_TRUE(eventually_serves(d, "new"));
 }
 
--- a/tests/node/scripted_discovery.h
+++ b/tests/node/scripted_discovery.h
@@ -139,10 +139,10 @@
       return;
     }
     if (!sleep_until(completion) ||
-        !connection.write(kWatchResponseHead + chunk(list.empty() ? "\n" : list + "\n")))
+        !connection.write(kWatchResponseHead + http_chunk(list.empty() ? "\n" : list + "\n")))
       return;
     ++watches_;
-    while (!stopping_ && !is_down_ && connection.write(chunk("\n"))) {
+    while (!stopping_ && !is_down_ && connection.write(http_chunk("\n"))) {
       for (int i = 0; i < 50 && !stopping_ && !is_down_; ++i) std::this_thread::sleep_for(20ms);
     }
     --watches_;
--- a/tests/node/service_test.cpp
+++ b/tests/node/service_test.cpp
@@ -14,7 +14,7 @@
 // ---------------------------------------------------------------- misbehaving clients
 
 TEST(MisbehavingClients, SilentConnectionIsClosed) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   const auto start = std::chrono::steady_clock::now();
   RawConnection client = d.client();
@@ -25,7 +25,7 @@
 // The timeout of the first request counts from the accept: it neither starts with the first byte nor restarts
 // with each byte.
 TEST(MisbehavingClients, SlowFirstRequestTimesOutByTheAgeOfItsConnection) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   const auto start = std::chrono::steady_clock::now();
   RawConnection client = d.client();
@@ -36,7 +36,7 @@
 }
 
 TEST(MisbehavingClients, SilentConnectionsAreEvictedBeforeServedClients) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   NodeConfig config;
   config.sockets = 64;  // allows 20 client connections
   Deployment d({&server}, config);
@@ -64,7 +64,7 @@
                   "failure to open the pipe for unreadable memory";
 #endif
   Gate gate;
-  const FakeServer::Reply reply_after_gate = [&](RawConnection& connection, const std::string&) {
+  const FakeServer::Handler reply_after_gate = [&](RawConnection& connection, const std::string&) {
     return gate.wait() && connection.write(http_response(200, "ok"));
   };
   FakeServer one(reply_after_gate), two(reply_after_gate), three(reply_after_gate), four(reply_after_gate),
@@ -91,7 +91,7 @@
   for (RawConnection& client : late) {
     const std::string response = client.read_message();
     EXPECT_EQ(status_of(response), 503);
-    EXPECT_NE(field_of(response, "Retry-After"), "");
+    EXPECT_NE(header_of(response, "Retry-After"), "");
   }
   gate.open();
   for (RawConnection& client : in_flight) EXPECT_EQ(status_of(client.read_message()), 200);
@@ -102,7 +102,7 @@
 }
 
 TEST(MisbehavingClients, InvalidRequestsAreAnsweredAndTheConnectionStaysOpen) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   RawConnection client = d.client();
   client.write(ClientRequest{.id = "", .body = ""}.text() +
@@ -113,19 +113,19 @@
 }
 
 TEST(MisbehavingClients, LongTimeoutIsLimitedToThatOfTheClass) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   RawConnection client = d.client();
   client.write(ClientRequest{.timeout = "900000000"}.text());
   ASSERT_EQ(status_of(client.read_message()), 200);
-  EXPECT_LE(std::stoi(field_of(server.requests()[0], "X-Timeout-Ms")), 15000);
+  EXPECT_LE(std::stoi(header_of(server.requests()[0], "X-Timeout-Ms")), 15000);
 }
 
 TEST(MisbehavingClients, ExpectContinueIsAnswered) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   RawConnection client = d.client();
-  const std::string request = ClientRequest{.fields = "Expect: 100-continue\r\n"}.text();
+  const std::string request = ClientRequest{.headers = "Expect: 100-continue\r\n"}.text();
   client.write(request.substr(0, request.size() - 2));
   EXPECT_EQ(status_of(client.read_message()), 100);
   client.write("{}");
@@ -134,7 +134,7 @@
 
 // If the node and a server disagree about the length of a body, a client can smuggle a request past the node.
 TEST(MisbehavingClients, AmbiguousLengthsAreNeverForwarded) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   const std::string smuggled = ClientRequest{.id = "hidden"}.text();
   for (const std::string fields :
@@ -145,7 +145,7 @@
         "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n", "Transfer-Encoding: xchunked\r\n",
         "Content-Length : 5\r\n"}) {
     RawConnection client = d.client();
-    client.write(ClientRequest{.body = "", .fields = fields}.text() + "0\r\n\r\n" + smuggled);
+    client.write(ClientRequest{.body = "", .headers = fields}.text() + "0\r\n\r\n" + smuggled);
     const std::string response = client.read_message();
     EXPECT_TRUE(response.empty() || status_of(response) >= 400) << fields << response;
     EXPECT_EQ(client.read_until_close().find("200 OK"), std::string::npos) << fields;
@@ -157,7 +157,7 @@
 
 // The request bodies of all connections share one memory budget.
 TEST(Limits, BodiesBeyondTheMemoryBudgetAreRejectedWithRetryAfter) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   NodeConfig config;
   config.memory_mb = 8;  // 2.7 MB of these are for messages, which is enough for 40 bodies
   Deployment d({&server}, config);
@@ -172,7 +172,7 @@
     int rejected = 0, timed_out = 0;
     for (RawConnection& client : clients) {
       const std::string response = client.read_message();
-      if (!response.empty() && status_of(response) == 503 && !field_of(response, "Retry-After").empty())
+      if (!response.empty() && status_of(response) == 503 && !header_of(response, "Retry-After").empty())
         ++rejected;
       if (!response.empty() && status_of(response) == 408) ++timed_out;
     }
@@ -243,7 +243,7 @@
                 two = RawConnection::connect_to(program.port());
   one.write(ClientRequest{.id = "one"}.text());
   RawConnection first(server.accept());
-  ASSERT_EQ(field_of(first.read_message(), "X-Request-ID"), "one");
+  ASSERT_EQ(header_of(first.read_message(), "X-Request-ID"), "one");
   server.fill();
   two.write(ClientRequest{.id = "two"}.text());
   ASSERT_TRUE(eventually([&] { return server.pending_connects() == 1; }));
@@ -252,7 +252,7 @@
   first.write(response + response);
   EXPECT_EQ(body_of(one.read_message()), "one");
   RawConnection second(server.accept());
-  EXPECT_EQ(field_of(second.read_message(), "X-Request-ID"), "two");
+  EXPECT_EQ(header_of(second.read_message(), "X-Request-ID"), "two");
   second.write(http_response(200, "two"));
   EXPECT_EQ(body_of(two.read_message()), "two");
 }
@@ -314,13 +314,13 @@
 // The bodies are longer than the limit in the protocol. One is sent at once with a Content-Length; the other
 // is chunked, and the node reads its chunks one by one.
 TEST(Clients, MaySendLongRequests) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   RawConnection client = d.client();
   const std::string body(90 * 1024, 'b');
   client.write(ClientRequest{.id = "length", .body = body}.text());
   EXPECT_EQ(status_of(client.read_message()), 200);
-  client.write(ClientRequest{.id = "chunks", .body = "", .fields = "Transfer-Encoding: chunked\r\n"}.text());
+  client.write(ClientRequest{.id = "chunks", .body = "", .headers = "Transfer-Encoding: chunked\r\n"}.text());
   for (std::size_t at = 0; at < body.size(); at += 9 * 1024) {
     ASSERT_TRUE(client.write("2400\r\n" + body.substr(at, 9 * 1024) + "\r\n"));
     int unread = 1;
@@ -335,14 +335,14 @@
 // These requests are shed, since nothing was processed, and without the delay that the node adds after an
 // invalid request.
 TEST(Clients, RequestsWithNoTimeLeftAreShedAtOnce) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   RawConnection client = d.client();
   for (int i = 0; i < 3; ++i) {
     client.write(ClientRequest{.id = "none" + std::to_string(i), .timeout = "0"}.text());
     const std::string response = client.read_message();
     EXPECT_EQ(status_of(response), 503) << response;
-    EXPECT_FALSE(field_of(response, "Retry-After").empty());
+    EXPECT_FALSE(header_of(response, "Retry-After").empty());
   }
   EXPECT_TRUE(server.requests().empty());
   client.write(ClientRequest{.id = "some"}.text());
--- a/tests/node/stale_endpoints_test.cpp
+++ b/tests/node/stale_endpoints_test.cpp
@@ -22,8 +22,8 @@
   explicit OverloadedDiscovery(std::chrono::milliseconds response_delay)
       : script_([this, response_delay](RawConnection& connection, int call) {
           if (call == 0) {
-            connection.write(kWatchResponseHead + chunk("\n"));
-            while (!is_overloaded_ && !is_stopping_ && connection.write(chunk("\n")))
+            connection.write(kWatchResponseHead + http_chunk("\n"));
+            while (!is_overloaded_ && !is_stopping_ && connection.write(http_chunk("\n")))
               std::this_thread::sleep_for(100ms);
             return;
           }
@@ -52,7 +52,7 @@
     }
     return connection.write(http_response(503, "", "X-Not-Processed: 1\r\n"));
   });
-  FakeServer ready_server(replies(200, "ok"));
+  FakeServer ready_server(respond_with(200, "ok"));
   OverloadedDiscovery discovery(2s);
   WatchingNode node(discovery.script(),
                     endpoint_list_json(7, true,
@@ -83,7 +83,7 @@
 // restart while it is still serving the others.
 TEST(StaleEndpointList, ReplicasGetTheirListsFromAnOverloadedDiscovery) {
   constexpr int kNodes = 20, kRestarted = 7;
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   QueueingDiscovery discovery(300ms, 2000ms);
   const std::string known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   const auto start_node = [&](int index) {
@@ -114,7 +114,7 @@
 
 // Two requests that discovery rejects immediately must not delay the list beyond 6 s.
 TEST(StaleEndpointList, IsRenewedInTimeWhenCallsAreRejectedAtOnce) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   std::atomic<bool> is_down = true;
   std::atomic<int> calls_since_up = 0;
   ScriptedDiscovery discovery([&](RawConnection& connection, int) {
@@ -122,7 +122,7 @@
       connection.write(http_response(503, ""));
       return;
     }
-    connection.write(kWatchResponseHead + chunk("\n"));
+    connection.write(kWatchResponseHead + http_chunk("\n"));
     connection.read_until_close();
   });
   WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
@@ -135,7 +135,7 @@
 
 // A stale list alone must not cause rejections: servers that respond stay in use.
 TEST(StaleEndpointList, RespondingServersStayInUseThroughALongOutage) {
-  FakeServer server_a(replies(200, "ok")), server_b(replies(200, "ok"));
+  FakeServer server_a(respond_with(200, "ok")), server_b(respond_with(200, "ok"));
   OverloadedDiscovery discovery(1s);
   WatchingNode node(discovery.script(), endpoint_list_json(7, true,
                                                            endpoint_json("s0", server_a.address()) + "," +
@@ -150,7 +150,7 @@
 
 // Neither must an idle period: a server is probed with a request, and its response confirms it as usable.
 TEST(StaleEndpointList, NodeServesAfterAnIdleTimeInALongOutage) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   OverloadedDiscovery discovery(1s);
   WatchingNode node(discovery.script(), endpoint_list_json(7, true, endpoint_json("s0", server.address())));
   ASSERT_EQ(node.status(), 200);
--- a/tests/node/system_calls_test.cpp
+++ b/tests/node/system_calls_test.cpp
@@ -86,7 +86,7 @@
 
 TEST_P(SystemCallFailures, LoseNoResponseAndDuplicateNoRequest) {
   const Fault& fault = all_faults()[GetParam()];
-  FakeServer one(replies(200, "ok")), two(replies(200, "ok"));
+  FakeServer one(respond_with(200, "ok")), two(respond_with(200, "ok"));
   const CallPlanFile plan;
   NodeConfig config;
   config.bounds = R"("cancel":true,"maxAttempts":3,"maxRetryAfter":2.0,"retryAfter":true,)"
@@ -114,7 +114,7 @@
       int executions = 0;
       for (FakeServer* server : {&one, &two}) {
         for (const std::string& request : server->requests())
-          executions += field_of(request, "X-Request-ID") == id;
+          executions += header_of(request, "X-Request-ID") == id;
       }
       EXPECT_LE(executions, 1) << failure;
       if (status_of(response) == 503) {
--- a/tests/node/wall_clock_test.cpp
+++ b/tests/node/wall_clock_test.cpp
@@ -97,7 +97,7 @@
 
 // A newly started server gets few requests at first, whatever the offset of the node's wall clock.
 TEST_P(WrongWallClock, LeavesANewServerWarmingUp) {
-  FakeServer warmed_up(replies(200, "ok")), warming_up(replies(200, "ok"));
+  FakeServer warmed_up(respond_with(200, "ok")), warming_up(respond_with(200, "ok"));
   NodeConfig text;
   text.rules = R"("askWithin":10.0,"startCapacity":0.1,"rampTime":60.0)";
   Deployment d({&warmed_up}, text, 0, set_child_environment);
--- a/tests/node/watch_test.cpp
+++ b/tests/node/watch_test.cpp
@@ -22,7 +22,7 @@
 
 // Objects may be indented, with blank lines before, between and after them.
 TEST(EndpointLists, AcceptIndentedObjectsSplitOverChunks) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({}, NodeConfig{.known = endpoint_list_json(1, true, "")});
   const std::string unusual_entry =
       R"({"name":"a}\"{[\\","address":"127.0.0.1:9","status":"draining","note":{"x":[1,{}]}})";
@@ -31,10 +31,10 @@
       indented(endpoint_list_json(8, true, unusual_entry + "," + endpoint_json("s0", server.address()))) +
       "\n\n" + indented(endpoint_list_json(9, false, endpoint_json("s1", server.address(), "draining")));
   for (std::size_t offset = 0; offset < objects.size(); offset += 7)
-    ASSERT_TRUE(d.discovery.push_bytes(chunk(objects.substr(offset, 7))));
+    ASSERT_TRUE(d.discovery.push_bytes(http_chunk(objects.substr(offset, 7))));
   RequestSender requests(*d.program);
   EXPECT_TRUE(eventually([&] { return requests.status() == 200; }));
-  ASSERT_TRUE(d.discovery.push_bytes(chunk(
+  ASSERT_TRUE(d.discovery.push_bytes(http_chunk(
       "\n" + indented(endpoint_list_json(10, false, endpoint_json("s0", server.address(), "draining"))))));
   EXPECT_TRUE(eventually([&] { return requests.status() == 503; }))
       << "an object is complete at its closing brace, even without a line break";
@@ -43,7 +43,7 @@
 
 // If a list contains a server twice, the last entry applies.
 TEST(EndpointLists, LastEntryOfAServerWins) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   RequestSender requests(*d.program);
   const std::string ready_entry = endpoint_json("s0", server.address()),
@@ -69,7 +69,7 @@
       R"({"name":"s0","address":"127.0.0.1:9","status":"resting"})",
       R"({"name":"s0","address":"127.0.0.1:9","status":"up","group":"x"})"};
   for (const char* unreadable_entry : unreadable_entries) {
-    FakeServer server(replies(200, "recovered")), other_server(replies(200, "other"));
+    FakeServer server(respond_with(200, "recovered")), other_server(respond_with(200, "other"));
     Deployment d({&server, &other_server});
     RequestSender requests(*d.program);
     const std::string unnamed_entries =
@@ -87,7 +87,7 @@
 
 // A delta that is older than the current list must not revert it, for example a drain.
 TEST(EndpointLists, OlderChangeIsIgnored) {
-  FakeServer drained_server(replies(200, "drained")), marker_server(replies(200, "marker"));
+  FakeServer drained_server(respond_with(200, "drained")), marker_server(respond_with(200, "marker"));
   Deployment d({&drained_server, &marker_server});
   d.discovery.push(endpoint_list_json(20, false, endpoint_json("s0", drained_server.address(), "draining")));
   ASSERT_TRUE(eventually([&] { return drained_server.listener().open() == 0; }));
@@ -103,15 +103,15 @@
 
 // A watch that ends within an object: the partial object is ignored and requested again.
 TEST(EndpointLists, TruncatedObjectIsRequestedAgain) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   const std::string change =
       endpoint_list_json(8, false, endpoint_json("s0", server.address(), "draining")) + "\n";
   ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
     if (call == 0) {
-      connection.write(kWatchResponseHead + chunk(change.substr(0, change.size() / 2)));
+      connection.write(kWatchResponseHead + http_chunk(change.substr(0, change.size() / 2)));
       return;
     }
-    connection.write(kWatchResponseHead + chunk(change));
+    connection.write(kWatchResponseHead + http_chunk(change));
     connection.read_until_close();
   });
   WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
@@ -122,17 +122,17 @@
 
 // A watch with a truncated object is replaced even if further objects or blank lines follow.
 TEST(EndpointLists, ObjectsBehindATruncatedOneAreRequestedAgain) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   for (const bool sends_more : {true, false}) {
     std::atomic<bool> is_done = false;
     const std::string draining_update =
         endpoint_list_json(8, false, endpoint_json("s0", server.address(), "draining")) + "\n";
     ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
       connection.write(kWatchResponseHead +
-                       chunk(call == 0 ? draining_update.substr(0, 40) + "\n" : draining_update));
-      if (call == 0 && sends_more) connection.write(chunk(draining_update + draining_update));
+                       http_chunk(call == 0 ? draining_update.substr(0, 40) + "\n" : draining_update));
+      if (call == 0 && sends_more) connection.write(http_chunk(draining_update + draining_update));
       for (int i = 0; i < 200 && !is_done && connection.is_open(); ++i) {
-        if (!connection.write(chunk("\n"))) return;
+        if (!connection.write(http_chunk("\n"))) return;
         std::this_thread::sleep_for(100ms);
       }
     });
@@ -150,14 +150,14 @@
 // A silent connection is replaced, and so is its replacement if that is accepted but stays silent: two new
 // connections within 6 s.
 TEST(SilentWatch, SecondSilentConnectionIsReplacedInTime) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   std::atomic<bool> is_done = false;
   ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
-    if (call == 0) connection.write(kWatchResponseHead + chunk("\n"));
+    if (call == 0) connection.write(kWatchResponseHead + http_chunk("\n"));
     if (call == 2)
       connection.write(
           kWatchResponseHead +
-          chunk(endpoint_list_json(8, false, endpoint_json("s0", server.address(), "draining")) + "\n"));
+          http_chunk(endpoint_list_json(8, false, endpoint_json("s0", server.address(), "draining")) + "\n"));
     while (!is_done && connection.receive_more()) {
     }
   });
@@ -171,7 +171,7 @@
 
 // The backoff that grew while discovery was down is reset by the first data of a watch, even a blank line.
 TEST(SilentWatch, IsReopenedAtOnceAfterAnOutage) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   constexpr int kFailedCalls = 4;
   std::mutex mutex;
   Steady::time_point first_data;
@@ -184,7 +184,7 @@
       const std::lock_guard lock(mutex);
       first_data = Steady::now();
     }
-    connection.write(kWatchResponseHead + chunk("\n"));
+    connection.write(kWatchResponseHead + http_chunk("\n"));
     connection.read_until_close();
   });
   WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
@@ -195,14 +195,14 @@
 
 // A watch becomes silent, and an overloaded discovery rejects the next requests.
 TEST(SilentWatch, IsRetriedSeveralTimesBeforeChangesCountAsNotified) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   constexpr int kFailedCalls = 4;  // failures that increase the backoff first
   ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
     if (call != kFailedCalls && call < kFailedCalls + 3) {
       connection.write(http_response(503, ""));
       return;
     }
-    connection.write(kWatchResponseHead + chunk("\n"));
+    connection.write(kWatchResponseHead + http_chunk("\n"));
     connection.read_until_close();
   });
   WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
@@ -214,7 +214,7 @@
 // After a new configuration, the list at the new address counts as notified 4 s later, even if the first
 // requests there fail and the backoff has grown at the old address.
 TEST(MovedWatch, IsRetriedSeveralTimesWithinFourSeconds) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   ScriptedDiscovery old_discovery(
       [](RawConnection& connection, int) { connection.write(http_response(503, "")); });
   WatchingNode node(old_discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
@@ -223,7 +223,7 @@
     if (call < 5) return;  // closed without a response
     connection.write(
         kWatchResponseHead +
-        chunk(endpoint_list_json(3, true, endpoint_json("s0", server.address(), "draining")) + "\n"));
+        http_chunk(endpoint_list_json(3, true, endpoint_json("s0", server.address(), "draining")) + "\n"));
     connection.read_until_close();
   });
   NodeConfig text = node.config;
@@ -238,11 +238,11 @@
 // If lists are pushed, the local agent's list counts as notified with or without an open watch, so the
 // backoff must be shorter than the grace period of a drain.
 TEST(PushedLists, BrokenWatchIsReopenedAtOnce) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   std::mutex mutex;
   std::vector<Steady::time_point> ended;
   ScriptedDiscovery agent([&](RawConnection& connection, int call) {
-    connection.write(kWatchResponseHead + chunk("\n"));
+    connection.write(kWatchResponseHead + http_chunk("\n"));
     if (call >= 5) connection.read_until_close();
     const std::lock_guard lock(mutex);
     ended.push_back(Steady::now());
@@ -256,7 +256,7 @@
 // A new process starts with the list of its predecessor. Requests that arrive before the agent's first list
 // are deferred until that list arrives.
 TEST(PushedLists, NewProcessDefersRequestsUntilTheFirstList) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   // The agent's list must arrive before the node's timeout for it. On a busy machine it may arrive too late,
   // in which case the test tries again.
   constexpr double kMaxListDelay = 0.5;  // s
@@ -268,7 +268,7 @@
       if (!gate.wait()) return;
       connection.write(
           kWatchResponseHead +
-          chunk(endpoint_list_json(8, true, endpoint_json("s0", server.address(), "draining")) + "\n"));
+          http_chunk(endpoint_list_json(8, true, endpoint_json("s0", server.address(), "draining")) + "\n"));
       connection.read_until_close();
     });
     NodeConfig config;
@@ -301,7 +301,7 @@
 
 // The agent sends no list while discovery is down.
 TEST(PushedLists, NewProcessServesFromTheKnownListWhenTheAgentIsSilent) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   ScriptedDiscovery agent([](RawConnection& connection, int) { connection.read_until_close(); });
   WatchingNode node(agent, endpoint_list_json(7, true, endpoint_json("s0", server.address())), "automatic");
   const auto start = Steady::now();
@@ -310,7 +310,7 @@
 }
 
 TEST(PushedLists, RequestIsRejectedBeforeItsTimeoutWhenTheAgentIsSilent) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   ScriptedDiscovery agent([](RawConnection& connection, int) { connection.read_until_close(); });
   NodeConfig config;
   config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
