--- a/tests/node/client_disconnect_test.cpp
+++ b/tests/node/client_disconnect_test.cpp
@@ -57,8 +57,8 @@
 };
 
 TEST_P(ClientDisconnect, WhileAConnectIsPending) {
-  FullListener full;
-  full.fill();
+  ManualAcceptListener full;
+  full.fill_accept_queue();
   FakeDiscovery discovery;
   NodeConfig node_config = config();
   node_config.known = endpoint_list_json(7, true, endpoint_json("s0", full.address()));
@@ -80,7 +80,7 @@
 }
 
 TEST_P(ClientDisconnect, WhileTheRequestIsPartlyWritten) {
-  FullListener listener(true);
+  ManualAcceptListener listener(true);
   FakeDiscovery discovery;
   NodeConfig node_config = config();
   node_config.known = endpoint_list_json(7, true, endpoint_json("s0", listener.address()));
--- a/tests/node/drain_test.cpp
+++ b/tests/node/drain_test.cpp
@@ -38,8 +38,8 @@
 
 // The connection to the server is never established.
 TEST(Drain, RequestsWaitingForAConnectionAreAnsweredBeforeTheKill) {
-  FullListener full;
-  full.fill();
+  ManualAcceptListener full;
+  full.fill_accept_queue();
   FakeDiscovery discovery;
   NodeConfig config;
   config.bounds = R"("cancel":true,"maxAttempts":1,"maxRetryAfter":2.0,"retryAfter":true,)"
--- a/tests/node/fake_server.h
+++ b/tests/node/fake_server.h
@@ -52,8 +52,8 @@
   }
   int port() const { return port_; }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
-  int accepted() const { return accepted_; }
-  int open() {
+  int accepted_connections() const { return accepted_; }
+  int open_connections() {
     const std::lock_guard lock(mutex_);
     return static_cast<int>(open_fds_.size());
   }
--- a/tests/node/full_listener.h
+++ b/tests/node/full_listener.h
@@ -16,11 +16,11 @@
 namespace thymewood::node {
 
 // A listener that accepts only when the test calls accept(). Its accept queue holds one connection: after
-// fill(), connects to it stay pending until accept() makes space.
-class FullListener {
+// fill_accept_queue(), connects to it stay pending until accept() makes space.
+class ManualAcceptListener {
  public:
   // `small_buffers`: accepted connections have small receive buffers.
-  explicit FullListener(bool small_buffers = false)
+  explicit ManualAcceptListener(bool small_buffers = false)
       : listen_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     if (small_buffers) shrink_buffers(listen_.get());
     sockaddr_in listen_address = loopback(0);
@@ -32,14 +32,14 @@
   }
   [[nodiscard]] std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
   // Occupies the single slot of the accept queue.
-  void fill() {
+  void fill_accept_queue() {
     backlog_connection_ = Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const sockaddr_in listen_address = loopback(port_);
     ASSERT_EQ(::connect(backlog_connection_.get(), reinterpret_cast<const sockaddr*>(&listen_address),
                         sizeof listen_address),
               0);
   }
-  // Returns the next connection other than that of fill(), or an empty Fd after kMaxWait.
+  // Returns the next connection other than that of fill_accept_queue(), or an empty Fd after kMaxWait.
   Fd accept() {
     for (;;) {
       pollfd poll_fd{listen_.get(), POLLIN, 0};
--- a/tests/node/handover_test.cpp
+++ b/tests/node/handover_test.cpp
@@ -53,8 +53,8 @@
     return gate.wait() && connection.write(http_response(500, ""));
   });
   FakeServer other(respond_with(200, "ok"));
-  FullListener full;
-  full.fill();
+  ManualAcceptListener full;
+  full.fill_accept_queue();
   NodeConfig config;
   config.bounds = R"("cancel":true,"maxAttempts":3,"maxRetryAfter":2.0,"retryAfter":true,)"
                   R"("secondCopies":true,"dialTimeout":12.0,"idleClose":60.0)";
@@ -80,7 +80,7 @@
   // The node has applied the endpoint update once it has closed its connections to the removed server.
   d.discovery.push(endpoint_list_json(
       8, false, endpoint_json("s2", full.address()) + "," + endpoint_json("s1", other.address(), "removed")));
-  ASSERT_TRUE(eventually([&] { return other.listener().open() == 0; }));
+  ASSERT_TRUE(eventually([&] { return other.listener().open_connections() == 0; }));
   gate.open();
   ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }))
       << "a retry within the window is allowed";
@@ -100,8 +100,8 @@
 // X-Timeout-Ms is computed when the request is written, not when its server was chosen: the connect takes a
 // second.
 TEST(ForwardedTimeout, ExcludesTheTimeOfTheConnect) {
-  FullListener full;
-  full.fill();
+  ManualAcceptListener full;
+  full.fill_accept_queue();
   FakeDiscovery discovery;
   NodeConfig config;
   config.bounds = R"("cancel":true,"maxAttempts":1,"maxRetryAfter":2.0,"retryAfter":true,)"
@@ -151,7 +151,7 @@
 class PartlyWrittenRequest : public testing::TestWithParam<const char*> {};
 
 TEST_P(PartlyWrittenRequest, IsRetriedOnAnotherServerOnceItsServerIsUnusable) {
-  FullListener listener(true);
+  ManualAcceptListener listener(true);
   FakeServer other(respond_with(200, "other"));
   FakeDiscovery discovery;
   NodeConfig config;
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -35,7 +35,7 @@
     client.write(ClientRequest{.id = "r" + std::to_string(i)}.text());
     EXPECT_EQ(status_of(client.read_message()), 200);
   }
-  EXPECT_EQ(server.listener().accepted(), 1);
+  EXPECT_EQ(server.listener().accepted_connections(), 1);
 }
 
 // ---------------------------------------------------------------- clients
@@ -133,7 +133,8 @@
     d.discovery.push(
         endpoint_list_json(++index, false, endpoint_json("s0", server.address(), server_status)));
     EXPECT_TRUE(eventually([&] { return status() == 503; }));
-    EXPECT_TRUE(eventually([&] { return server.listener().open() == 0; })) << "idle connections are closed";
+    EXPECT_TRUE(eventually([&] { return server.listener().open_connections() == 0; }))
+        << "idle connections are closed";
     d.discovery.push(endpoint_list_json(++index, false, endpoint_json("s0", server.address())));
     EXPECT_TRUE(eventually([&] { return status() == 200; }));
   }
--- a/tests/node/outcomes_test.cpp
+++ b/tests/node/outcomes_test.cpp
@@ -158,7 +158,7 @@
     client.write(ClientRequest{.id = "r" + std::to_string(i)}.text());
     EXPECT_EQ(body_of(client.read_message()), "ok");
   }
-  EXPECT_EQ(server.listener().accepted(), 1);
+  EXPECT_EQ(server.listener().accepted_connections(), 1);
 }
 
 TEST(Outcomes, SplitChunkedResponseIsReassembled) {
--- a/tests/node/pause_test.cpp
+++ b/tests/node/pause_test.cpp
@@ -131,8 +131,8 @@
 }
 
 TEST(PausedNode, ChecksTheClientBeforeItWritesToANewConnection) {
-  FullListener full;
-  full.fill();
+  ManualAcceptListener full;
+  full.fill_accept_queue();
   FakeDiscovery discovery;
   NodeConfig config;
   config.bounds = R"("cancel":true,"maxAttempts":1,"maxRetryAfter":2.0,"retryAfter":true,)"
--- a/tests/node/preconnect_test.cpp
+++ b/tests/node/preconnect_test.cpp
@@ -47,12 +47,12 @@
   RawConnection client = d.client();
   int requests = 0;
   // On a slow machine, the client rarely sends the next request within the cool-down.
-  while (requests < 5000 && server.listener().accepted() < 3) {
+  while (requests < 5000 && server.listener().accepted_connections() < 3) {
     client.write(ClientRequest{.id = "r" + std::to_string(++requests)}.text());
     ASSERT_EQ(status_of(client.read_message()), 200);
   }
-  EXPECT_GE(server.listener().accepted(), 3);
-  EXPECT_LE(server.listener().accepted(), 1 + requests / 16);
+  EXPECT_GE(server.listener().accepted_connections(), 3);
+  EXPECT_LE(server.listener().accepted_connections(), 1 + requests / 16);
 }
 
 }  // namespace
--- a/tests/node/reload_test.cpp
+++ b/tests/node/reload_test.cpp
@@ -29,7 +29,8 @@
   ASSERT_TRUE(eventually_serves(d, "new"));
   ASSERT_FALSE(new_discovery.calls().empty());
   EXPECT_EQ(new_discovery.calls()[0].find("after="), std::string::npos) << new_discovery.calls()[0];
-  EXPECT_TRUE(eventually([&] { return d.discovery.listener().open() == 0; })) << "the old watch is closed";
+  EXPECT_TRUE(eventually([&] { return d.discovery.listener().open_connections() == 0; }))
+      << "the old watch is closed";
   EXPECT_EQ(d.discovery.calls().size(), 1U);
 }
 
@@ -105,8 +106,8 @@
     ASSERT_TRUE(d.program->running());
   }
   EXPECT_TRUE(eventually([&] {
-    return discovery_a.listener().open() == 0 && d.discovery.listener().open() == 0 &&
-           discovery_b.listener().open() == 1;
+    return discovery_a.listener().open_connections() == 0 && d.discovery.listener().open_connections() == 0 &&
+           discovery_b.listener().open_connections() == 1;
   }));
   EXPECT_TRUE(eventually_serves(d, "ok"));
 }
--- a/tests/node/service_test.cpp
+++ b/tests/node/service_test.cpp
@@ -232,7 +232,7 @@
 // connection. The first response has exactly the size of one read, so that the duplicate is not read along
 // with it.
 TEST(MisbehavingServers, DuplicateResponseDoesNotAnswerTheWaitingAttempt) {
-  FullListener server;
+  ManualAcceptListener server;
   FakeDiscovery discovery;
   NodeConfig config;
   config.discovery = discovery.address();
@@ -244,7 +244,7 @@
   one.write(ClientRequest{.id = "one"}.text());
   RawConnection first(server.accept());
   ASSERT_EQ(header_of(first.read_message(), "X-Request-ID"), "one");
-  server.fill();
+  server.fill_accept_queue();
   two.write(ClientRequest{.id = "two"}.text());
   ASSERT_TRUE(eventually([&] { return server.pending_connects() == 1; }));
   std::string response = http_response(200, "one", "X-Fill: \r\n");
@@ -283,14 +283,14 @@
 
 // A pending connect to a removed server may reach a new server that was given the same address.
 TEST(AddressReuse, NewServerAtARemovedServersAddressGetsItsOwnConnection) {
-  FullListener server;
+  ManualAcceptListener server;
   FakeDiscovery discovery;
   NodeConfig config;
   config.discovery = discovery.address();
   config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   config.bounds = R"("cancel":true,"maxAttempts":3,"dialTimeout":14.0,"idleClose":60.0)";
   NodeProcess program(config.text());
-  server.fill();
+  server.fill_accept_queue();
   RawConnection client = RawConnection::connect_to(program.port());
   client.write(ClientRequest{}.text());
   ASSERT_TRUE(eventually([&] { return server.pending_connects() == 1; }));
--- a/tests/node/watch_test.cpp
+++ b/tests/node/watch_test.cpp
@@ -56,7 +56,7 @@
                    endpoint_list_json(11, false, draining_entry));
   EXPECT_TRUE(eventually([&] { return requests.status() == 503; }));
   d.discovery.push(endpoint_list_json(12, true, ""));
-  EXPECT_TRUE(eventually([&] { return server.listener().open() == 0; }));
+  EXPECT_TRUE(eventually([&] { return server.listener().open_connections() == 0; }));
   EXPECT_EQ(requests.status(), 503);
   EXPECT_EQ(d.discovery.calls().size(), 1U);
 }
@@ -90,7 +90,7 @@
   FakeServer drained_server(respond_with(200, "drained")), marker_server(respond_with(200, "marker"));
   Deployment d({&drained_server, &marker_server});
   d.discovery.push(endpoint_list_json(20, false, endpoint_json("s0", drained_server.address(), "draining")));
-  ASSERT_TRUE(eventually([&] { return drained_server.listener().open() == 0; }));
+  ASSERT_TRUE(eventually([&] { return drained_server.listener().open_connections() == 0; }));
   d.discovery.push(endpoint_list_json(19, false, endpoint_json("s0", drained_server.address())));
   d.discovery.push(endpoint_list_json(21, false, endpoint_json("s1", marker_server.address(), "draining")));
   // Once the last delta has been read, no server is ready.
