--- a/tests/node/drain_test.cpp
+++ b/tests/node/drain_test.cpp
@@ -147,7 +147,7 @@
   d.program->reload(config.text());
   for (const int number : {SIGTERM, SIGINT}) d.program->signal(number);
   d.program->signal(SIGCONT);
-  ASSERT_TRUE(eventually([&] { return new_discovery.calls().size() == 1; }));
+  ASSERT_TRUE(eventually([&] { return new_discovery.requests().size() == 1; }));
   d.program->signal(SIGTERM);
   d.program->reload("{}");
   ASSERT_TRUE(eventually([&] { return d.program->count_in_log("event=reload_failed") == 1; }));
--- a/tests/node/fake_discovery.h
+++ b/tests/node/fake_discovery.h
@@ -73,7 +73,7 @@
     const std::lock_guard lock(mutex_);
     if (open_watch_ != nullptr) ::shutdown(open_watch_->fd(), SHUT_RDWR);
   }
-  std::vector<std::string> calls() {
+  std::vector<std::string> requests() {
     const std::lock_guard lock(mutex_);
     return requests_;
   }
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -75,8 +75,8 @@
 TEST(Watch, ResumesAfterTheKnownListAndReassemblesSplitAndJoinedLines) {
   FakeServer old_server(respond_with(200, "old")), new_server(respond_with(200, "new"));
   Deployment d({&old_server});
-  ASSERT_TRUE(eventually([&] { return !d.discovery.calls().empty(); }));
-  EXPECT_NE(d.discovery.calls()[0].find("watch=1&after=7 "), std::string::npos);
+  ASSERT_TRUE(eventually([&] { return !d.discovery.requests().empty(); }));
+  EXPECT_NE(d.discovery.requests()[0].find("watch=1&after=7 "), std::string::npos);
   const std::string lines =
       endpoint_list_json(8, false, endpoint_json("s0", old_server.address(), "draining")) + "\n\n" +
       endpoint_list_json(9, false, endpoint_json("s1", new_server.address())) + "\n";
@@ -90,8 +90,8 @@
     return body_of(client.read_message()) == "new";
   }));
   d.discovery.close_watch();
-  ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() >= 2; }));
-  EXPECT_NE(d.discovery.calls()[1].find("watch=1&after=9 "), std::string::npos);
+  ASSERT_TRUE(eventually([&] { return d.discovery.requests().size() >= 2; }));
+  EXPECT_NE(d.discovery.requests()[1].find("watch=1&after=9 "), std::string::npos);
 }
 
 TEST(Watch, NodeReconnectsByItselfWhereListsArePushed) {
@@ -101,14 +101,14 @@
   config.discovery = discovery.address();
   config.mode = "automatic";
   NodeProcess program(config.text());
-  ASSERT_TRUE(eventually([&] { return discovery.calls().size() == 1; }));
+  ASSERT_TRUE(eventually([&] { return discovery.requests().size() == 1; }));
   discovery.set_response(
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
       http_chunk(endpoint_list_json(3, true, endpoint_json("s0", server.address())) + "\n"));
   // close_watch() is repeated, because the fake discovery may not have registered the watch yet.
   EXPECT_TRUE(eventually([&] {
     discovery.close_watch();
-    return discovery.calls().size() >= 2;
+    return discovery.requests().size() >= 2;
   }));
   EXPECT_TRUE(eventually([&] {
     RawConnection client = RawConnection::connect_to(program.port());
@@ -143,7 +143,7 @@
 TEST(Watch, SilentWatchIsAbandoned) {
   FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
-  EXPECT_TRUE(eventually([&] { return d.discovery.calls().size() >= 2; }));
+  EXPECT_TRUE(eventually([&] { return d.discovery.requests().size() >= 2; }));
 }
 
 TEST(Watch, InvalidListsAreLoggedOnceAndTheLastOneIsRetained) {
@@ -152,7 +152,7 @@
   d.discovery.set_response("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
                            http_chunk("{\"index\":\n"));
   d.discovery.close_watch();
-  ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() >= 3; }));
+  ASSERT_TRUE(eventually([&] { return d.discovery.requests().size() >= 3; }));
   const std::string log = d.program->log();
   const std::size_t first = log.find("discovery: ");
   EXPECT_NE(first, std::string::npos);
@@ -169,7 +169,7 @@
   NodeConfig config;
   config.discovery = discovery.address();
   NodeProcess program(config.text());
-  ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= 2; }));
+  ASSERT_TRUE(eventually([&] { return discovery.requests().size() >= 2; }));
   RawConnection probe = RawConnection::connect_to(program.port());
   probe.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
   EXPECT_EQ(status_of(probe.read_message()), 503) << "there is no server yet";
--- a/tests/node/pause_test.cpp
+++ b/tests/node/pause_test.cpp
@@ -107,7 +107,7 @@
 TEST(PausedNode, ReadsTheEndpointListBeforeItForwards) {
   FakeServer drained(respond_with(200, "drained")), other(respond_with(200, "other"));
   Deployment d({&drained, &other});
-  ASSERT_TRUE(eventually([&] { return !d.discovery.calls().empty(); }));
+  ASSERT_TRUE(eventually([&] { return !d.discovery.requests().empty(); }));
   std::vector<RawConnection> clients;
   for (int i = 0; i < 40; ++i) {
     clients.push_back(d.client());
--- a/tests/node/reload_test.cpp
+++ b/tests/node/reload_test.cpp
@@ -18,7 +18,7 @@
 TEST(Reload, FollowsDiscoveryToItsNewAddressAndRequestsTheFullList) {
   FakeServer old_server(respond_with(200, "old")), new_server(respond_with(200, "new"));
   Deployment d({&old_server});
-  ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() == 1; }));
+  ASSERT_TRUE(eventually([&] { return d.discovery.requests().size() == 1; }));
   FakeDiscovery new_discovery;
   new_discovery.set_response(
       kWatchResponseHead +
@@ -27,17 +27,17 @@
   config.discovery = new_discovery.address();
   d.program->reload(config.text());
   ASSERT_TRUE(eventually_serves(d, "new"));
-  ASSERT_FALSE(new_discovery.calls().empty());
-  EXPECT_EQ(new_discovery.calls()[0].find("after="), std::string::npos) << new_discovery.calls()[0];
+  ASSERT_FALSE(new_discovery.requests().empty());
+  EXPECT_EQ(new_discovery.requests()[0].find("after="), std::string::npos) << new_discovery.requests()[0];
   EXPECT_TRUE(eventually([&] { return d.discovery.listener().open_connections() == 0; }))
       << "the old watch is closed";
-  EXPECT_EQ(d.discovery.calls().size(), 1U);
+  EXPECT_EQ(d.discovery.requests().size(), 1U);
 }
 
 TEST(Reload, InvalidFileIsLoggedAndChangesNothing) {
   FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
-  ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() == 1; }));
+  ASSERT_TRUE(eventually([&] { return d.discovery.requests().size() == 1; }));
   const std::vector<std::string> invalid = {"{\"name\":", "", "{}",
                                             NodeConfig{.discovery = "nowhere"}.text()};
   for (std::size_t i = 0; i < invalid.size(); ++i) {
@@ -60,7 +60,7 @@
 TEST(Reload, MissingOrTruncatedFileChangesNothing) {
   FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
-  ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() == 1; }));
+  ASSERT_TRUE(eventually([&] { return d.discovery.requests().size() == 1; }));
   FakeDiscovery new_discovery;
   NodeConfig config = d.config;
   config.discovery = new_discovery.address();
@@ -75,9 +75,9 @@
   }
   ASSERT_TRUE(eventually([&] { return d.program->count_in_log("event=reload_failed") >= 2; }))
       << d.program->log();
-  EXPECT_EQ(new_discovery.calls().size(), 0U);
+  EXPECT_EQ(new_discovery.requests().size(), 0U);
   d.program->reload(complete_config);
-  EXPECT_TRUE(eventually([&] { return new_discovery.calls().size() == 1; })) << d.program->log();
+  EXPECT_TRUE(eventually([&] { return new_discovery.requests().size() == 1; })) << d.program->log();
 }
 
 // Guards against a full disk affecting requests. The log is the only file that a node writes.
@@ -91,7 +91,7 @@
   d.program->reload("{");
   EXPECT_TRUE(eventually_serves(d, "ok"));
   d.program->reload(config.text());
-  EXPECT_TRUE(eventually([&] { return new_discovery.calls().size() == 1; }));
+  EXPECT_TRUE(eventually([&] { return new_discovery.requests().size() == 1; }));
   EXPECT_TRUE(eventually_serves(d, "ok"));
 }
 
@@ -148,7 +148,7 @@
   NodeConfig config = d.config;
   config.discovery = new_discovery.address();
   d.program->reload(config.text());
-  EXPECT_TRUE(eventually([&] { return new_discovery.calls().size() == 1; }));
+  EXPECT_TRUE(eventually([&] { return new_discovery.requests().size() == 1; }));
   gate.open();
   EXPECT_EQ(status_of(client.read_message()), 200);
   EXPECT_EQ(d.program->exit_status(), 0);
--- a/tests/node/scripted_discovery.h
+++ b/tests/node/scripted_discovery.h
@@ -7,13 +7,13 @@
 
 namespace thymewood::node {
 
-using Steady = std::chrono::steady_clock;
+using SteadyClock = std::chrono::steady_clock;
 
-inline double seconds_since(Steady::time_point start) {
-  return std::chrono::duration<double>(Steady::now() - start).count();
+inline double seconds_since(SteadyClock::time_point start) {
+  return std::chrono::duration<double>(SteadyClock::now() - start).count();
 }
 
-inline double seconds_between(Steady::time_point from, Steady::time_point to) {
+inline double seconds_between(SteadyClock::time_point from, SteadyClock::time_point to) {
   return std::chrono::duration<double>(to - from).count();
 }
 
@@ -50,16 +50,16 @@
               {
                 const std::lock_guard lock(mutex_);
                 index = static_cast<int>(received_calls_.size());
-                received_calls_.push_back({request, Steady::now()});
+                received_calls_.push_back({request, SteadyClock::now()});
               }
               handler(connection, index);
             },
             port) {}
-  struct Call {
+  struct Request {
     std::string text;
-    Steady::time_point at;
+    SteadyClock::time_point at;
   };
-  std::vector<Call> calls() {
+  std::vector<Request> requests() {
     const std::lock_guard lock(mutex_);
     return received_calls_;
   }
@@ -68,7 +68,7 @@
 
  private:
   std::mutex mutex_;
-  std::vector<Call> received_calls_;
+  std::vector<Request> received_calls_;
   Listener listener_;
 };
 
@@ -104,26 +104,26 @@
   }
   std::string address() const { return listener_.address(); }
 
-  // Ends all watches; until come_up(), calls get a 503 after `max_wait`.
-  void go_down() { is_down_ = true; }
+  // Ends all watches; until set_available(), calls get a 503 after `max_wait`.
+  void set_unavailable() { is_down_ = true; }
   // Makes the service available again: from now on each call takes its service time and gets this list.
-  void come_up(const std::string& list) {
+  void set_available(const std::string& list) {
     const std::lock_guard lock(mutex_);
     list_ = list;
-    queue_empty_at_ = Steady::now();
+    queue_empty_at_ = SteadyClock::now();
     is_down_ = false;
     ++recoveries_;
   }
   // The number of open watches.
-  int watches() const { return watches_; }
+  int open_watches() const { return watches_; }
   int rejected_calls() const { return rejected_calls_; }
 
  private:
   void serve(RawConnection& connection) {
     if (connection.read_message().empty()) return;
-    const auto now = Steady::now();
+    const auto now = SteadyClock::now();
     const int recoveries = recoveries_;
-    Steady::time_point completion = now;
+    SteadyClock::time_point completion = now;
     std::string list;
     bool is_rejected = is_down_;
     if (!is_rejected) {
@@ -147,15 +147,15 @@
     }
     --watches_;
   }
-  bool sleep_until(Steady::time_point deadline) const {
-    while (!stopping_ && Steady::now() < deadline) std::this_thread::sleep_for(5ms);
+  bool sleep_until(SteadyClock::time_point deadline) const {
+    while (!stopping_ && SteadyClock::now() < deadline) std::this_thread::sleep_for(5ms);
     return !stopping_;
   }
 
   std::chrono::milliseconds service_time_, max_wait_;
   std::mutex mutex_;
   std::string list_;
-  Steady::time_point queue_empty_at_;
+  SteadyClock::time_point queue_empty_at_;
   std::atomic<bool> is_down_ = false, stopping_ = false;
   std::atomic<int> recoveries_ = 0, watches_ = 0, rejected_calls_ = 0;
   Listener listener_;
--- a/tests/node/stale_endpoints_test.cpp
+++ b/tests/node/stale_endpoints_test.cpp
@@ -27,7 +27,8 @@
               std::this_thread::sleep_for(100ms);
             return;
           }
-          for (const auto end = Steady::now() + response_delay; !is_stopping_ && Steady::now() < end;)
+          for (const auto end = SteadyClock::now() + response_delay;
+               !is_stopping_ && SteadyClock::now() < end;)
             std::this_thread::sleep_for(10ms);
           connection.write(http_response(503, ""));
         }) {}
@@ -43,12 +44,12 @@
 TEST(StaleEndpointList, DrainingServerGetsNoRequestsOnceItsDrainCountsAsNotified) {
   std::atomic<bool> is_draining = false;
   std::mutex mutex;
-  std::vector<Steady::time_point> rejected;  // times of requests rejected by the draining server
+  std::vector<SteadyClock::time_point> rejected;  // times of requests rejected by the draining server
   FakeServer draining_server([&](RawConnection& connection, const std::string&) {
     if (!is_draining) return connection.write(http_response(200, "ok"));
     {
       const std::lock_guard lock(mutex);
-      rejected.push_back(Steady::now());
+      rejected.push_back(SteadyClock::now());
     }
     return connection.write(http_response(503, "", "X-Not-Processed: 1\r\n"));
   });
@@ -59,18 +60,18 @@
                                        endpoint_json("s0", draining_server.address()) + "," +
                                            endpoint_json("s1", ready_server.address())));
   int requests = 0, served = 0;
-  const auto send_until = [&](Steady::time_point end) {
-    while (Steady::now() < end) {
+  const auto send_until = [&](SteadyClock::time_point end) {
+    while (SteadyClock::now() < end) {
       const std::string id = "r" + std::to_string(++requests);
       served += status_of_request(node.program->port(), id) == 200 ? 1 : 0;
       std::this_thread::sleep_for(20ms);
     }
   };
-  send_until(Steady::now() + 500ms);
+  send_until(SteadyClock::now() + 500ms);
   ASSERT_GT(draining_server.requests().size(), 0U);
   discovery.become_overloaded();
   is_draining = true;
-  const auto drain_start = Steady::now();
+  const auto drain_start = SteadyClock::now();
   send_until(drain_start + 9s);
   const std::lock_guard lock(mutex);
   ASSERT_FALSE(rejected.empty());
@@ -97,16 +98,16 @@
   };
   std::vector<std::unique_ptr<NodeProcess>> nodes;
   for (int i = 0; i < kNodes; ++i) nodes.push_back(start_node(i));
-  ASSERT_TRUE(eventually([&] { return discovery.watches() == kNodes; }));
-  discovery.go_down();
+  ASSERT_TRUE(eventually([&] { return discovery.open_watches() == kNodes; }));
+  discovery.set_unavailable();
   std::this_thread::sleep_for(5s);
-  discovery.come_up(endpoint_list_json(8, true, endpoint_json("s0", server.address())));
-  const auto up_since = Steady::now();
+  discovery.set_available(endpoint_list_json(8, true, endpoint_json("s0", server.address())));
+  const auto up_since = SteadyClock::now();
   std::this_thread::sleep_for(2500ms);
   for (int i = 0; i < kRestarted; ++i) nodes[static_cast<std::size_t>(i)]->kill();
   for (int i = 0; i < kRestarted; ++i) nodes[static_cast<std::size_t>(i)] = start_node(i);
-  EXPECT_TRUE(eventually([&] { return discovery.watches() == kNodes; }))
-      << discovery.watches() << " of " << kNodes << " nodes have an open watch; "
+  EXPECT_TRUE(eventually([&] { return discovery.open_watches() == kNodes; }))
+      << discovery.open_watches() << " of " << kNodes << " nodes have an open watch; "
       << discovery.rejected_calls() << " requests were rejected";
   EXPECT_LT(seconds_since(up_since), 18);
   EXPECT_LT(discovery.rejected_calls(), kNodes);
@@ -128,7 +129,7 @@
   WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
   std::this_thread::sleep_for(8s);
   is_down = false;
-  const auto up_since = Steady::now();
+  const auto up_since = SteadyClock::now();
   ASSERT_TRUE(eventually([&] { return calls_since_up == 3; }));
   EXPECT_LT(seconds_since(up_since), kMaxNotificationDelay);
 }
@@ -143,7 +144,8 @@
   ASSERT_EQ(node.status(), 200);
   discovery.become_overloaded();
   int requests = 0, served = 0;
-  for (const auto end = Steady::now() + 12s; Steady::now() < end; std::this_thread::sleep_for(100ms))
+  for (const auto end = SteadyClock::now() + 12s; SteadyClock::now() < end;
+       std::this_thread::sleep_for(100ms))
     served += status_of_request(node.program->port(), "u" + std::to_string(++requests)) == 200 ? 1 : 0;
   EXPECT_EQ(served, requests);
 }
--- a/tests/node/system_calls_test.cpp
+++ b/tests/node/system_calls_test.cpp
@@ -92,7 +92,7 @@
   config.bounds = R"("cancel":true,"maxAttempts":3,"maxRetryAfter":2.0,"retryAfter":true,)"
                   R"("secondCopies":true,"dialTimeout":0.5,"idleClose":60.0)";
   Deployment d({&one, &two}, config, 0, load_shim);
-  ASSERT_TRUE(eventually([&] { return d.discovery.calls().size() == 1; }));
+  ASSERT_TRUE(eventually([&] { return d.discovery.requests().size() == 1; }));
   const std::string body(3000, 'b');
   int requests = 0, fired = 0;
   for (const int error : fault.errors) {
--- a/tests/node/wall_clock_test.cpp
+++ b/tests/node/wall_clock_test.cpp
@@ -127,13 +127,13 @@
   RawConnection client = d.client();
   client.write(ClientRequest{.id = "waits", .timeout = "1500"}.text());
   ASSERT_TRUE(eventually([&] { return hanging_server.requests().size() == 1; }));
-  const auto start = Steady::now();
+  const auto start = SteadyClock::now();
   step(GetParam());
   EXPECT_EQ(status_of(client.read_message()), 502);
   EXPECT_GT(seconds_since(start), 1.0);
   EXPECT_LT(seconds_since(start), 3.0);
   step(-GetParam());
-  const auto end = Steady::now();
+  const auto end = SteadyClock::now();
   d.program->signal(SIGTERM);
   EXPECT_EQ(d.program->exit_status(), 0);
   EXPECT_LT(seconds_since(end), 4.5);
--- a/tests/node/watch_test.cpp
+++ b/tests/node/watch_test.cpp
@@ -38,7 +38,7 @@
       "\n" + indented(endpoint_list_json(10, false, endpoint_json("s0", server.address(), "draining"))))));
   EXPECT_TRUE(eventually([&] { return requests.status() == 503; }))
       << "an object is complete at its closing brace, even without a line break";
-  EXPECT_EQ(d.discovery.calls().size(), 1U) << d.program->log();
+  EXPECT_EQ(d.discovery.requests().size(), 1U) << d.program->log();
 }
 
 // If a list contains a server twice, the last entry applies.
@@ -58,7 +58,7 @@
   d.discovery.push(endpoint_list_json(12, true, ""));
   EXPECT_TRUE(eventually([&] { return server.listener().open_connections() == 0; }));
   EXPECT_EQ(requests.status(), 503);
-  EXPECT_EQ(d.discovery.calls().size(), 1U);
+  EXPECT_EQ(d.discovery.requests().size(), 1U);
 }
 
 // A server with a malformed entry gets no new requests until a valid entry arrives. The other entries of the
@@ -81,7 +81,7 @@
     EXPECT_GE(d.program->count_in_log("endpoints[0]: field '"), 1) << d.program->log();
     d.discovery.push(endpoint_list_json(9, false, endpoint_json("s0", server.address())));
     EXPECT_TRUE(eventually([&] { return body_of(requests.response()) == "recovered"; })) << unreadable_entry;
-    EXPECT_EQ(d.discovery.calls().size(), 1U) << "a malformed entry must not end the watch";
+    EXPECT_EQ(d.discovery.requests().size(), 1U) << "a malformed entry must not end the watch";
   }
 }
 
@@ -116,8 +116,8 @@
   });
   WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
   EXPECT_TRUE(eventually([&] { return node.status() == 503; }));
-  ASSERT_GE(discovery.calls().size(), 2U);
-  EXPECT_NE(discovery.calls()[1].text.find("after=7 "), std::string::npos) << discovery.calls()[1].text;
+  ASSERT_GE(discovery.requests().size(), 2U);
+  EXPECT_NE(discovery.requests()[1].text.find("after=7 "), std::string::npos) << discovery.requests()[1].text;
 }
 
 // A watch with a truncated object is replaced even if further objects or blank lines follow.
@@ -139,9 +139,9 @@
     {
       WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
       EXPECT_TRUE(eventually([&] { return node.status() == 503; })) << sends_more;
-      EXPECT_EQ(discovery.calls().size(), 2U);
-      EXPECT_NE(discovery.calls()[1].text.find("after=7 "), std::string::npos);
-      EXPECT_LT(seconds_between(discovery.calls()[0].at, discovery.calls()[1].at), 6);
+      EXPECT_EQ(discovery.requests().size(), 2U);
+      EXPECT_NE(discovery.requests()[1].text.find("after=7 "), std::string::npos);
+      EXPECT_LT(seconds_between(discovery.requests()[0].at, discovery.requests()[1].at), 6);
     }
     is_done = true;
   }
@@ -162,8 +162,8 @@
     }
   });
   WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
-  ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= 3; }));
-  const auto calls = discovery.calls();
+  ASSERT_TRUE(eventually([&] { return discovery.requests().size() >= 3; }));
+  const auto calls = discovery.requests();
   EXPECT_LT(seconds_between(calls[0].at, calls[2].at), 6.2);
   EXPECT_TRUE(eventually([&] { return node.status() == 503; }));
   is_done = true;
@@ -174,7 +174,7 @@
   FakeServer server(respond_with(200, "ok"));
   constexpr int kFailedCalls = 4;
   std::mutex mutex;
-  Steady::time_point first_data;
+  SteadyClock::time_point first_data;
   ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
     if (call < kFailedCalls) {
       connection.write(http_response(503, ""));
@@ -182,15 +182,15 @@
     }
     if (call == kFailedCalls) {
       const std::lock_guard lock(mutex);
-      first_data = Steady::now();
+      first_data = SteadyClock::now();
     }
     connection.write(kWatchResponseHead + http_chunk("\n"));
     connection.read_until_close();
   });
   WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
-  ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= kFailedCalls + 2; }));
+  ASSERT_TRUE(eventually([&] { return discovery.requests().size() >= kFailedCalls + 2; }));
   const std::lock_guard lock(mutex);
-  EXPECT_LT(seconds_between(first_data, discovery.calls()[kFailedCalls + 1].at), 4);
+  EXPECT_LT(seconds_between(first_data, discovery.requests()[kFailedCalls + 1].at), 4);
 }
 
 // A watch becomes silent, and an overloaded discovery rejects the next requests.
@@ -206,8 +206,8 @@
     connection.read_until_close();
   });
   WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
-  ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= kFailedCalls + 4; }));
-  const auto calls = discovery.calls();
+  ASSERT_TRUE(eventually([&] { return discovery.requests().size() >= kFailedCalls + 4; }));
+  const auto calls = discovery.requests();
   EXPECT_LT(seconds_between(calls[kFailedCalls].at, calls[kFailedCalls + 3].at), 6);
 }
 
@@ -218,7 +218,7 @@
   ScriptedDiscovery old_discovery(
       [](RawConnection& connection, int) { connection.write(http_response(503, "")); });
   WatchingNode node(old_discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
-  ASSERT_TRUE(eventually([&] { return old_discovery.calls().size() >= 4; }));
+  ASSERT_TRUE(eventually([&] { return old_discovery.requests().size() >= 4; }));
   ScriptedDiscovery new_discovery([&](RawConnection& connection, int call) {
     if (call < 5) return;  // closed without a response
     connection.write(
@@ -228,9 +228,9 @@
   });
   NodeConfig text = node.config;
   text.discovery = new_discovery.address();
-  const auto start = Steady::now();
+  const auto start = SteadyClock::now();
   node.program->reload(text.text());
-  ASSERT_TRUE(eventually([&] { return new_discovery.calls().size() >= 6; }));
+  ASSERT_TRUE(eventually([&] { return new_discovery.requests().size() >= 6; }));
   EXPECT_LT(seconds_since(start), 4);
   EXPECT_TRUE(eventually([&] { return node.status() == 503; }));
 }
@@ -240,16 +240,16 @@
 TEST(PushedLists, BrokenWatchIsReopenedAtOnce) {
   FakeServer server(respond_with(200, "ok"));
   std::mutex mutex;
-  std::vector<Steady::time_point> ended;
+  std::vector<SteadyClock::time_point> ended;
   ScriptedDiscovery agent([&](RawConnection& connection, int call) {
     connection.write(kWatchResponseHead + http_chunk("\n"));
     if (call >= 5) connection.read_until_close();
     const std::lock_guard lock(mutex);
-    ended.push_back(Steady::now());
+    ended.push_back(SteadyClock::now());
   });
   WatchingNode node(agent, endpoint_list_json(7, true, endpoint_json("s0", server.address())), "automatic");
-  ASSERT_TRUE(eventually([&] { return agent.calls().size() >= 6; }));
-  const auto calls = agent.calls();
+  ASSERT_TRUE(eventually([&] { return agent.requests().size() >= 6; }));
+  const auto calls = agent.requests();
   EXPECT_LT(seconds_between(calls[0].at, calls[5].at), 1.5) << "five reconnects, each after a backoff";
 }
 
@@ -277,9 +277,9 @@
     config.discovery = agent.address();
     NodeProcess program(config.text(), 0, false);
     // The node's timeout for the first list starts when it logs that it is listening.
-    auto start = Steady::now();
+    auto start = SteadyClock::now();
     ASSERT_TRUE(eventually([&] {
-      const auto checked_at = Steady::now();
+      const auto checked_at = SteadyClock::now();
       if (program.port() != 0) return true;
       start = checked_at;
       return false;
@@ -304,7 +304,7 @@
   FakeServer server(respond_with(200, "ok"));
   ScriptedDiscovery agent([](RawConnection& connection, int) { connection.read_until_close(); });
   WatchingNode node(agent, endpoint_list_json(7, true, endpoint_json("s0", server.address())), "automatic");
-  const auto start = Steady::now();
+  const auto start = SteadyClock::now();
   EXPECT_EQ(node.status(), 200);
   EXPECT_LT(seconds_since(start), 10) << "ready within 10 s";
 }
@@ -318,7 +318,7 @@
   config.discovery = agent.address();
   NodeProcess program(config.text());
   RawConnection client = RawConnection::connect_to(program.port());
-  const auto start = Steady::now();
+  const auto start = SteadyClock::now();
   client.write(ClientRequest{.id = "short_timeout", .timeout = "400"}.text());
   EXPECT_EQ(status_of(client.read_message()), 503) << "no attempt was sent, so the client may retry";
   EXPECT_LT(seconds_since(start), 0.45);
