--- a/tests/bench/model_test.cpp
+++ b/tests/bench/model_test.cpp
@@ -228,8 +228,9 @@
 RuleMonitor monitor() {
   return RuleMonitor(
       {},
-      {class_of(Idempotency::kIdempotent), class_of(Idempotency::kIdempotentWithKey),
-       class_of(Idempotency::kNotIdempotent), class_of(Idempotency::kIdempotentWithKey, DedupScope::kAll)},
+      {make_request_class(Idempotency::kIdempotent), make_request_class(Idempotency::kIdempotentWithKey),
+       make_request_class(Idempotency::kNotIdempotent),
+       make_request_class(Idempotency::kIdempotentWithKey, DedupScope::kAll)},
       {{0, 0}, {0, 0}, {0, 1}});
 }
 
--- a/tests/policy/balancer_harness.h
+++ b/tests/policy/balancer_harness.h
@@ -11,7 +11,7 @@
 
 namespace thymewood {
 
-inline RequestClass class_of(Idempotency idempotency, DedupScope scope = DedupScope::kCell) {
+inline RequestClass make_request_class(Idempotency idempotency, DedupScope scope = DedupScope::kCell) {
   RequestClass c;
   c.latency_objective = 2;
   c.client_timeout = 6;
@@ -21,7 +21,7 @@
   return c;
 }
 
-inline Settings basic_settings(RequestClass c = class_of(Idempotency::kIdempotent)) {
+inline Settings basic_settings(RequestClass c = make_request_class(Idempotency::kIdempotent)) {
   Settings s;
   s.classes = {c};
   s.max_attempts = 4;
@@ -30,7 +30,7 @@
   return s;
 }
 
-inline Endpoint server(int n, int zone = 0, int cell = 0) {
+inline Endpoint make_endpoint(int n, int zone = 0, int cell = 0) {
   Endpoint endpoint;
   endpoint.address = "s" + std::to_string(n);
   endpoint.zone = zone;
@@ -38,9 +38,9 @@
   return endpoint;
 }
 
-inline EndpointUpdate endpoints(int count) {
+inline EndpointUpdate make_endpoint_list(int count) {
   EndpointUpdate update;
-  for (int i = 0; i < count; ++i) update.endpoints.push_back(server(i));
+  for (int i = 0; i < count; ++i) update.endpoints.push_back(make_endpoint(i));
   return update;
 }
 
@@ -52,7 +52,7 @@
 struct Replica {
   explicit Replica(const Settings& settings, std::uint64_t seed = 1) : balancer(settings, seed) {}
 
-  std::vector<Action> at(double time, const Event& event) {
+  std::vector<Action> handle_at(double time, const Event& event) {
     now = time;
     std::vector<Action> out;
     balancer.handle(now, event, out);
@@ -64,10 +64,11 @@
     r.tenant = tenant;
     r.request_class = request_class;
     r.time_left = 6;
-    return at(now, r);
+    return handle_at(now, r);
   }
-  std::vector<Action> end(const std::string& id, Outcome outcome, int attempt = 0, double elapsed = 0.1) {
-    return at(now, AttemptResult{id, attempt, outcome, elapsed, outcome == Outcome::kSuccess});
+  std::vector<Action> end_attempt(const std::string& id, Outcome outcome, int attempt = 0,
+                                  double elapsed = 0.1) {
+    return handle_at(now, AttemptResult{id, attempt, outcome, elapsed, outcome == Outcome::kSuccess});
   }
 
   Balancer balancer;
@@ -75,7 +76,7 @@
 };
 
 template <typename T>
-std::vector<T> all(const std::vector<Action>& actions) {
+std::vector<T> actions_of_type(const std::vector<Action>& actions) {
   std::vector<T> out;
   for (const Action& a : actions) {
     if (const T* t = std::get_if<T>(&a)) out.push_back(*t);
@@ -84,7 +85,7 @@
 }
 
 inline std::size_t final_answers(const std::vector<Action>& actions) {
-  return all<Reject>(actions).size() + all<Fail>(actions).size();
+  return actions_of_type<Reject>(actions).size() + actions_of_type<Fail>(actions).size();
 }
 
 inline constexpr Outcome kFailures[] = {Outcome::kError,         Outcome::kRejected, Outcome::kTimedOut,
@@ -102,13 +103,13 @@
 // until no attempt follows. Returns the servers of the attempts in order. Successes take 50 ms, other
 // outcomes 1 ms.
 template <typename OutcomeOf>
-std::vector<std::string> run_to_end(Replica& replica, const std::string& id, const OutcomeOf& outcome_of) {
+std::vector<std::string> run_attempts(Replica& replica, const std::string& id, const OutcomeOf& outcome_of) {
   std::vector<std::string> servers_used;
-  for (auto sends = all<Send>(replica.request(id)); !sends.empty();) {
+  for (auto sends = actions_of_type<Send>(replica.request(id)); !sends.empty();) {
     servers_used.push_back(sends[0].server);
     const Outcome outcome = outcome_of(servers_used.back());
-    sends = all<Send>(replica.end(id, outcome, static_cast<int>(servers_used.size()) - 1,
-                                  outcome == Outcome::kSuccess ? 0.05 : 0.001));
+    sends = actions_of_type<Send>(replica.end_attempt(id, outcome, static_cast<int>(servers_used.size()) - 1,
+                                                      outcome == Outcome::kSuccess ? 0.05 : 0.001));
   }
   return servers_used;
 }
--- a/tests/policy/balancer_test.cpp
+++ b/tests/policy/balancer_test.cpp
@@ -12,10 +12,11 @@
 TEST(Balancer, GivesTheSameActionsForTheSameSeedAndEvents) {
   const auto run = [] {
     Replica replica(basic_settings(), 99);
-    replica.at(5, endpoints(12));
+    replica.handle_at(5, make_endpoint_list(12));
     std::string out;
     for (int i = 0; i < 200; ++i) {
-      for (const Send& send : all<Send>(replica.request(std::to_string(i)))) out += send.server + " ";
+      for (const Send& send : actions_of_type<Send>(replica.request(std::to_string(i))))
+        out += send.server + " ";
     }
     return out;
   };
@@ -24,21 +25,21 @@
 
 TEST(Balancer, IgnoresARequestWhoseIdIsPending) {
   Replica replica(basic_settings());
-  replica.at(0, endpoints(2));
-  ASSERT_EQ(all<Send>(replica.request("r")).size(), 1U);
+  replica.handle_at(0, make_endpoint_list(2));
+  ASSERT_EQ(actions_of_type<Send>(replica.request("r")).size(), 1U);
   EXPECT_TRUE(replica.request("r").empty());
-  EXPECT_TRUE(replica.end("r", Outcome::kSuccess).empty());
+  EXPECT_TRUE(replica.end_attempt("r", Outcome::kSuccess).empty());
 }
 
 TEST(Balancer, ToleratesNumbersOutOfRange) {
   Replica replica(basic_settings());
-  replica.at(0, endpoints(2));
-  EXPECT_EQ(all<Send>(replica.request("a", 77, 88)).size(), 1U);
-  EXPECT_TRUE(replica.end("a", Outcome::kSuccess, 9).empty());
-  EXPECT_TRUE(replica.end("a", Outcome::kSuccess, -1).empty());
-  EXPECT_TRUE(replica.end("never", Outcome::kSuccess).empty());
-  EXPECT_TRUE(replica.at(0, TimerFired{12345}).empty());
-  EXPECT_TRUE(replica.at(0, RequestAbandoned{"never"}).empty());
+  replica.handle_at(0, make_endpoint_list(2));
+  EXPECT_EQ(actions_of_type<Send>(replica.request("a", 77, 88)).size(), 1U);
+  EXPECT_TRUE(replica.end_attempt("a", Outcome::kSuccess, 9).empty());
+  EXPECT_TRUE(replica.end_attempt("a", Outcome::kSuccess, -1).empty());
+  EXPECT_TRUE(replica.end_attempt("never", Outcome::kSuccess).empty());
+  EXPECT_TRUE(replica.handle_at(0, TimerFired{12345}).empty());
+  EXPECT_TRUE(replica.handle_at(0, RequestAbandoned{"never"}).empty());
   EXPECT_GE(replica.balancer.tenant(0, 1234).rate_limit, 0);
 }
 
@@ -46,47 +47,47 @@
 TEST(FinalAnswer, IsGivenOnceInEveryOrderOfEvents) {
   for (const Outcome outcome : kFailures) {
     for (const bool abandoned_first : {false, true}) {
-      Settings s = basic_settings(class_of(Idempotency::kNotIdempotent));
+      Settings s = basic_settings(make_request_class(Idempotency::kNotIdempotent));
       s.max_attempts = 1;
       Replica replica(s);
-      replica.at(0, endpoints(3));
-      ASSERT_EQ(all<Send>(replica.request("r")).size(), 1U);
+      replica.handle_at(0, make_endpoint_list(3));
+      ASSERT_EQ(actions_of_type<Send>(replica.request("r")).size(), 1U);
       replica.now = 1;
       std::vector<Action> after;
       if (abandoned_first) {
-        after = replica.at(1, RequestAbandoned{"r"});
+        after = replica.handle_at(1, RequestAbandoned{"r"});
         EXPECT_EQ(final_answers(after), 0U);
-        EXPECT_EQ(all<Cancel>(after).size(), 1U);
-        after = replica.end("r", outcome);
+        EXPECT_EQ(actions_of_type<Cancel>(after).size(), 1U);
+        after = replica.end_attempt("r", outcome);
         EXPECT_EQ(final_answers(after), 0U);
       } else {
-        after = replica.end("r", outcome);
+        after = replica.end_attempt("r", outcome);
         EXPECT_EQ(final_answers(after), 1U);
-        EXPECT_TRUE(replica.at(1, RequestAbandoned{"r"}).empty());
+        EXPECT_TRUE(replica.handle_at(1, RequestAbandoned{"r"}).empty());
       }
-      EXPECT_TRUE(all<Send>(after).empty());
-      EXPECT_TRUE(replica.end("r", outcome).empty()) << "a repeated outcome must have no effect";
+      EXPECT_TRUE(actions_of_type<Send>(after).empty());
+      EXPECT_TRUE(replica.end_attempt("r", outcome).empty()) << "a repeated outcome must have no effect";
     }
   }
 }
 
 TEST(FinalAnswer, IsNotNeededAfterASuccess) {
   Replica replica(basic_settings());
-  replica.at(0, endpoints(3));
+  replica.handle_at(0, make_endpoint_list(3));
   replica.request("r");
-  EXPECT_TRUE(replica.end("r", Outcome::kSuccess).empty());
-  EXPECT_TRUE(replica.at(0, RequestAbandoned{"r"}).empty());
+  EXPECT_TRUE(replica.end_attempt("r", Outcome::kSuccess).empty());
+  EXPECT_TRUE(replica.handle_at(0, RequestAbandoned{"r"}).empty());
 }
 
 TEST(FinalAnswer, ComesBeforeTheClientTimeout) {
-  RequestClass c = class_of(Idempotency::kNotIdempotent);
+  RequestClass c = make_request_class(Idempotency::kNotIdempotent);
   c.late_value = 0.5;
   Replica replica(basic_settings(c));
-  replica.at(0, endpoints(3));
+  replica.handle_at(0, make_endpoint_list(3));
   Request r;
   r.id = "r";
   r.time_left = 0.7;
-  const auto sends = all<Send>(replica.at(0, r));
+  const auto sends = actions_of_type<Send>(replica.handle_at(0, r));
   ASSERT_EQ(sends.size(), 1U);
   EXPECT_LE(sends[0].timeout, 0.7);
   EXPECT_GT(sends[0].timeout, 0);
@@ -94,12 +95,12 @@
 
 TEST(FinalAnswer, IsARejectionWithoutServers) {
   Replica without_endpoints(basic_settings());
-  EXPECT_EQ(all<Reject>(without_endpoints.request("a")).size(), 1U);
+  EXPECT_EQ(actions_of_type<Reject>(without_endpoints.request("a")).size(), 1U);
   Replica draining(basic_settings());
-  EndpointUpdate update = endpoints(3);
+  EndpointUpdate update = make_endpoint_list(3);
   for (Endpoint& endpoint : update.endpoints) endpoint.state = EndpointState::kDraining;
-  draining.at(0, update);
-  EXPECT_EQ(all<Reject>(draining.request("a")).size(), 1U);
+  draining.handle_at(0, update);
+  EXPECT_EQ(actions_of_type<Reject>(draining.request("a")).size(), 1U);
 }
 
 // Clients whose timeout may be shorter than the usual latency. Such requests are rejected immediately, so
@@ -107,10 +108,10 @@
 struct ShortTimeoutClients {
   explicit ShortTimeoutClients(int tier = 0, Idempotency idempotency = Idempotency::kNotIdempotent) {
     Settings s = settings_with_ample_quota();
-    s.classes = {class_of(idempotency)};
+    s.classes = {make_request_class(idempotency)};
     s.tier = tier;
     replica.emplace(s);
-    replica->at(0, endpoints(4));
+    replica->handle_at(0, make_endpoint_list(4));
   }
   // Makes `requests` requests and returns how many of them were sent to a server.
   int count_sent(double time_left, int requests = 100) {
@@ -119,10 +120,10 @@
       Request r;
       r.id = "h" + std::to_string(++request_count);
       r.time_left = time_left;
-      const auto actions = replica->at(replica->now + 0.02, r);
-      out += static_cast<int>(all<Send>(actions).size());
-      EXPECT_EQ(all<Send>(actions).size() + all<Reject>(actions).size(), 1U);
-      if (!all<Send>(actions).empty()) replica->end(r.id, Outcome::kSuccess);
+      const auto actions = replica->handle_at(replica->now + 0.02, r);
+      out += static_cast<int>(actions_of_type<Send>(actions).size());
+      EXPECT_EQ(actions_of_type<Send>(actions).size() + actions_of_type<Reject>(actions).size(), 1U);
+      if (!actions_of_type<Send>(actions).empty()) replica->end_attempt(r.id, Outcome::kSuccess);
     }
     return out;
   }
@@ -159,26 +160,27 @@
   s.uses_watch = true;
   s.poll_interval = 10;
   Replica replica(s);
-  EXPECT_EQ(all<WatchEndpoints>(replica.at(0, Started{})).size(), 1U);
+  EXPECT_EQ(actions_of_type<WatchEndpoints>(replica.handle_at(0, Started{})).size(), 1U);
   EndpointUpdate failed;
   failed.form = EndpointUpdate::Form::kFailed;
   double now = 0;
   for (int i = 0; i < 12; ++i) {
-    const auto timers = all<SetTimer>(replica.at(now, failed));
+    const auto timers = actions_of_type<SetTimer>(replica.handle_at(now, failed));
     ASSERT_EQ(timers.size(), 1U);
     EXPECT_GT(timers[0].at, now);
     EXPECT_LE(timers[0].at, now + 5) << "within the poll interval, after which changes count as notified";
     now = timers[0].at;
-    EXPECT_EQ(all<WatchEndpoints>(replica.at(now, TimerFired{timers[0].token})).size(), 1U);
+    EXPECT_EQ(actions_of_type<WatchEndpoints>(replica.handle_at(now, TimerFired{timers[0].token})).size(),
+              1U);
   }
 }
 
 TEST(Watch, IsNotOpenedWithoutTheSetting) {
   Replica replica(basic_settings());
-  EXPECT_TRUE(replica.at(0, Started{}).empty());
+  EXPECT_TRUE(replica.handle_at(0, Started{}).empty());
   EndpointUpdate failed;
   failed.form = EndpointUpdate::Form::kFailed;
-  EXPECT_TRUE(replica.at(0, failed).empty());
+  EXPECT_TRUE(replica.handle_at(0, failed).empty());
 }
 
 }  // namespace
--- a/tests/policy/capacity_test.cpp
+++ b/tests/policy/capacity_test.cpp
@@ -11,14 +11,14 @@
 
 TEST(Capacity, BoundsRequestsInFlightAtServersThatDoNotAnswer) {
   Replica replica(settings_with_ample_quota());
-  replica.at(0, endpoints(3));
+  replica.handle_at(0, make_endpoint_list(3));
   int sent = 0;
   int rejected = 0;
   for (int i = 0; i < 300; ++i) {
     replica.now = i * 0.01;
     const auto actions = replica.request(std::to_string(i));
-    sent += static_cast<int>(all<Send>(actions).size());
-    rejected += static_cast<int>(all<Reject>(actions).size());
+    sent += static_cast<int>(actions_of_type<Send>(actions).size());
+    rejected += static_cast<int>(actions_of_type<Reject>(actions).size());
   }
   EXPECT_EQ(sent + rejected, 300);
   EXPECT_GT(sent, 3);
@@ -34,9 +34,10 @@
     s.replica_index = index;
     s.replica_count = 8;
     Replica replica(s, static_cast<std::uint64_t>(index) + 1);
-    replica.at(0, endpoints(10));
+    replica.handle_at(0, make_endpoint_list(10));
     for (int i = 0; i < 100; ++i) {
-      for (const Send& send : all<Send>(replica.request(std::to_string(i)))) ++in_flight[send.server];
+      for (const Send& send : actions_of_type<Send>(replica.request(std::to_string(i))))
+        ++in_flight[send.server];
     }
   }
   EXPECT_EQ(in_flight.size(), 10U);
@@ -50,17 +51,17 @@
   s.replica_count = 500;
   s.tenants = {{100000.0}};
   Replica replica(s);
-  replica.at(0, endpoints(100));
+  replica.handle_at(0, make_endpoint_list(100));
   std::map<int, std::string> ids_by_end_step;  // keyed by the step in which the request ends
   int rejected = 0;
   for (int i = 0; i < 3000; ++i) {
     replica.now = 10 + i * 0.02;
-    if (ids_by_end_step.count(i) != 0) replica.end(ids_by_end_step[i], Outcome::kSuccess, 0, 0.4);
+    if (ids_by_end_step.count(i) != 0) replica.end_attempt(ids_by_end_step[i], Outcome::kSuccess, 0, 0.4);
     if (i % 25 > 1) continue;  // two requests close together, twice a second
     const std::string id = std::to_string(i);
     const auto actions = replica.request(id);
-    rejected += static_cast<int>(all<Reject>(actions).size());
-    if (!all<Send>(actions).empty()) ids_by_end_step[i + 20] = id;
+    rejected += static_cast<int>(actions_of_type<Reject>(actions).size());
+    if (!actions_of_type<Send>(actions).empty()) ids_by_end_step[i + 20] = id;
   }
   EXPECT_EQ(rejected, 0);
 }
@@ -70,14 +71,15 @@
   Settings s = settings_with_ample_quota();
   s.tier = 1;
   Replica replica(s);
-  replica.at(0, endpoints(3));
-  for (int i = 0; i < 300; ++i) EXPECT_EQ(all<Send>(replica.request(std::to_string(i))).size(), 1U);
+  replica.handle_at(0, make_endpoint_list(3));
+  for (int i = 0; i < 300; ++i)
+    EXPECT_EQ(actions_of_type<Send>(replica.request(std::to_string(i))).size(), 1U);
 }
 
 // Sends requests that receive no response until one is rejected; returns the number sent.
 int send_until_rejected(Replica& replica, const std::string& prefix) {
   int sent = 0;
-  while (!all<Send>(replica.request(prefix + std::to_string(sent))).empty()) ++sent;
+  while (!actions_of_type<Send>(replica.request(prefix + std::to_string(sent))).empty()) ++sent;
   return sent;
 }
 
@@ -87,15 +89,15 @@
   Settings s = settings_with_ample_quota();
   s.tier = 1;
   Replica replica(s);
-  replica.at(0, endpoints(4));
+  replica.handle_at(0, make_endpoint_list(4));
   int to_failing = 0;
   for (int i = 0; i < 400; ++i) {
     replica.now = i * 0.02;
     const std::string id = std::to_string(i);
-    const auto sends = all<Send>(replica.request(id));
+    const auto sends = actions_of_type<Send>(replica.request(id));
     if (sends.empty() || sends[0].server != "s2") continue;  // the others do not respond
     to_failing += i >= 50 ? 1 : 0;
-    replica.end(id, Outcome::kError);
+    replica.end_attempt(id, Outcome::kError);
   }
   EXPECT_LT(to_failing, 40);
 }
@@ -104,12 +106,12 @@
 TEST(Capacity, AllowsForRandomVariationOnlyAtLowLatency) {
   const auto in_flight = [](double latency) {
     Replica replica(settings_with_ample_quota());
-    replica.at(0, endpoints(20));
+    replica.handle_at(0, make_endpoint_list(20));
     for (int i = 0; i < 200; ++i) {
       replica.now = i * 0.2;
       const std::string id = "a" + std::to_string(i);
-      if (!all<Send>(replica.request(id)).empty())
-        replica.end(id, Outcome::kSuccess, 0, i < 100 ? 0.4 : latency);
+      if (!actions_of_type<Send>(replica.request(id)).empty())
+        replica.end_attempt(id, Outcome::kSuccess, 0, i < 100 ? 0.4 : latency);
     }
     return send_until_rejected(replica, "b");
   };
@@ -123,15 +125,15 @@
   s.replica_count = 500;
   s.tenants = {{1000000.0}};
   Replica replica(s);
-  replica.at(0, endpoints(20));
+  replica.handle_at(0, make_endpoint_list(20));
   const auto count_admitted = [&](double from, double latency) {
     int sent = 0;
     for (int i = 0; i < 200; ++i) {
       replica.now = from + i;  // one request at a time, too few for a steady response rate
       const std::string id = std::to_string(replica.now);
-      if (all<Send>(replica.request(id)).empty()) continue;
+      if (actions_of_type<Send>(replica.request(id)).empty()) continue;
       ++sent;
-      replica.end(id, Outcome::kSuccess, 0, latency);
+      replica.end_attempt(id, Outcome::kSuccess, 0, latency);
     }
     return sent;
   };
@@ -145,19 +147,20 @@
 TEST(Capacity, KeepsTheLimitOfOtherServersWhenOneSlowsDown) {
   const auto limit_after = [](double slow_latency) {
     Replica replica(settings_with_ample_quota());
-    replica.at(0, endpoints(4));
+    replica.handle_at(0, make_endpoint_list(4));
     for (int i = 0; i < 800; ++i) {
       replica.now = i * 0.025;
       const std::string id = "fast" + std::to_string(i);
       replica.request(id);
-      replica.end(id, Outcome::kSuccess, 0, 0.2);
+      replica.end_attempt(id, Outcome::kSuccess, 0, 0.2);
     }
     for (int i = 0; i < 4; ++i) replica.request("in_flight" + std::to_string(i));
     for (int i = 0; i < 60; ++i) {
       replica.now += 0.025;
       const std::string id = "slow" + std::to_string(i);
-      const auto sends = all<Send>(replica.request(id));
-      if (!sends.empty()) replica.end(id, Outcome::kSuccess, 0, sends[0].server == "s0" ? slow_latency : 0.2);
+      const auto sends = actions_of_type<Send>(replica.request(id));
+      if (!sends.empty())
+        replica.end_attempt(id, Outcome::kSuccess, 0, sends[0].server == "s0" ? slow_latency : 0.2);
     }
     return 4 + send_until_rejected(replica, "more");
   };
--- a/tests/policy/concurrency_limit_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 RequestClass class_with(double latency_objective) {
-  RequestClass c = class_of(Idempotency::kIdempotent);
+  RequestClass c = make_request_class(Idempotency::kIdempotent);
   c.latency_objective = latency_objective;
   c.client_timeout = 2 * latency_objective;
   return c;
@@ -152,8 +152,8 @@
   s.max_retry_after = 0;
   Replica replica(s);
   EndpointUpdate update;
-  for (int i = 0; i < 6; ++i) update.endpoints.push_back(server(i, i % 2));
-  replica.at(0, update);
+  for (int i = 0; i < 6; ++i) update.endpoints.push_back(make_endpoint(i, i % 2));
+  replica.handle_at(0, update);
   // Servers with twice the throughput at lower concurrency: 500 responses per second with 100 requests in
   // flight, 1,000 with 40.
   std::vector<std::string> sent_ids;
@@ -164,22 +164,22 @@
     replica.now += 0.001;
     for (int i = 0; i < 3; ++i) {
       const std::string id = "r" + std::to_string(++sent_count);
-      if (!all<Send>(replica.request(id)).empty()) sent_ids.push_back(id);
+      if (!actions_of_type<Send>(replica.request(id)).empty()) sent_ids.push_back(id);
     }
     const double in_flight = static_cast<double>(sent_ids.size() - next_to_end);
     const double rate = in_flight > 60 ? 500 : std::min(1000.0, 25 * in_flight + 1);
     for (pending_responses += rate * 0.001; pending_responses >= 1 && next_to_end < sent_ids.size();
          pending_responses -= 1) {
-      replica.end(sent_ids[next_to_end], Outcome::kSuccess, 0, in_flight / rate);
+      replica.end_attempt(sent_ids[next_to_end], Outcome::kSuccess, 0, in_flight / rate);
       ++next_to_end;
     }
   }
   const double bound = replica.balancer.concurrency_limit(replica.now).probed_bound;
   ASSERT_TRUE(std::isfinite(bound)) << "no probe has bounded the limit";
-  replica.at(replica.now, update);
+  replica.handle_at(replica.now, update);
   EXPECT_TRUE(std::isfinite(replica.balancer.concurrency_limit(replica.now).probed_bound));
   update.endpoints.pop_back();
-  replica.at(replica.now, update);
+  replica.handle_at(replica.now, update);
   EXPECT_TRUE(std::isinf(replica.balancer.concurrency_limit(replica.now).probed_bound));
 }
 
--- a/tests/policy/endpoint_lease_test.cpp
+++ b/tests/policy/endpoint_lease_test.cpp
@@ -30,12 +30,12 @@
   const std::string id = "r" + std::to_string(++count);
   replica.now = at;
   std::set<std::string> servers_used;
-  auto sends = all<Send>(replica.request(id));
+  auto sends = actions_of_type<Send>(replica.request(id));
   for (int attempt = 0; !sends.empty(); ++attempt) {
     const std::string server = sends[0].server;
     servers_used.insert(server);
-    sends = all<Send>(
-        replica.end(id, rejecting.contains(server) ? Outcome::kRejected : Outcome::kSuccess, attempt, 0.001));
+    sends = actions_of_type<Send>(replica.end_attempt(
+        id, rejecting.contains(server) ? Outcome::kRejected : Outcome::kSuccess, attempt, 0.001));
   }
   return servers_used;
 }
@@ -72,17 +72,17 @@
 
 TEST(StaleEndpointList, ExcludesARejectingServerWhenItsLeaseEnds) {
   Replica replica(leased_settings());
-  replica.at(0, endpoints(4));
-  replica.at(0, current());
+  replica.handle_at(0, make_endpoint_list(4));
+  replica.handle_at(0, current());
   for (int i = 0; i < 200; ++i) send_request(replica, 0.02 * i, {});
-  replica.at(4, stale(4));
+  replica.handle_at(4, stale(4));
   double last_used_at = 0;
   for (double t = 4; t < 60; t += 0.02) {
     if (send_request(replica, t, {"s1"}).contains("s1")) last_used_at = t;
   }
   EXPECT_GT(last_used_at, 4.5);
   EXPECT_LT(last_used_at, 4 + kLease);
-  replica.at(60, current());
+  replica.handle_at(60, current());
   bool used = false;
   for (int i = 0; i < 200; ++i) used |= send_request(replica, 60 + 0.02 * i, {}).contains("s1");
   EXPECT_TRUE(used) << "all servers are usable while the list is current";
@@ -90,8 +90,8 @@
 
 TEST(StaleEndpointList, KeepsUsingServersThatAnswer) {
   Replica replica(leased_settings());
-  replica.at(0, endpoints(4));
-  replica.at(0, stale(0));
+  replica.handle_at(0, make_endpoint_list(4));
+  replica.handle_at(0, stale(0));
   std::set<std::string> used_after_290_s;
   for (double t = 0; t < 300; t += 0.05) {
     const auto used = send_request(replica, t, {});
@@ -105,8 +105,8 @@
 // limited to one at a time, and the servers take turns.
 TEST(StaleEndpointList, TriesUnconfirmedServersOneAtATime) {
   Replica replica(leased_settings());
-  replica.at(0, endpoints(4));
-  replica.at(0, stale(0));
+  replica.handle_at(0, make_endpoint_list(4));
+  replica.handle_at(0, stale(0));
   std::set<std::string> tried;
   int sent = 0;
   for (int i = 0; i < 100; ++i) {
--- a/tests/policy/idempotency_test.cpp
+++ b/tests/policy/idempotency_test.cpp
@@ -12,7 +12,7 @@
 
 EndpointUpdate two_cells() {
   EndpointUpdate update;
-  for (int i = 0; i < 8; ++i) update.endpoints.push_back(server(i, i % 2, i / 2));
+  for (int i = 0; i < 8; ++i) update.endpoints.push_back(make_endpoint(i, i % 2, i / 2));
   return update;
 }
 
@@ -29,16 +29,17 @@
   for (const auto& [idempotency, scope] : classes) {
     for (const Outcome first_outcome : kFailures) {
       for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        Replica replica(basic_settings(class_of(idempotency, scope)), seed);
-        replica.at(0, two_cells());
+        Replica replica(basic_settings(make_request_class(idempotency, scope)), seed);
+        replica.handle_at(0, two_cells());
         std::optional<Endpoint> may_have_run;
         std::string id = "r";
         auto actions = replica.request(id);
         for (int attempt = 0; attempt < 10; ++attempt) {
-          const auto sends = all<Send>(actions);
+          const auto sends = actions_of_type<Send>(actions);
           if (sends.empty()) {
             EXPECT_EQ(final_answers(actions), 1U);
-            if (!all<Reject>(actions).empty() && may_have_run && idempotency != Idempotency::kIdempotent) {
+            if (!actions_of_type<Reject>(actions).empty() && may_have_run &&
+                idempotency != Idempotency::kIdempotent) {
               EXPECT_TRUE(idempotency == Idempotency::kIdempotentWithKey && scope == DedupScope::kAll);
             }
             break;
@@ -57,7 +58,7 @@
           const Outcome outcome = attempt == 0 ? first_outcome : Outcome::kConnectFailed;
           if (!may_have_run && !proves_not_run(outcome)) may_have_run = s;
           replica.now += 0.05;
-          actions = replica.end(id, outcome, attempt);
+          actions = replica.end_attempt(id, outcome, attempt);
           ASSERT_LT(attempt, 9);
         }
       }
@@ -66,13 +67,13 @@
 }
 
 TEST(Idempotency, AllowsNoRetryAfterTheDedupWindow) {
-  RequestClass c = class_of(Idempotency::kIdempotentWithKey, DedupScope::kAll);
+  RequestClass c = make_request_class(Idempotency::kIdempotentWithKey, DedupScope::kAll);
   c.dedup_window = 0.5;
   Replica replica(basic_settings(c));
-  replica.at(0, endpoints(4));
-  ASSERT_EQ(all<Send>(replica.request("r")).size(), 1U);
+  replica.handle_at(0, make_endpoint_list(4));
+  ASSERT_EQ(actions_of_type<Send>(replica.request("r")).size(), 1U);
   replica.now = 0.6;
-  EXPECT_TRUE(all<Send>(replica.end("r", Outcome::kError)).empty());
+  EXPECT_TRUE(actions_of_type<Send>(replica.end_attempt("r", Outcome::kError)).empty());
 }
 
 }  // namespace
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -17,12 +17,12 @@
   for (int i = 0; i < static_cast<int>(seconds * rate); ++i) {
     replica.now = from + i / rate;
     const std::string id = prefix + std::to_string(i);
-    auto sends = all<Send>(replica.request(id));
+    auto sends = actions_of_type<Send>(replica.request(id));
     if (!sends.empty()) ++first_attempts[sends[0].server];
     for (int attempt = 0; !sends.empty(); ++attempt) {
       const bool is_outlier = sends[0].server == outlier;
-      sends = all<Send>(
-          replica.end(id, is_outlier ? outcome : Outcome::kSuccess, attempt, is_outlier ? elapsed : 0.1));
+      sends = actions_of_type<Send>(replica.end_attempt(id, is_outlier ? outcome : Outcome::kSuccess, attempt,
+                                                        is_outlier ? elapsed : 0.1));
     }
   }
   return first_attempts;
@@ -31,7 +31,7 @@
 // A server that fails immediately has no requests in flight and therefore looks the least loaded.
 TEST(OutlierDetector, EjectsAFastFailingServerAndReadmitsIt) {
   Replica replica(settings_with_ample_quota());
-  replica.at(0, endpoints(6));
+  replica.handle_at(0, make_endpoint_list(6));
   const auto ejected = run_requests(replica, "s2", Outcome::kError, 0, 10, 50, "a");
   EXPECT_LT(ejected.at("s2"), 25);
   const auto readmitted = run_requests(replica, "", Outcome::kSuccess, 10, 30, 50, "b");
@@ -42,7 +42,7 @@
 TEST(OutlierDetector, IgnoresTimeoutsShorterThanTheLatency) {
   for (const bool shorter_than_latency : {true, false}) {
     Replica replica(settings_with_ample_quota());
-    replica.at(0, endpoints(4));
+    replica.handle_at(0, make_endpoint_list(4));
     run_requests(replica, "", Outcome::kSuccess, 0, 10, 50, "a");
     auto first_attempts =
         run_requests(replica, "s0", Outcome::kTimedOut, 10, 4, 50, "b", shorter_than_latency ? 0.09 : 0.5);
@@ -57,15 +57,15 @@
 
 TEST(OutlierDetector, EjectsNoServerWhenAllFail) {
   Replica replica(settings_with_ample_quota());
-  replica.at(0, endpoints(4));
+  replica.handle_at(0, make_endpoint_list(4));
   int sent = 0;
   for (int i = 0; i < 200; ++i) {
     replica.now = i * 0.02;
     const std::string id = std::to_string(i);
-    auto sends = all<Send>(replica.request(id));
+    auto sends = actions_of_type<Send>(replica.request(id));
     sent += static_cast<int>(sends.size());
     for (int attempt = 0; !sends.empty(); ++attempt)
-      sends = all<Send>(replica.end(id, Outcome::kError, attempt));
+      sends = actions_of_type<Send>(replica.end_attempt(id, Outcome::kError, attempt));
   }
   EXPECT_EQ(sent, 200);
 }
--- a/tests/policy/property_test.cpp
+++ b/tests/policy/property_test.cpp
@@ -54,7 +54,7 @@
     std::vector<Endpoint> out;
     for (int i = 0; i < 12; ++i) {
       if (random_below(4) == 0) continue;
-      Endpoint s = server(i, i % 2, i / 3);
+      Endpoint s = make_endpoint(i, i % 2, i / 3);
       if (random_below(3) == 0) s.started_at = now_ - random_fraction();
       s.state = static_cast<EndpointState>(random_below(5) < 3 ? 0 : random_below(3));
       out.push_back(s);
@@ -68,7 +68,7 @@
       listed_[s.address] = s;
       usable_[s.address] = s.state == EndpointState::kReady;
     }
-    check(replica_.at(now_, update));
+    check(replica_.handle_at(now_, update));
   }
 
   // Times out all attempts in flight of requests that have reached their client timeout.
@@ -87,9 +87,9 @@
     sent.may_have_run = !proves_not_run(outcome);
     if (outcome == Outcome::kSuccess) request.finished = true;
     const AttemptResult result{id, static_cast<int>(attempt), outcome, now_ - sent.at, request.finished};
-    check(replica_.at(now_, result));
+    check(replica_.handle_at(now_, result));
     if (random_below(8) != 0) return;
-    EXPECT_TRUE(replica_.at(now_, result).empty()) << "a repeated outcome must have no effect";
+    EXPECT_TRUE(replica_.handle_at(now_, result).empty()) << "a repeated outcome must have no effect";
   }
 
   void random_event(int i) {
@@ -106,7 +106,7 @@
       r.request_class = request.request_class;
       r.tenant = static_cast<std::size_t>(random_below(3));
       r.time_left = time_left;
-      check(replica_.at(now_, r));
+      check(replica_.handle_at(now_, r));
       EXPECT_TRUE(request.finished || any_in_flight(request))
           << id << " is pending without an attempt in flight";
     } else if (kind < 8) {
@@ -115,13 +115,13 @@
       auto it = requests_.lower_bound("r" + std::to_string(random_below(std::max(1, i))));
       if (it == requests_.end() || it->second.finished) return;
       it->second.finished = true;  // the client disconnected
-      check(replica_.at(now_, RequestAbandoned{it->first}));
+      check(replica_.handle_at(now_, RequestAbandoned{it->first}));
     } else if (random_below(4) == 0) {
       const int form = random_below(3);
       notify({static_cast<EndpointUpdate::Form>(form),
               form == 2 ? std::vector<Endpoint>() : random_endpoints()});
     } else {
-      check(replica_.at(now_, TimerFired{static_cast<std::uint64_t>(random_below(3))}));
+      check(replica_.handle_at(now_, TimerFired{static_cast<std::uint64_t>(random_below(3))}));
     }
   }
 
@@ -210,9 +210,10 @@
       return static_cast<int>(rng() % static_cast<unsigned>(bound));
     };
     Settings s = basic_settings();
-    s.classes = {class_of(Idempotency::kIdempotent),
-                 class_of(Idempotency::kIdempotentWithKey, static_cast<DedupScope>(random_below(3))),
-                 class_of(Idempotency::kNotIdempotent)};
+    s.classes = {
+        make_request_class(Idempotency::kIdempotent),
+        make_request_class(Idempotency::kIdempotentWithKey, static_cast<DedupScope>(random_below(3))),
+        make_request_class(Idempotency::kNotIdempotent)};
     for (RequestClass& c : s.classes) {
       c.late_value = random_below(2) * 0.5;
       c.dedup_window = 0.5 + random_below(8);
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -11,16 +11,16 @@
 
 TEST(RetryPolicy, LimitsRetriesByABudget) {
   Replica replica(basic_settings());
-  replica.at(0, endpoints(4));
+  replica.handle_at(0, make_endpoint_list(4));
   int first_attempts = 0;
   int retries = 0;
   for (int i = 0; i < 300; ++i) {
     replica.now = i * 0.02;
     const std::string id = std::to_string(i);
-    auto sends = all<Send>(replica.request(id));
+    auto sends = actions_of_type<Send>(replica.request(id));
     first_attempts += static_cast<int>(sends.size());
     for (int attempt = 0; !sends.empty(); ++attempt) {
-      sends = all<Send>(replica.end(id, Outcome::kError, attempt));
+      sends = actions_of_type<Send>(replica.end_attempt(id, Outcome::kError, attempt));
       retries += static_cast<int>(sends.size());
     }
   }
@@ -40,15 +40,15 @@
                         Case{Outcome::kReset, 0.1, false}, Case{Outcome::kConnectFailed, 0.25, false},
                         Case{Outcome::kError, 0.001, false}}) {
     Replica replica(settings_with_ample_quota());
-    replica.at(0, endpoints(4));
+    replica.handle_at(0, make_endpoint_list(4));
     int retries = 0;
     for (int i = 0; i < 100; ++i) {
       replica.now = i * 0.02;
       const std::string id = std::to_string(i);
-      ASSERT_EQ(all<Send>(replica.request(id)).size(), 1U);
-      const auto retry = all<Send>(replica.end(id, c.outcome, 0, c.elapsed));
+      ASSERT_EQ(actions_of_type<Send>(replica.request(id)).size(), 1U);
+      const auto retry = actions_of_type<Send>(replica.end_attempt(id, c.outcome, 0, c.elapsed));
       retries += static_cast<int>(retry.size());
-      if (!retry.empty()) replica.end(id, Outcome::kSuccess, 1);
+      if (!retry.empty()) replica.end_attempt(id, Outcome::kSuccess, 1);
     }
     if (c.is_free) {
       EXPECT_EQ(retries, 100);
@@ -62,29 +62,29 @@
 // reset, even an immediate one.
 TEST(RetryPolicy, LimitsFreeRetriesByMaxAttemptsAndIdempotency) {
   Replica replica(settings_with_ample_quota());
-  replica.at(0, endpoints(4));
-  int attempts_sent = static_cast<int>(all<Send>(replica.request("r")).size());
+  replica.handle_at(0, make_endpoint_list(4));
+  int attempts_sent = static_cast<int>(actions_of_type<Send>(replica.request("r")).size());
   for (int attempt = 0; attempt < 20; ++attempt)
-    attempts_sent +=
-        static_cast<int>(all<Send>(replica.end("r", Outcome::kConnectFailed, attempt, 0.001)).size());
+    attempts_sent += static_cast<int>(
+        actions_of_type<Send>(replica.end_attempt("r", Outcome::kConnectFailed, attempt, 0.001)).size());
   EXPECT_EQ(attempts_sent, 4) << "max_attempts";
   Replica rejecting(settings_with_ample_quota());
-  rejecting.at(0, endpoints(8));
-  EXPECT_EQ(run_to_end(rejecting, "r", [](const std::string&) { return Outcome::kRejected; }).size(), 4U)
+  rejecting.handle_at(0, make_endpoint_list(8));
+  EXPECT_EQ(run_attempts(rejecting, "r", [](const std::string&) { return Outcome::kRejected; }).size(), 4U)
       << "max_attempts";
   Settings s = settings_with_ample_quota();
-  s.classes = {class_of(Idempotency::kNotIdempotent)};
+  s.classes = {make_request_class(Idempotency::kNotIdempotent)};
   Replica not_idempotent(s);
-  not_idempotent.at(0, endpoints(4));
-  ASSERT_EQ(all<Send>(not_idempotent.request("u")).size(), 1U);
-  EXPECT_EQ(all<Fail>(not_idempotent.end("u", Outcome::kReset, 0, 0.001)).size(), 1U);
+  not_idempotent.handle_at(0, make_endpoint_list(4));
+  ASSERT_EQ(actions_of_type<Send>(not_idempotent.request("u")).size(), 1U);
+  EXPECT_EQ(actions_of_type<Fail>(not_idempotent.end_attempt("u", Outcome::kReset, 0, 0.001)).size(), 1U);
 }
 
 TEST(RetryPolicy, SendsARetryToAnotherServer) {
   Replica replica(basic_settings());
-  replica.at(0, endpoints(3));
-  const auto first = all<Send>(replica.request("r"));
-  const auto second = all<Send>(replica.end("r", Outcome::kReset));
+  replica.handle_at(0, make_endpoint_list(3));
+  const auto first = actions_of_type<Send>(replica.request("r"));
+  const auto second = actions_of_type<Send>(replica.end_attempt("r", Outcome::kReset));
   ASSERT_EQ(second.size(), 1U);
   EXPECT_NE(first[0].server, second[0].server);
 }
@@ -93,24 +93,25 @@
   Settings s = basic_settings();
   s.max_attempts = 3;
   Replica replica(s);
-  replica.at(0, endpoints(8));
+  replica.handle_at(0, make_endpoint_list(8));
   auto actions = replica.request("r");
   int sends = 0;
-  while (!all<Send>(actions).empty()) actions = replica.end("r", Outcome::kRejected, sends++);
+  while (!actions_of_type<Send>(actions).empty())
+    actions = replica.end_attempt("r", Outcome::kRejected, sends++);
   EXPECT_LE(sends, 3);
   EXPECT_EQ(final_answers(actions), 1U);
 }
 
 TEST(AttemptTimeout, FollowsTheObservedLatency) {
   Replica replica(basic_settings());
-  replica.at(0, endpoints(4));
-  const double before = all<Send>(replica.request("first"))[0].timeout;
+  replica.handle_at(0, make_endpoint_list(4));
+  const double before = actions_of_type<Send>(replica.request("first"))[0].timeout;
   for (int i = 0; i < 100; ++i) {
     replica.now = i * 0.1;
     replica.request(std::to_string(i));
-    replica.end(std::to_string(i), Outcome::kSuccess, 0, 0.05);
+    replica.end_attempt(std::to_string(i), Outcome::kSuccess, 0, 0.05);
   }
-  const double after = all<Send>(replica.request("last"))[0].timeout;
+  const double after = actions_of_type<Send>(replica.request("last"))[0].timeout;
   EXPECT_LT(after, before / 2);
   EXPECT_GT(after, 0.05);
 }
--- a/tests/policy/server_selector_test.cpp
+++ b/tests/policy/server_selector_test.cpp
@@ -13,10 +13,11 @@
 TEST(ServerSelector, PrefersTheLessLoadedServer) {
   Settings s = basic_settings();
   Replica replica(s);
-  replica.at(0, endpoints(2));
+  replica.handle_at(0, make_endpoint_list(2));
   std::map<std::string, int> in_flight;
   for (int i = 0; i < 10; ++i) {
-    for (const Send& send : all<Send>(replica.request(std::to_string(i)))) ++in_flight[send.server];
+    for (const Send& send : actions_of_type<Send>(replica.request(std::to_string(i))))
+      ++in_flight[send.server];
   }
   EXPECT_EQ(in_flight["s0"], 5);
   EXPECT_EQ(in_flight["s1"], 5);
@@ -26,14 +27,14 @@
 // decide.
 TEST(ServerSelector, SendsLessToASlowServerAtLowLoad) {
   Replica replica(basic_settings());
-  replica.at(0, endpoints(4));
+  replica.handle_at(0, make_endpoint_list(4));
   std::map<std::string, int> used;
   for (int i = 0; i < 400; ++i) {
     replica.now = i * 0.1;
     const std::string id = std::to_string(i);
-    for (const Send& send : all<Send>(replica.request(id))) {
+    for (const Send& send : actions_of_type<Send>(replica.request(id))) {
       if (i >= 100) ++used[send.server];
-      replica.end(id, Outcome::kSuccess, 0, send.server == "s1" ? 0.9 : 0.3);
+      replica.end_attempt(id, Outcome::kSuccess, 0, send.server == "s1" ? 0.9 : 0.3);
     }
   }
   EXPECT_LT(used["s1"], used["s0"] / 2);
@@ -45,16 +46,16 @@
 TEST(ServerSelector, AvoidsAServerWithAnOldUnansweredRequest) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     Replica replica(basic_settings(), seed);
-    replica.at(0, endpoints(2));
+    replica.handle_at(0, make_endpoint_list(2));
     for (int i = 0; i < 40; ++i) {
       replica.now = i * 0.1;
       replica.request(std::to_string(i));
-      replica.end(std::to_string(i), Outcome::kSuccess, 0, 0.2);
+      replica.end_attempt(std::to_string(i), Outcome::kSuccess, 0, 0.2);
     }
-    const std::string unresponsive = all<Send>(replica.request("old"))[0].server;
+    const std::string unresponsive = actions_of_type<Send>(replica.request("old"))[0].server;
     replica.now += 1;  // five mean latencies
     for (int i = 0; i < 3; ++i) {
-      EXPECT_NE(all<Send>(replica.request("new" + std::to_string(i)))[0].server, unresponsive)
+      EXPECT_NE(actions_of_type<Send>(replica.request("new" + std::to_string(i)))[0].server, unresponsive)
           << "several recent requests weigh less than one old one";
     }
   }
@@ -68,8 +69,8 @@
     s.cross_zone_cost = cross_zone_cost;
     Replica replica(s);
     EndpointUpdate update;
-    for (int i = 0; i < 8; ++i) update.endpoints.push_back(server(i, i % 2));
-    replica.at(0, update);
+    for (int i = 0; i < 8; ++i) update.endpoints.push_back(make_endpoint(i, i % 2));
+    replica.handle_at(0, update);
     int cross_zone_requests = 0;
     // Keyed by the step in which the request ends.
     std::multimap<int, std::pair<std::string, double>> open_requests;
@@ -77,10 +78,10 @@
       replica.now = i * 0.05;
       for (auto it = open_requests.begin(); it != open_requests.end() && it->first <= i;
            it = open_requests.erase(it)) {
-        replica.end(it->second.first, Outcome::kSuccess, 0, it->second.second);
+        replica.end_attempt(it->second.first, Outcome::kSuccess, 0, it->second.second);
       }
       const std::string id = std::to_string(i);
-      for (const Send& send : all<Send>(replica.request(id))) {
+      for (const Send& send : actions_of_type<Send>(replica.request(id))) {
         const bool is_local = (send.server.back() - '0') % 2 == 0;
         const double latency = is_local ? local_latency : 0.1;
         cross_zone_requests += is_local ? 0 : 1;
@@ -98,7 +99,7 @@
 // Returns the time to send a request and process its response with this number of servers, in seconds.
 double seconds_per_request(int servers) {
   Replica replica(basic_settings());
-  replica.at(0, endpoints(servers));
+  replica.handle_at(0, make_endpoint_list(servers));
   double best = 1;
   for (int round = 0; round < 5; ++round) {  // minimum of several rounds, since the machine may be busy
     constexpr int kRequests = 2000;
@@ -106,7 +107,7 @@
     for (int i = 0; i < kRequests; ++i) {
       replica.now += 0.01;
       replica.request("r");
-      replica.end("r", Outcome::kSuccess, 0, 0.005);
+      replica.end_attempt("r", Outcome::kSuccess, 0, 0.005);
     }
     const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - begin;
     best = std::min(best, elapsed.count() / kRequests);
@@ -122,13 +123,14 @@
 // be used for the retry.
 TEST(ServerSelector, FindsTheOnlyUsableServerAmongMany) {
   EndpointUpdate update;
-  for (int i = 0; i < 400; ++i) update.endpoints.push_back(server(i, 0, i / 2));
+  for (int i = 0; i < 400; ++i) update.endpoints.push_back(make_endpoint(i, 0, i / 2));
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Replica replica(basic_settings(class_of(Idempotency::kIdempotentWithKey, DedupScope::kCell)), seed);
-    replica.at(0, update);
-    const auto first = all<Send>(replica.request("r"));
+    Replica replica(basic_settings(make_request_class(Idempotency::kIdempotentWithKey, DedupScope::kCell)),
+                    seed);
+    replica.handle_at(0, update);
+    const auto first = actions_of_type<Send>(replica.request("r"));
     ASSERT_EQ(first.size(), 1U);
-    const auto retry = all<Send>(replica.end("r", Outcome::kReset));
+    const auto retry = actions_of_type<Send>(replica.end_attempt("r", Outcome::kReset));
     ASSERT_EQ(retry.size(), 1U) << "seed " << seed;
     EXPECT_EQ(std::stoi(retry[0].server.substr(1)) ^ 1, std::stoi(first[0].server.substr(1)));
   }
@@ -137,13 +139,13 @@
 // All requests that a saturated server rejects go to the other servers, however many there are.
 TEST(ServerSelector, SkipsASaturatedServerUntilARequestMayHaveEnded) {
   Settings s = settings_with_ample_quota();
-  s.classes = {class_of(Idempotency::kNotIdempotent)};
+  s.classes = {make_request_class(Idempotency::kNotIdempotent)};
   Replica replica(s);
-  replica.at(0, endpoints(4));
+  replica.handle_at(0, make_endpoint_list(4));
   long rejected = 0;
   for (int i = 0; i < 200; ++i) {
     replica.now = i * 0.005;
-    const auto servers_tried = run_to_end(replica, std::to_string(i), [](const std::string& server) {
+    const auto servers_tried = run_attempts(replica, std::to_string(i), [](const std::string& server) {
       return server == "s0" ? Outcome::kRejected : Outcome::kSuccess;
     });
     ASSERT_FALSE(servers_tried.empty());
@@ -158,12 +160,13 @@
 // saturated.
 TEST(ServerSelector, SendsFewRequestsWhereAllServersAreSaturated) {
   Replica replica(settings_with_ample_quota());
-  replica.at(0, endpoints(4));
+  replica.handle_at(0, make_endpoint_list(4));
   std::size_t sent = 0;
   for (int i = 0; i < 500; ++i) {
     replica.now = i * 0.002;
-    sent +=
-        run_to_end(replica, std::to_string(i), [](const std::string&) { return Outcome::kRejected; }).size();
+    sent += run_attempts(replica, std::to_string(i), [](const std::string&) {
+              return Outcome::kRejected;
+            }).size();
   }
   EXPECT_LE(sent, 4U * 20) << "each server receives an occasional request, not one for each of the 500";
 }
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -84,10 +84,10 @@
     if (replica_count_error == 1) s.replica_count = std::max(number + 1, s.replica_count / 2);
     if (replica_count_error == 2) s.replica_count *= 2;
     auto replica = std::make_unique<Replica>(s, seed_ * 1000 + static_cast<std::uint64_t>(number) + 1);
-    EndpointUpdate update = endpoints(kServers);
+    EndpointUpdate update = make_endpoint_list(kServers);
     if (now > kFirstStart) update.endpoints[0].started_at = kFirstStart;
     if (started_twice_ && now > kSecondStart) update.endpoints[0].started_at = kSecondStart;
-    replica->at(now, update);
+    replica->handle_at(now, update);
     return replica;
   }
 
@@ -95,9 +95,9 @@
     notify_at = kEnd + 1;
     EndpointUpdate update;
     update.form = EndpointUpdate::Form::kDelta;
-    update.endpoints = {server(0)};
+    update.endpoints = {make_endpoint(0)};
     update.endpoints[0].started_at = started;
-    nodes_[node]->at(now, update);
+    nodes_[node]->handle_at(now, update);
   }
 
   // Up to nine of the other servers reject or fail requests, so that these are retried elsewhere.
@@ -105,7 +105,7 @@
     Replica& replica = *nodes_[node];
     replica.now = now;
     const std::string id = std::to_string(++requests_);
-    auto sends = all<Send>(replica.request(id));
+    auto sends = actions_of_type<Send>(replica.request(id));
     for (int attempt = 0; !sends.empty(); ++attempt) {
       const std::string address = sends[0].server;
       if (address == "s0") sent_.push_back(now);
@@ -114,7 +114,7 @@
       const Outcome outcome = !is_failing       ? Outcome::kSuccess
                               : number % 2 == 0 ? Outcome::kError
                                                 : Outcome::kRejected;
-      sends = all<Send>(replica.end(id, outcome, attempt, 0.05));
+      sends = actions_of_type<Send>(replica.end_attempt(id, outcome, attempt, 0.05));
     }
   }
 
@@ -176,22 +176,22 @@
   for (int index = 0; index < kReplicas; ++index) {
     s.replica_index = index;
     Replica replica(s, static_cast<std::uint64_t>(index) + 1);
-    replica.at(100, endpoints(kServers));
+    replica.handle_at(100, make_endpoint_list(kServers));
     for (int i = 0; i < static_cast<int>(40 * kRate); ++i) {
       const double now = 100 + i / kRate;
       if (i == static_cast<int>(10 * kRate)) {
         EndpointUpdate restart;
         restart.form = EndpointUpdate::Form::kDelta;
-        restart.endpoints = {server(0)};
+        restart.endpoints = {make_endpoint(0)};
         restart.endpoints[0].started_at = 109;
-        replica.at(now, restart);
+        replica.handle_at(now, restart);
       }
       replica.now = now;
       const std::string id = std::to_string(i);
-      for (const Send& send : all<Send>(replica.request(id))) {
+      for (const Send& send : actions_of_type<Send>(replica.request(id))) {
         if (send.server == "s0" && now >= 110) sends.push_back(now);
       }
-      replica.end(id, Outcome::kSuccess);
+      replica.end_attempt(id, Outcome::kSuccess);
     }
   }
   const double rate_per_server = kReplicas * kRate / kServers;
@@ -211,15 +211,15 @@
   s.slow_start_window = 10;
   s.tenants = {{100.0}};
   Replica replica(s);
-  EndpointUpdate update = endpoints(4);
+  EndpointUpdate update = make_endpoint_list(4);
   for (Endpoint& endpoint : update.endpoints) endpoint.started_at = 99.5;
-  replica.at(100, update);
+  replica.handle_at(100, update);
   int sent = 0;
   for (int i = 0; i < 500; ++i) {
     replica.now = 100 + i * 0.01;
     const std::string id = std::to_string(i);
-    sent += static_cast<int>(all<Send>(replica.request(id)).size());
-    replica.end(id, Outcome::kSuccess);
+    sent += static_cast<int>(actions_of_type<Send>(replica.request(id)).size());
+    replica.end_attempt(id, Outcome::kSuccess);
   }
   EXPECT_GT(sent, 50);
   EXPECT_LT(sent, 400);
--- a/tests/policy/subset_test.cpp
+++ b/tests/policy/subset_test.cpp
@@ -37,14 +37,14 @@
       s.replica_count = replicas;
       const auto servers_used = [&](bool without_one) {
         Replica replica(s);
-        EndpointUpdate update = endpoints(24);
+        EndpointUpdate update = make_endpoint_list(24);
         if (without_one) update.endpoints.erase(update.endpoints.begin() + 5);
-        replica.at(0, update);
+        replica.handle_at(0, update);
         std::set<std::string> addresses;
         for (int i = 0; i < 400; ++i) {
           const std::string id = std::to_string(i);
-          for (const Send& send : all<Send>(replica.request(id))) addresses.insert(send.server);
-          replica.end(id, Outcome::kSuccess);
+          for (const Send& send : actions_of_type<Send>(replica.request(id))) addresses.insert(send.server);
+          replica.end_attempt(id, Outcome::kSuccess);
         }
         return addresses;
       };
@@ -66,9 +66,10 @@
     s.replica_index = index;
     s.replica_count = 2;
     Replica replica(s);
-    replica.at(0, endpoints(40));
+    replica.handle_at(0, make_endpoint_list(40));
     for (int i = 0; i < 200; ++i) {
-      for (const Send& send : all<Send>(replica.request(std::to_string(i)))) servers_used.insert(send.server);
+      for (const Send& send : actions_of_type<Send>(replica.request(std::to_string(i))))
+        servers_used.insert(send.server);
     }
   }
   EXPECT_EQ(servers_used.size(), 40U);
--- a/tests/policy/tenant_limiter_test.cpp
+++ b/tests/policy/tenant_limiter_test.cpp
@@ -38,17 +38,18 @@
   for (int i = 0; i < requests; ++i) {
     replica.now = from + i / rate;
     const std::string id = prefix + std::to_string(i);
-    if (all<Send>(replica.request(id)).empty()) continue;
+    if (actions_of_type<Send>(replica.request(id)).empty()) continue;
     ++admitted;
-    const auto after = replica.end(id, outcome);
-    for (const Send& retry : all<Send>(after)) replica.end(retry.id, Outcome::kSuccess, 1);
+    const auto after = replica.end_attempt(id, outcome);
+    for (const Send& retry : actions_of_type<Send>(after))
+      replica.end_attempt(retry.id, Outcome::kSuccess, 1);
   }
   return admitted;
 }
 
 TEST(TenantLimiter, AdmitsEveryRequestBelowTheLimit) {
   Replica replica(settings_with_quota(100));
-  replica.at(0, endpoints(4));
+  replica.handle_at(0, make_endpoint_list(4));
   EXPECT_EQ(send_requests(replica, 0, 10, 50, "a"), 500);
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).suppression_factor, 0);
 }
@@ -57,7 +58,7 @@
   Settings s = settings_with_quota(10);
   s.over_quota_weight = 0;  // keeps the limit at its initial value
   Replica replica(s);
-  replica.at(0, endpoints(4));
+  replica.handle_at(0, make_endpoint_list(4));
   const double limit = replica.balancer.tenant(0, 0).rate_limit;
   const int admitted = send_requests(replica, 0, 8, 4 * limit, "a");
   const TenantLimitView view = replica.balancer.tenant(replica.now, 0);
@@ -72,7 +73,7 @@
 TEST(TenantLimiter, DoesNotLowerTheLimitOnServerErrors) {
   for (const Outcome outcome : {Outcome::kError, Outcome::kUnknown, Outcome::kReset}) {
     Replica replica(settings_with_quota(10));
-    replica.at(0, endpoints(4));
+    replica.handle_at(0, make_endpoint_list(4));
     const double limit = replica.balancer.tenant(0, 0).rate_limit;
     send_requests(replica, 0, 4, 5, "a", outcome);
     EXPECT_GE(replica.balancer.tenant(replica.now, 0).rate_limit, limit);
@@ -81,7 +82,7 @@
 
 TEST(TenantLimiter, NeverLowersTheLimitBelowTheQuota) {
   Replica replica(settings_with_quota(10));
-  replica.at(0, endpoints(4));
+  replica.handle_at(0, make_endpoint_list(4));
   send_requests(replica, 0, 20, 9, "a", Outcome::kRejected);
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).rate_limit, 10);
 }
@@ -92,12 +93,12 @@
   s.tenants = {{2.0}, {2.0}};
   s.over_quota_weight = 0.05;
   Replica replica(s);
-  replica.at(0, endpoints(6));
+  replica.handle_at(0, make_endpoint_list(6));
   replica.now = 300;  // the initial limit has decayed
   const auto sent = [&](const std::string& prefix, std::size_t tenant, int requests) {
     std::size_t sent_count = 0;
     for (int i = 0; i < requests; ++i)
-      sent_count += all<Send>(replica.request(prefix + std::to_string(i), tenant)).size();
+      sent_count += actions_of_type<Send>(replica.request(prefix + std::to_string(i), tenant)).size();
     return sent_count;
   };
   EXPECT_GT(sent("flood", 0, 60), 8U) << "more than its quota for the window";
@@ -107,13 +108,13 @@
 
 TEST(TenantLimiter, DeniesEveryRequestAtTheHardLimit) {
   Replica replica(settings_with_quota(10));
-  replica.at(0, endpoints(4));
+  replica.handle_at(0, make_endpoint_list(4));
   const double limit = replica.balancer.tenant(0, 0).rate_limit;
   const double flood = 400 * limit;
   int late_admissions = 0;
   for (int i = 0; i < static_cast<int>(flood); ++i) {
     replica.now = i / flood;
-    const bool sent = !all<Send>(replica.request("r" + std::to_string(i))).empty();
+    const bool sent = !actions_of_type<Send>(replica.request("r" + std::to_string(i))).empty();
     if (i > flood * 0.9 && sent) ++late_admissions;
   }
   EXPECT_EQ(late_admissions, 0);
@@ -122,7 +123,7 @@
 
 TEST(TenantLimiter, ForgetsRequestsOlderThanTheWindow) {
   Replica replica(settings_with_quota(10));
-  replica.at(0, endpoints(4));
+  replica.handle_at(0, make_endpoint_list(4));
   for (int i = 0; i < 500; ++i) replica.request("r" + std::to_string(i));
   EXPECT_GT(replica.balancer.tenant(0, 0).suppression_factor, 0.5);
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(3.85, 0).total, 500);
@@ -136,7 +137,7 @@
   Settings s = settings_with_quota(100);
   s.over_quota_weight = 0;
   Replica replica(s);
-  replica.at(0, endpoints(4));
+  replica.handle_at(0, make_endpoint_list(4));
   const double limit = replica.balancer.tenant(0, 0).rate_limit;
   const int soft_limit = static_cast<int>(std::ceil(4 * limit));  // over the window of 4 s
   const auto send_burst = [&](double time, int requests, const std::string& prefix) {
@@ -144,9 +145,9 @@
     for (int i = 0; i < requests; ++i) {
       replica.now = time;
       const std::string id = prefix + std::to_string(i);
-      if (all<Send>(replica.request(id)).empty()) continue;
+      if (actions_of_type<Send>(replica.request(id)).empty()) continue;
       ++admitted;
-      replica.end(id, Outcome::kSuccess);
+      replica.end_attempt(id, Outcome::kSuccess);
     }
     return admitted;
   };
@@ -160,14 +161,15 @@
 
 TEST(TenantLimiter, RejectsDeniedRequestsUnsent) {
   Replica replica(settings_with_quota(10));
-  replica.at(0, endpoints(4));
+  replica.handle_at(0, make_endpoint_list(4));
   int rejected = 0;
   for (int i = 0; i < 900; ++i) {
     replica.now = 0.001 * i;
     const auto actions = replica.request("r" + std::to_string(i));
-    EXPECT_EQ(all<Reject>(actions).size() + all<Send>(actions).size(), 1U);
-    rejected += static_cast<int>(all<Reject>(actions).size());
-    if (!all<Send>(actions).empty()) replica.end("r" + std::to_string(i), Outcome::kSuccess);
+    EXPECT_EQ(actions_of_type<Reject>(actions).size() + actions_of_type<Send>(actions).size(), 1U);
+    rejected += static_cast<int>(actions_of_type<Reject>(actions).size());
+    if (!actions_of_type<Send>(actions).empty())
+      replica.end_attempt("r" + std::to_string(i), Outcome::kSuccess);
   }
   EXPECT_GT(rejected, 300);
   EXPECT_EQ(replica.balancer.tenant(replica.now, 0).denied, rejected);
@@ -178,7 +180,7 @@
   Replica replica(settings_with_quota(10));  // without servers, all requests are rejected
   double min_retry_after = 9, max_retry_after = 0, sum = 0;
   for (int i = 0; i < 1000; ++i) {
-    const auto rejections = all<Reject>(replica.request("r" + std::to_string(i)));
+    const auto rejections = actions_of_type<Reject>(replica.request("r" + std::to_string(i)));
     ASSERT_EQ(rejections.size(), 1U);
     min_retry_after = std::min(min_retry_after, rejections[0].retry_after);
     max_retry_after = std::max(max_retry_after, rejections[0].retry_after);
@@ -191,12 +193,13 @@
   Settings s = basic_settings();
   s.max_retry_after = 0;
   Replica no_retry_after(s);
-  EXPECT_EQ(all<Reject>(no_retry_after.request("r"))[0].retry_after, 0) << "clients honor no Retry-After";
+  EXPECT_EQ(actions_of_type<Reject>(no_retry_after.request("r"))[0].retry_after, 0)
+      << "clients honor no Retry-After";
 }
 
 TEST(TenantLimiter, RaisesTheLimitWhileRequestsFinishInTime) {
   Replica replica(settings_with_quota(10));
-  replica.at(0, endpoints(4));
+  replica.handle_at(0, make_endpoint_list(4));
   const double before = replica.balancer.tenant(0, 0).rate_limit;
   send_requests(replica, 0, 10, before * 0.9, "a");
   EXPECT_GT(replica.balancer.tenant(replica.now, 0).rate_limit, before);
@@ -205,7 +208,7 @@
 
 TEST(TenantLimiter, LowersTheLimitOnOverloadDownToAMinimum) {
   Replica replica(settings_with_quota(100));
-  replica.at(0, endpoints(4));
+  replica.handle_at(0, make_endpoint_list(4));
   send_requests(replica, 0, 40, 120, "up");
   const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
   ASSERT_GT(before, 130);
@@ -220,7 +223,7 @@
 // new one.
 TEST(TenantLimiter, LowersTheLimitOnlyInPartWithinASecond) {
   Replica replica(settings_with_quota(100));
-  replica.at(0, endpoints(4));
+  replica.handle_at(0, make_endpoint_list(4));
   const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
   send_requests(replica, 0, 1, before, "a", Outcome::kRejected);
   const double after = replica.balancer.tenant(replica.now, 0).rate_limit;
@@ -231,12 +234,13 @@
 // If all requests slow down together, lowering all tenants to the minimum limit would leave servers idle.
 TEST(TenantLimiter, KeepsTheLimitOnSlowResponses) {
   Replica replica(settings_with_quota(100));
-  replica.at(0, endpoints(4));
+  replica.handle_at(0, make_endpoint_list(4));
   const double before = replica.balancer.tenant(0, 0).rate_limit;
   for (int i = 0; i < 500; ++i) {
     replica.now = i * 0.01;
     const std::string id = std::to_string(i);
-    if (!all<Send>(replica.request(id)).empty()) replica.end(id, Outcome::kSuccess, 0, 1.8);
+    if (!actions_of_type<Send>(replica.request(id)).empty())
+      replica.end_attempt(id, Outcome::kSuccess, 0, 1.8);
   }
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).rate_limit, before);
 }
