--- a/node/client_session.cpp
+++ b/node/client_session.cpp
@@ -93,7 +93,7 @@
   const bool was_waiting = state_ == State::kWaiting;
   state_ = State::kClosed;
   if (context_ != nullptr) context_->sessions.remove_idle(*this);
-  halt(timer_);
+  cancel_timer(timer_);
   error_code ignored;
   socket_.close(ignored);
   SessionContext* context = std::exchange(context_, nullptr);
@@ -123,7 +123,7 @@
 }
 
 void ClientSession::set_timeout(double seconds) {
-  timer_.expires_after(Clock::span(seconds));
+  timer_.expires_after(Clock::to_duration(seconds));
   timer_.async_wait([self = shared_from_this()](error_code cancelled) {
     if (!cancelled && Clock::Steady::now() >= self->timer_.expiry()) {
       self->run_guarded([&] { self->on_timeout(); });
@@ -269,12 +269,12 @@
   // was suspended or while the connection was in the listen queue, and the client may have disconnected
   // since.
   const SocketArrival arrival = read_socket_arrival(socket_.native_handle());
-  const bool may_have_closed = !arrival.known || arrival.age >= kLateRead || reader_.buffered() > 0;
+  const bool may_have_closed = !arrival.known || arrival.age >= kLateReadThreshold || reader_.buffered() > 0;
   if (may_have_closed && !read_available()) {
     return reader_.is_peer_closed() ? close(SessionEnd::kClientClosed) : shed();
   }
   // The dispatcher's deadline margin covers shorter delays.
-  event.time_left -= std::max(0.0, arrival.age - kLateRead);
+  event.time_left -= std::max(0.0, arrival.age - kLateReadThreshold);
   dispatch(std::move(event), std::move(request));
 }
 
@@ -296,7 +296,7 @@
 void ClientSession::begin_waiting() {
   state_ = State::kWaiting;
   context_->sessions.remove_idle(*this);
-  halt(timer_);
+  cancel_timer(timer_);
 }
 
 // Dispatcher::submit() may throw halfway when out of memory; the client gets a response in any case.
--- a/node/discovery_connection.cpp
+++ b/node/discovery_connection.cpp
@@ -86,7 +86,7 @@
 
 void DiscoveryConnection::close() {
   error_code ignored;
-  halt(timer_);
+  cancel_timer(timer_);
   socket_.close(ignored);
 }
 
@@ -107,14 +107,14 @@
     if (error) event.with("error", error.message());
   }
   WatchFailure failure;
-  failure.was_open = has_response_;
+  failure.had_responded = has_response_;
   // A connection that was never established has not waited in discovery's queue.
-  if (is_request_sent_ && !has_response_) failure.waited = seconds_since(request_sent_at_);
+  if (is_request_sent_ && !has_response_) failure.wait_time = seconds_since(request_sent_at_);
   owner->on_ended(*this, {reason, error, failure, last_received_at_});
 }
 
 void DiscoveryConnection::restart_timer(double seconds) {
-  timer_.expires_after(Clock::span(seconds));
+  timer_.expires_after(Clock::to_duration(seconds));
   timer_.async_wait([self = shared_from_this()](error_code cancelled) {
     if (!cancelled) self->on_timer();
   });
--- a/node/dispatcher.cpp
+++ b/node/dispatcher.cpp
@@ -60,7 +60,7 @@
   post_event(Started{});
   if (uses_watch_) return;
   is_awaiting_first_list_ = true;
-  const auto timer = std::make_shared<asio::steady_timer>(io_, Clock::span(kFirstListTimeout));
+  const auto timer = std::make_shared<asio::steady_timer>(io_, Clock::to_duration(kFirstListTimeout));
   timer->async_wait([this, timer](error_code cancelled) {
     if (!cancelled) on_first_list();
   });
@@ -122,7 +122,7 @@
   requests_.respond(*request, {was_sent ? FinalResponse::Kind::kFailed : FinalResponse::Kind::kRejected,
                                was_sent ? 0 : default_retry_after_,
                                {}});
-  requests_.withdraw_attempts(*request);
+  requests_.cancel_unsent_attempts(*request);
   post_event(RequestAbandoned{id});
   requests_.remove_if_complete(id);
 }
@@ -181,7 +181,7 @@
 }
 
 void Dispatcher::on_discovery_moved() {
-  post_event(EndpointListFreshness{EndpointListFreshness::State::kMoved});
+  post_event(EndpointListFreshness{EndpointListFreshness::State::kDiscoveryMoved});
 }
 
 void Dispatcher::on_watch_failed(const WatchFailure& failure) {
@@ -189,7 +189,7 @@
   if (uses_watch_) return;
   // If lists are pushed, the balancer never requests a watch, so the node reconnects by itself.
   const double backoff = kPushReconnectBackoff * std::uniform_real_distribution<>(0.5, 1.5)(jitter_);
-  const auto timer = std::make_shared<asio::steady_timer>(io_, Clock::span(backoff));
+  const auto timer = std::make_shared<asio::steady_timer>(io_, Clock::to_duration(backoff));
   timer->async_wait([this, timer](error_code cancelled) {
     if (!cancelled) endpoint_watch_.watch();
   });
@@ -240,7 +240,8 @@
   if (pending != nullptr && !pending->has_open_attempt()) perform(Fail{new_request->id});
 }
 
-void Dispatcher::on_attempt_ended(const std::string& id, int attempt, double sent_at, Upstream::End&& end) {
+void Dispatcher::on_attempt_ended(const std::string& id, int attempt, double sent_at,
+                                  Upstream::Result&& end) {
   PendingRequest* const request = requests_.find(id);
   if (request == nullptr) return;
   request->is_attempt_open[static_cast<std::size_t>(attempt)] = false;
@@ -262,7 +263,7 @@
   event.attempt = attempt;
   event.outcome = end.outcome;
   // Excludes the time that a complete response stayed unread while this process was paused.
-  event.elapsed = std::max(0.0, clock_.now() - sent_at - end.unread);
+  event.elapsed = std::max(0.0, clock_.now() - sent_at - end.unread_time);
   event.request_complete = request->is_answered();
   post_event(std::move(event));
   requests_.remove_if_complete(id);
@@ -288,7 +289,7 @@
   request->attempts.push_back(upstream_.start(action.server, request->message, {timeout, send_by},
                                               request->is_retryable,
                                               {[this, id = action.id] { return may_send(id); },
-                                               [this, id = action.id, attempt, now](Upstream::End&& end) {
+                                               [this, id = action.id, attempt, now](Upstream::Result&& end) {
                                                  on_attempt_ended(id, attempt, now, std::move(end));
                                                }}));
 }
@@ -300,7 +301,7 @@
   refresh_list(now);
   const PendingRequest* const request = requests_.find_unanswered(id);
   if (request == nullptr) return false;
-  if (now - request->received_at < kLateRead) return true;
+  if (now - request->received_at < kLateReadThreshold) return true;
   const auto is_client_waiting = request->is_client_waiting;
   return (*is_client_waiting)();
 }
@@ -338,7 +339,7 @@
 }
 
 void Dispatcher::perform(const SetTimer& action) {
-  const auto timer = std::make_shared<asio::steady_timer>(io_, clock_.at(action.at));
+  const auto timer = std::make_shared<asio::steady_timer>(io_, clock_.to_time_point(action.at));
   timer->async_wait([this, timer, token = action.token](error_code cancelled) {
     if (!cancelled) post_event(TimerFired{token});
   });
--- a/node/upstream_attempt.cpp
+++ b/node/upstream_attempt.cpp
@@ -67,8 +67,8 @@
   request_ = request;
   is_retryable_ = is_retryable;
   const Clock::Steady::time_point now = Clock::Steady::now();
-  deadline_ = now + Clock::span(timeouts.timeout);
-  send_by_ = now + Clock::span(std::min(timeouts.timeout, timeouts.send_timeout));
+  deadline_ = now + Clock::to_duration(timeouts.timeout);
+  send_by_ = now + Clock::to_duration(std::min(timeouts.timeout, timeouts.send_timeout));
   arm_timer();
   pool_->assign_connection(shared_from_this());
 }
@@ -98,7 +98,7 @@
   if (pool_) arm_timer();
 }
 
-void UpstreamAttempt::withdraw() {
+void UpstreamAttempt::cancel_if_unsent() {
   if (!is_sent_) finish_later(Outcome::kNotSent);
 }
 
@@ -249,7 +249,7 @@
 
 void UpstreamAttempt::finish(Outcome outcome, ConnectionReuse reuse) {
   if (std::exchange(state_, State::kEnded) == State::kEnded) return;
-  halt(timer_);
+  cancel_timer(timer_);
   record_idle_lifetime(outcome);
   if (pool_) {
     pool_->remove_waiting(shared_from_this());
@@ -258,7 +258,7 @@
   UpstreamAttemptResult result;
   result.outcome = outcome;
   if (const std::shared_ptr<UpstreamConnection> connection = std::exchange(connection_, nullptr)) {
-    result.unread = free_connection(connection, reuse);
+    result.unread_time = free_connection(connection, reuse);
   }
   if (outcome == Outcome::kSuccess) result.response = parser_->release();
   const AttemptCallbacks callbacks = std::move(callbacks_);
@@ -279,11 +279,11 @@
   const bool is_complete = parser_ && parser_->is_done();
   // A quick response cannot have been unread for long, which saves most attempts the system call.
   double age = 0;
-  if (to_seconds(now - write_started_at_) >= kLateRead && is_complete) {
+  if (to_seconds(now - write_started_at_) >= kLateReadThreshold && is_complete) {
     age = read_socket_arrival(connection->socket.native_handle()).age;
   }
   if (reuse == ConnectionReuse::kReuse) {
-    pool_->release(connection, now - Clock::span(age));
+    pool_->release(connection, now - Clock::to_duration(age));
   } else {
     pool_->close(connection, CloseReason::kNotReusable);
   }
--- a/tests/node/drain_test.cpp
+++ b/tests/node/drain_test.cpp
@@ -15,7 +15,7 @@
 TEST(Drain, AcceptedRequestsAreAnsweredBeforeTheKill) {
   for (const char* cancel : {"true", "false"}) {
     FakeServer hanging_server([](RawConnection&, const std::string&) { return true; });
-    ConfigText config;
+    NodeConfig config;
     config.bounds = std::string(R"("cancel":)") + cancel +
                     R"(,"maxAttempts":3,"maxRetryAfter":2.0,"retryAfter":true,"secondCopies":true,)"
                     R"("dialTimeout":0.5,"idleClose":60.0)";
@@ -38,15 +38,15 @@
 
 // The connection to the server is never established.
 TEST(Drain, RequestsWaitingForAConnectionAreAnsweredBeforeTheKill) {
-  FullListener full;
-  full.fill();
+  ManualAcceptListener full;
+  full.fill_accept_queue();
   FakeDiscovery discovery;
-  ConfigText config;
+  NodeConfig config;
   config.bounds = R"("cancel":true,"maxAttempts":1,"maxRetryAfter":2.0,"retryAfter":true,)"
                   R"("secondCopies":true,"dialTimeout":12.0,"idleClose":60.0)";
   config.known = endpoint_list_json(7, true, endpoint_json("s0", full.address()));
   config.discovery = discovery.address();
-  Program program(config.text());
+  NodeProcess program(config.text());
   RawConnection client = RawConnection::connect_to(program.port());
   client.write(ClientRequest{}.text());
   ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }));
@@ -60,7 +60,7 @@
 // With a client timeout of 0.5 s, the kill comes 0.7 s after it.
 TEST(Drain, FollowsTheLongestClientTimeout) {
   FakeServer hanging_server([](RawConnection&, const std::string&) { return true; });
-  ConfigText config;
+  NodeConfig config;
   config.categories = R"({"name":"close","aim":0.2,"giveUp":0.5,"effect":"unsafe","lateWorth":0.5})";
   Deployment d({&hanging_server}, config);
   RawConnection client = d.client(), idle = d.client();
@@ -77,7 +77,7 @@
 // Clients may send on any open connection, so a session whose response is still being written when idle
 // connections are closed must close once it is complete.
 TEST(Drain, ResponseThatEndsAfterIdleConnectionsWereClosedEndsItsConnection) {
-  FakeServer server(replies(200, std::string(std::size_t{1} << 20, 'a')));
+  FakeServer server(respond_with(200, std::string(std::size_t{1} << 20, 'a')));
   Deployment d({&server});
   RawConnection slow = d.client(true), idle = d.client();
   idle.write("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -101,7 +101,7 @@
   GTEST_SKIP()
       << "the sanitizer's vptr check opens a pipe, which needs descriptors; see the Descriptors tests";
 #endif
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   RawConnection known = d.client();
   known.write(ClientRequest{.id = "known"}.text());
@@ -142,28 +142,28 @@
   // All signals are pending before the node handles the first one.
   d.program->signal(SIGSTOP);
   ASSERT_TRUE(eventually([&] { return d.program->state() == 'T'; }));
-  ConfigText config = d.config;
+  NodeConfig config = d.config;
   config.discovery = new_discovery.address();
   d.program->reload(config.text());
   for (const int number : {SIGTERM, SIGINT}) d.program->signal(number);
   d.program->signal(SIGCONT);
-  ASSERT_TRUE(eventually([&] { return new_discovery.calls().size() == 1; }));
+  ASSERT_TRUE(eventually([&] { return new_discovery.requests().size() == 1; }));
   d.program->signal(SIGTERM);
   d.program->reload("{}");
-  ASSERT_TRUE(eventually([&] { return d.program->logged("event=reload_failed") == 1; }));
+  ASSERT_TRUE(eventually([&] { return d.program->count_in_log("event=reload_failed") == 1; }));
   gate.open();
   EXPECT_EQ(status_of(client.read_message()), 200);
   EXPECT_EQ(d.program->exit_status(), 0);
 }
 
 TEST(Drain, SignalsDuringStartupEndTheNodeCleanly) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   for (int i = 0; i < 5; ++i) {
     FakeDiscovery discovery;
-    ConfigText config;
+    NodeConfig config;
     config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
     config.discovery = discovery.address();
-    Program program(config.text());
+    NodeProcess program(config.text());
     program.signal(SIGTERM);
     program.signal(SIGHUP);
     EXPECT_EQ(program.exit_status(), 0);
--- a/tests/node/handover_test.cpp
+++ b/tests/node/handover_test.cpp
@@ -23,7 +23,7 @@
     closed_at = std::chrono::steady_clock::now();
     return false;
   });
-  ConfigText config;
+  NodeConfig config;
   config.bounds = R"("cancel":true,"maxAttempts":3,"maxRetryAfter":2.0,"retryAfter":true,)"
                   R"("secondCopies":true,"dialTimeout":0.5,"idleClose":3.0)";
   Deployment d({&server}, config);
@@ -52,10 +52,10 @@
   FakeServer first([&](RawConnection& connection, const std::string&) {
     return gate.wait() && connection.write(http_response(500, ""));
   });
-  FakeServer other(replies(200, "ok"));
-  FullListener full;
-  full.fill();
-  ConfigText config;
+  FakeServer other(respond_with(200, "ok"));
+  ManualAcceptListener full;
+  full.fill_accept_queue();
+  NodeConfig config;
   config.bounds = R"("cancel":true,"maxAttempts":3,"maxRetryAfter":2.0,"retryAfter":true,)"
                   R"("secondCopies":true,"dialTimeout":12.0,"idleClose":60.0)";
   config.categories =
@@ -80,7 +80,7 @@
   // The node has applied the endpoint update once it has closed its connections to the removed server.
   d.discovery.push(endpoint_list_json(
       8, false, endpoint_json("s2", full.address()) + "," + endpoint_json("s1", other.address(), "removed")));
-  ASSERT_TRUE(eventually([&] { return other.listener().open() == 0; }));
+  ASSERT_TRUE(eventually([&] { return other.listener().open_connections() == 0; }));
   gate.open();
   ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }))
       << "a retry within the window is allowed";
@@ -100,15 +100,15 @@
 // X-Timeout-Ms is computed when the request is written, not when its server was chosen: the connect takes a
 // second.
 TEST(ForwardedTimeout, ExcludesTheTimeOfTheConnect) {
-  FullListener full;
-  full.fill();
+  ManualAcceptListener full;
+  full.fill_accept_queue();
   FakeDiscovery discovery;
-  ConfigText config;
+  NodeConfig config;
   config.bounds = R"("cancel":true,"maxAttempts":1,"maxRetryAfter":2.0,"retryAfter":true,)"
                   R"("secondCopies":true,"dialTimeout":12.0,"idleClose":60.0)";
   config.known = endpoint_list_json(7, true, endpoint_json("s0", full.address()));
   config.discovery = discovery.address();
-  Program program(config.text());
+  NodeProcess program(config.text());
   RawConnection client = RawConnection::connect_to(program.port());
   const auto start = std::chrono::steady_clock::now();
   client.write(ClientRequest{.id = "late", .timeout = "9000"}.text());
@@ -118,17 +118,17 @@
   const std::string request = server.read_message();
   const double elapsed = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
   ASSERT_FALSE(request.empty());
-  EXPECT_LE(std::stoi(field_of(request, "X-Timeout-Ms")), 9000 - 1000 + 150) << elapsed;
-  EXPECT_GT(std::stoi(field_of(request, "X-Timeout-Ms")), 1000);
+  EXPECT_LE(std::stoi(header_of(request, "X-Timeout-Ms")), 9000 - 1000 + 150) << elapsed;
+  EXPECT_GT(std::stoi(header_of(request, "X-Timeout-Ms")), 1000);
 }
 
 TEST(ForwardedTimeout, OfARetryExcludesTheFirstAttempt) {
   std::mutex mutex;
   std::vector<int> timeouts_ms;
-  const FakeServer::Reply reject = [&](RawConnection& connection, const std::string& request) {
+  const FakeServer::Handler reject = [&](RawConnection& connection, const std::string& request) {
     {
       const std::lock_guard lock(mutex);
-      timeouts_ms.push_back(std::stoi(field_of(request, "X-Timeout-Ms")));
+      timeouts_ms.push_back(std::stoi(header_of(request, "X-Timeout-Ms")));
     }
     sleep_for(1000ms);
     return connection.write(http_response(503, "", "X-Not-Processed: 1\r\n"));
@@ -151,13 +151,13 @@
 class PartlyWrittenRequest : public testing::TestWithParam<const char*> {};
 
 TEST_P(PartlyWrittenRequest, IsRetriedOnAnotherServerOnceItsServerIsUnusable) {
-  FullListener listener(true);
-  FakeServer other(replies(200, "other"));
+  ManualAcceptListener listener(true);
+  FakeServer other(respond_with(200, "other"));
   FakeDiscovery discovery;
-  ConfigText config;
+  NodeConfig config;
   config.known = endpoint_list_json(7, true, endpoint_json("s0", listener.address()));
   config.discovery = discovery.address();
-  Program program(config.text());
+  NodeProcess program(config.text());
   RawConnection client = RawConnection::connect_to(program.port());
   const std::string body(64 * 1024, 'b');
   client.write(ClientRequest{.id = "half", .body = body}.text());
@@ -172,7 +172,7 @@
   EXPECT_EQ(status_of(response), 200);
   EXPECT_EQ(body_of(response), "other");
   const std::string received = server.read_until_close();
-  EXPECT_EQ(field_of(received, "X-Request-ID"), "half") << received.substr(0, 200);
+  EXPECT_EQ(header_of(received, "X-Request-ID"), "half") << received.substr(0, 200);
   EXPECT_LT(body_of(received).size(), body.size())
       << "the last byte of the request was sent to a server that accepts no requests";
 }
--- a/tests/node/pause_test.cpp
+++ b/tests/node/pause_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Suspends the process and waits until the signal has taken effect.
-void suspend(const Program& program) {
+void suspend(const NodeProcess& program) {
   program.signal(SIGSTOP);
   ASSERT_TRUE(eventually([&] { return program.state() == 'T'; }));
 }
@@ -18,7 +18,7 @@
 int count_requests(FakeServer& server, const std::string& prefix) {
   int out = 0;
   for (const std::string& request : server.requests())
-    out += field_of(request, "X-Request-ID").starts_with(prefix) ? 1 : 0;
+    out += header_of(request, "X-Request-ID").starts_with(prefix) ? 1 : 0;
   return out;
 }
 
@@ -30,7 +30,7 @@
 }
 
 TEST(PausedNode, ForwardsNothingForClientsThatLeftTheListenersQueue) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   request_and_wait(d, "before");
   suspend(*d.program);
@@ -49,7 +49,7 @@
 
 // On open connections and before the timeout, only the FIN shows that the clients have disconnected.
 TEST(PausedNode, ForwardsNothingForClientsThatClosedBeforeTheirTimeout) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   std::vector<RawConnection> clients;
   for (int i = 0; i < 20; ++i) {
@@ -71,7 +71,7 @@
 
 // The timeout counts from the arrival of the request's last byte.
 TEST(PausedNode, ShedsExpiredRequestsAndForwardsTheRemainingTimeout) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   request_and_wait(d, "before");
   suspend(*d.program);
@@ -85,14 +85,14 @@
   EXPECT_EQ(status_of(unexpired.read_message()), 200);
   EXPECT_EQ(count_requests(server, "expired"), 0);
   const std::vector<std::string> requests = server.requests();
-  const int remaining_ms = std::stoi(field_of(requests.back(), "X-Timeout-Ms"));
+  const int remaining_ms = std::stoi(header_of(requests.back(), "X-Timeout-Ms"));
   EXPECT_LE(remaining_ms, 7500) << "1.5 s of the timeout of 9 s have passed";
   EXPECT_GT(remaining_ms, 3000);
 }
 
 // Data that arrived before a timeout expired takes precedence over the timeout.
 TEST(PausedNode, ServesAFirstRequestThatArrivedInTimeButWasReadLate) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   RawConnection client = d.client();
   request_and_wait(d, "before");  // by then the first connection has been accepted too
@@ -105,9 +105,9 @@
 
 // The endpoint update is unread in the socket of the watch, and client requests may be read before it.
 TEST(PausedNode, ReadsTheEndpointListBeforeItForwards) {
-  FakeServer drained(replies(200, "drained")), other(replies(200, "other"));
+  FakeServer drained(respond_with(200, "drained")), other(respond_with(200, "other"));
   Deployment d({&drained, &other});
-  ASSERT_TRUE(eventually([&] { return !d.discovery.calls().empty(); }));
+  ASSERT_TRUE(eventually([&] { return !d.discovery.requests().empty(); }));
   std::vector<RawConnection> clients;
   for (int i = 0; i < 40; ++i) {
     clients.push_back(d.client());
@@ -131,15 +131,15 @@
 }
 
 TEST(PausedNode, ChecksTheClientBeforeItWritesToANewConnection) {
-  FullListener full;
-  full.fill();
+  ManualAcceptListener full;
+  full.fill_accept_queue();
   FakeDiscovery discovery;
-  ConfigText config;
+  NodeConfig config;
   config.bounds = R"("cancel":true,"maxAttempts":1,"maxRetryAfter":2.0,"retryAfter":true,)"
                   R"("secondCopies":true,"dialTimeout":12.0,"idleClose":60.0)";
   config.known = endpoint_list_json(7, true, endpoint_json("s0", full.address()));
   config.discovery = discovery.address();
-  Program program(config.text());
+  NodeProcess program(config.text());
   RawConnection client = RawConnection::connect_to(program.port());
   client.write(ClientRequest{.id = "late"}.text());
   ASSERT_TRUE(eventually([&] { return full.pending_connects() > 0; }));
@@ -155,7 +155,7 @@
 
 // The time for which a response was unread is not part of the server's response time.
 TEST(StarvedLoop, MeasuresAResponseUntilItsArrival) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   boost::asio::io_context io(1);
   MemoryBudget budget;
   budget.set_limit(1 << 20);
@@ -168,9 +168,9 @@
   request->target("/close/k");
   request->set("X-Request-ID", "r");
   request->prepare_payload();
-  std::optional<Upstream::End> end;
+  std::optional<Upstream::Result> end;
   const Upstream::Handle attempt = upstream.start(
-      "s0", request, {10}, true, {[] { return true; }, [&](Upstream::End&& e) { end = std::move(e); }});
+      "s0", request, {10}, true, {[] { return true; }, [&](Upstream::Result&& e) { end = std::move(e); }});
   // Runs the loop until the request is sent, and not after that.
   while (server.requests().empty()) io.run_one_for(2ms);
   EXPECT_FALSE(end);
@@ -180,13 +180,13 @@
     return end.has_value();
   }));
   EXPECT_EQ(end->outcome, Outcome::kSuccess);
-  EXPECT_GT(end->unread, 0.3);
-  EXPECT_LT(end->unread, 10);
+  EXPECT_GT(end->unread_time, 0.3);
+  EXPECT_LT(end->unread_time, 10);
 }
 
 // Whether a request may be sent is checked again once the connection is established.
 TEST(StarvedLoop, ChecksPermissionAndDeadlineBeforeSending) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   boost::asio::io_context io(1);
   MemoryBudget budget;
   budget.set_limit(1 << 20);
@@ -200,7 +200,7 @@
     const std::size_t before = ends.size();
     const Upstream::Handle attempt =
         upstream.start("s0", request, {timeout}, true,
-                       {std::move(may_send), [&](Upstream::End&& e) { ends.push_back(e.outcome); }});
+                       {std::move(may_send), [&](Upstream::Result&& e) { ends.push_back(e.outcome); }});
     sleep_for(30ms);
     io.restart();
     ASSERT_TRUE(eventually([&] {
@@ -228,7 +228,7 @@
 
 // The node gets short slices of CPU time between suspensions.
 TEST(StarvedNode, ForwardsNothingForClientsThatDisconnected) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   request_and_wait(d, "before");
   for (int round = 0; round < 8; ++round) {
--- a/tests/node/preconnect_test.cpp
+++ b/tests/node/preconnect_test.cpp
@@ -42,17 +42,17 @@
 
 // A closed-loop client must not be limited to one request per cool-down.
 TEST(Preconnect, ClientThatSendsItsNextRequestAtOnceGetsMoreConnections) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   RawConnection client = d.client();
   int requests = 0;
   // On a slow machine, the client rarely sends the next request within the cool-down.
-  while (requests < 5000 && server.listener().accepted() < 3) {
+  while (requests < 5000 && server.listener().accepted_connections() < 3) {
     client.write(ClientRequest{.id = "r" + std::to_string(++requests)}.text());
     ASSERT_EQ(status_of(client.read_message()), 200);
   }
-  EXPECT_GE(server.listener().accepted(), 3);
-  EXPECT_LE(server.listener().accepted(), 1 + requests / 16);
+  EXPECT_GE(server.listener().accepted_connections(), 3);
+  EXPECT_LE(server.listener().accepted_connections(), 1 + requests / 16);
 }
 
 }  // namespace
--- a/tests/node/wall_clock_test.cpp
+++ b/tests/node/wall_clock_test.cpp
@@ -97,8 +97,8 @@
 
 // A newly started server gets few requests at first, whatever the offset of the node's wall clock.
 TEST_P(WrongWallClock, LeavesANewServerWarmingUp) {
-  FakeServer warmed_up(replies(200, "ok")), warming_up(replies(200, "ok"));
-  ConfigText text;
+  FakeServer warmed_up(respond_with(200, "ok")), warming_up(respond_with(200, "ok"));
+  NodeConfig text;
   text.rules = R"("askWithin":10.0,"startCapacity":0.1,"rampTime":60.0)";
   Deployment d({&warmed_up}, text, 0, set_child_environment);
   int requests = 0;
@@ -111,7 +111,7 @@
   };
   for (int i = 0; i < 50; ++i) ASSERT_EQ(status(), 200);
   d.discovery.push(endpoint_list_json(8, false, endpoint_started_now("s1", warming_up.address())));
-  ASSERT_TRUE(eventually([&] { return status() == 200 && d.program->logged("list_received") > 0; }));
+  ASSERT_TRUE(eventually([&] { return status() == 200 && d.program->count_in_log("list_received") > 0; }));
   const std::size_t before = warmed_up.requests().size();
   for (int i = 0; i < 200; ++i) EXPECT_EQ(status(), 200);
   const std::size_t to_warmed_up = warmed_up.requests().size() - before;
@@ -127,13 +127,13 @@
   RawConnection client = d.client();
   client.write(ClientRequest{.id = "waits", .timeout = "1500"}.text());
   ASSERT_TRUE(eventually([&] { return hanging_server.requests().size() == 1; }));
-  const auto start = Steady::now();
+  const auto start = SteadyClock::now();
   step(GetParam());
   EXPECT_EQ(status_of(client.read_message()), 502);
   EXPECT_GT(seconds_since(start), 1.0);
   EXPECT_LT(seconds_since(start), 3.0);
   step(-GetParam());
-  const auto end = Steady::now();
+  const auto end = SteadyClock::now();
   d.program->signal(SIGTERM);
   EXPECT_EQ(d.program->exit_status(), 0);
   EXPECT_LT(seconds_since(end), 4.5);
--- a/tests/node/watch_test.cpp
+++ b/tests/node/watch_test.cpp
@@ -22,8 +22,8 @@
 
 // Objects may be indented, with blank lines before, between and after them.
 TEST(EndpointLists, AcceptIndentedObjectsSplitOverChunks) {
-  FakeServer server(replies(200, "ok"));
-  Deployment d({}, ConfigText{.known = endpoint_list_json(1, true, "")});
+  FakeServer server(respond_with(200, "ok"));
+  Deployment d({}, NodeConfig{.known = endpoint_list_json(1, true, "")});
   const std::string unusual_entry =
       R"({"name":"a}\"{[\\","address":"127.0.0.1:9","status":"draining","note":{"x":[1,{}]}})";
   const std::string objects =
@@ -31,19 +31,19 @@
       indented(endpoint_list_json(8, true, unusual_entry + "," + endpoint_json("s0", server.address()))) +
       "\n\n" + indented(endpoint_list_json(9, false, endpoint_json("s1", server.address(), "draining")));
   for (std::size_t offset = 0; offset < objects.size(); offset += 7)
-    ASSERT_TRUE(d.discovery.push_bytes(chunk(objects.substr(offset, 7))));
+    ASSERT_TRUE(d.discovery.push_bytes(http_chunk(objects.substr(offset, 7))));
   RequestSender requests(*d.program);
   EXPECT_TRUE(eventually([&] { return requests.status() == 200; }));
-  ASSERT_TRUE(d.discovery.push_bytes(chunk(
+  ASSERT_TRUE(d.discovery.push_bytes(http_chunk(
       "\n" + indented(endpoint_list_json(10, false, endpoint_json("s0", server.address(), "draining"))))));
   EXPECT_TRUE(eventually([&] { return requests.status() == 503; }))
       << "an object is complete at its closing brace, even without a line break";
-  EXPECT_EQ(d.discovery.calls().size(), 1U) << d.program->log();
+  EXPECT_EQ(d.discovery.requests().size(), 1U) << d.program->log();
 }
 
 // If a list contains a server twice, the last entry applies.
 TEST(EndpointLists, LastEntryOfAServerWins) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   Deployment d({&server});
   RequestSender requests(*d.program);
   const std::string ready_entry = endpoint_json("s0", server.address()),
@@ -56,9 +56,9 @@
                    endpoint_list_json(11, false, draining_entry));
   EXPECT_TRUE(eventually([&] { return requests.status() == 503; }));
   d.discovery.push(endpoint_list_json(12, true, ""));
-  EXPECT_TRUE(eventually([&] { return server.listener().open() == 0; }));
+  EXPECT_TRUE(eventually([&] { return server.listener().open_connections() == 0; }));
   EXPECT_EQ(requests.status(), 503);
-  EXPECT_EQ(d.discovery.calls().size(), 1U);
+  EXPECT_EQ(d.discovery.requests().size(), 1U);
 }
 
 // A server with a malformed entry gets no new requests until a valid entry arrives. The other entries of the
@@ -69,7 +69,7 @@
       R"({"name":"s0","address":"127.0.0.1:9","status":"resting"})",
       R"({"name":"s0","address":"127.0.0.1:9","status":"up","group":"x"})"};
   for (const char* unreadable_entry : unreadable_entries) {
-    FakeServer server(replies(200, "recovered")), other_server(replies(200, "other"));
+    FakeServer server(respond_with(200, "recovered")), other_server(respond_with(200, "other"));
     Deployment d({&server, &other_server});
     RequestSender requests(*d.program);
     const std::string unnamed_entries =
@@ -78,19 +78,19 @@
                                         unreadable_entry + ("," + unnamed_entries) + "," +
                                             endpoint_json("s1", other_server.address(), "draining")));
     EXPECT_TRUE(eventually([&] { return requests.status() == 503; })) << unreadable_entry;
-    EXPECT_GE(d.program->logged("endpoints[0]: field '"), 1) << d.program->log();
+    EXPECT_GE(d.program->count_in_log("endpoints[0]: field '"), 1) << d.program->log();
     d.discovery.push(endpoint_list_json(9, false, endpoint_json("s0", server.address())));
     EXPECT_TRUE(eventually([&] { return body_of(requests.response()) == "recovered"; })) << unreadable_entry;
-    EXPECT_EQ(d.discovery.calls().size(), 1U) << "a malformed entry must not end the watch";
+    EXPECT_EQ(d.discovery.requests().size(), 1U) << "a malformed entry must not end the watch";
   }
 }
 
 // A delta that is older than the current list must not revert it, for example a drain.
 TEST(EndpointLists, OlderChangeIsIgnored) {
-  FakeServer drained_server(replies(200, "drained")), marker_server(replies(200, "marker"));
+  FakeServer drained_server(respond_with(200, "drained")), marker_server(respond_with(200, "marker"));
   Deployment d({&drained_server, &marker_server});
   d.discovery.push(endpoint_list_json(20, false, endpoint_json("s0", drained_server.address(), "draining")));
-  ASSERT_TRUE(eventually([&] { return drained_server.listener().open() == 0; }));
+  ASSERT_TRUE(eventually([&] { return drained_server.listener().open_connections() == 0; }));
   d.discovery.push(endpoint_list_json(19, false, endpoint_json("s0", drained_server.address())));
   d.discovery.push(endpoint_list_json(21, false, endpoint_json("s1", marker_server.address(), "draining")));
   // Once the last delta has been read, no server is ready.
@@ -103,45 +103,45 @@
 
 // A watch that ends within an object: the partial object is ignored and requested again.
 TEST(EndpointLists, TruncatedObjectIsRequestedAgain) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   const std::string change =
       endpoint_list_json(8, false, endpoint_json("s0", server.address(), "draining")) + "\n";
   ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
     if (call == 0) {
-      connection.write(kWatchResponseHead + chunk(change.substr(0, change.size() / 2)));
+      connection.write(kWatchResponseHead + http_chunk(change.substr(0, change.size() / 2)));
       return;
     }
-    connection.write(kWatchResponseHead + chunk(change));
+    connection.write(kWatchResponseHead + http_chunk(change));
     connection.read_until_close();
   });
   WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
   EXPECT_TRUE(eventually([&] { return node.status() == 503; }));
-  ASSERT_GE(discovery.calls().size(), 2U);
-  EXPECT_NE(discovery.calls()[1].text.find("after=7 "), std::string::npos) << discovery.calls()[1].text;
+  ASSERT_GE(discovery.requests().size(), 2U);
+  EXPECT_NE(discovery.requests()[1].text.find("after=7 "), std::string::npos) << discovery.requests()[1].text;
 }
 
 // A watch with a truncated object is replaced even if further objects or blank lines follow.
 TEST(EndpointLists, ObjectsBehindATruncatedOneAreRequestedAgain) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   for (const bool sends_more : {true, false}) {
     std::atomic<bool> is_done = false;
     const std::string draining_update =
         endpoint_list_json(8, false, endpoint_json("s0", server.address(), "draining")) + "\n";
     ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
       connection.write(kWatchResponseHead +
-                       chunk(call == 0 ? draining_update.substr(0, 40) + "\n" : draining_update));
-      if (call == 0 && sends_more) connection.write(chunk(draining_update + draining_update));
+                       http_chunk(call == 0 ? draining_update.substr(0, 40) + "\n" : draining_update));
+      if (call == 0 && sends_more) connection.write(http_chunk(draining_update + draining_update));
       for (int i = 0; i < 200 && !is_done && connection.is_open(); ++i) {
-        if (!connection.write(chunk("\n"))) return;
+        if (!connection.write(http_chunk("\n"))) return;
         std::this_thread::sleep_for(100ms);
       }
     });
     {
       WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
       EXPECT_TRUE(eventually([&] { return node.status() == 503; })) << sends_more;
-      EXPECT_EQ(discovery.calls().size(), 2U);
-      EXPECT_NE(discovery.calls()[1].text.find("after=7 "), std::string::npos);
-      EXPECT_LT(seconds_between(discovery.calls()[0].at, discovery.calls()[1].at), 6);
+      EXPECT_EQ(discovery.requests().size(), 2U);
+      EXPECT_NE(discovery.requests()[1].text.find("after=7 "), std::string::npos);
+      EXPECT_LT(seconds_between(discovery.requests()[0].at, discovery.requests()[1].at), 6);
     }
     is_done = true;
   }
@@ -150,20 +150,20 @@
 // A silent connection is replaced, and so is its replacement if that is accepted but stays silent: two new
 // connections within 6 s.
 TEST(SilentWatch, SecondSilentConnectionIsReplacedInTime) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   std::atomic<bool> is_done = false;
   ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
-    if (call == 0) connection.write(kWatchResponseHead + chunk("\n"));
+    if (call == 0) connection.write(kWatchResponseHead + http_chunk("\n"));
     if (call == 2)
       connection.write(
           kWatchResponseHead +
-          chunk(endpoint_list_json(8, false, endpoint_json("s0", server.address(), "draining")) + "\n"));
+          http_chunk(endpoint_list_json(8, false, endpoint_json("s0", server.address(), "draining")) + "\n"));
     while (!is_done && connection.receive_more()) {
     }
   });
   WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
-  ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= 3; }));
-  const auto calls = discovery.calls();
+  ASSERT_TRUE(eventually([&] { return discovery.requests().size() >= 3; }));
+  const auto calls = discovery.requests();
   EXPECT_LT(seconds_between(calls[0].at, calls[2].at), 6.2);
   EXPECT_TRUE(eventually([&] { return node.status() == 503; }));
   is_done = true;
@@ -171,10 +171,10 @@
 
 // The backoff that grew while discovery was down is reset by the first data of a watch, even a blank line.
 TEST(SilentWatch, IsReopenedAtOnceAfterAnOutage) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   constexpr int kFailedCalls = 4;
   std::mutex mutex;
-  Steady::time_point first_data;
+  SteadyClock::time_point first_data;
   ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
     if (call < kFailedCalls) {
       connection.write(http_response(503, ""));
@@ -182,55 +182,55 @@
     }
     if (call == kFailedCalls) {
       const std::lock_guard lock(mutex);
-      first_data = Steady::now();
+      first_data = SteadyClock::now();
     }
-    connection.write(kWatchResponseHead + chunk("\n"));
+    connection.write(kWatchResponseHead + http_chunk("\n"));
     connection.read_until_close();
   });
   WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
-  ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= kFailedCalls + 2; }));
+  ASSERT_TRUE(eventually([&] { return discovery.requests().size() >= kFailedCalls + 2; }));
   const std::lock_guard lock(mutex);
-  EXPECT_LT(seconds_between(first_data, discovery.calls()[kFailedCalls + 1].at), 4);
+  EXPECT_LT(seconds_between(first_data, discovery.requests()[kFailedCalls + 1].at), 4);
 }
 
 // A watch becomes silent, and an overloaded discovery rejects the next requests.
 TEST(SilentWatch, IsRetriedSeveralTimesBeforeChangesCountAsNotified) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   constexpr int kFailedCalls = 4;  // failures that increase the backoff first
   ScriptedDiscovery discovery([&](RawConnection& connection, int call) {
     if (call != kFailedCalls && call < kFailedCalls + 3) {
       connection.write(http_response(503, ""));
       return;
     }
-    connection.write(kWatchResponseHead + chunk("\n"));
+    connection.write(kWatchResponseHead + http_chunk("\n"));
     connection.read_until_close();
   });
   WatchingNode node(discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
-  ASSERT_TRUE(eventually([&] { return discovery.calls().size() >= kFailedCalls + 4; }));
-  const auto calls = discovery.calls();
+  ASSERT_TRUE(eventually([&] { return discovery.requests().size() >= kFailedCalls + 4; }));
+  const auto calls = discovery.requests();
   EXPECT_LT(seconds_between(calls[kFailedCalls].at, calls[kFailedCalls + 3].at), 6);
 }
 
 // After a new configuration, the list at the new address counts as notified 4 s later, even if the first
 // requests there fail and the backoff has grown at the old address.
 TEST(MovedWatch, IsRetriedSeveralTimesWithinFourSeconds) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   ScriptedDiscovery old_discovery(
       [](RawConnection& connection, int) { connection.write(http_response(503, "")); });
   WatchingNode node(old_discovery, endpoint_list_json(7, true, endpoint_json("s0", server.address())));
-  ASSERT_TRUE(eventually([&] { return old_discovery.calls().size() >= 4; }));
+  ASSERT_TRUE(eventually([&] { return old_discovery.requests().size() >= 4; }));
   ScriptedDiscovery new_discovery([&](RawConnection& connection, int call) {
     if (call < 5) return;  // closed without a response
     connection.write(
         kWatchResponseHead +
-        chunk(endpoint_list_json(3, true, endpoint_json("s0", server.address(), "draining")) + "\n"));
+        http_chunk(endpoint_list_json(3, true, endpoint_json("s0", server.address(), "draining")) + "\n"));
     connection.read_until_close();
   });
-  ConfigText text = node.text;
+  NodeConfig text = node.config;
   text.discovery = new_discovery.address();
-  const auto start = Steady::now();
+  const auto start = SteadyClock::now();
   node.program->reload(text.text());
-  ASSERT_TRUE(eventually([&] { return new_discovery.calls().size() >= 6; }));
+  ASSERT_TRUE(eventually([&] { return new_discovery.requests().size() >= 6; }));
   EXPECT_LT(seconds_since(start), 4);
   EXPECT_TRUE(eventually([&] { return node.status() == 503; }));
 }
@@ -238,25 +238,25 @@
 // If lists are pushed, the local agent's list counts as notified with or without an open watch, so the
 // backoff must be shorter than the grace period of a drain.
 TEST(PushedLists, BrokenWatchIsReopenedAtOnce) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   std::mutex mutex;
-  std::vector<Steady::time_point> ended;
+  std::vector<SteadyClock::time_point> ended;
   ScriptedDiscovery agent([&](RawConnection& connection, int call) {
-    connection.write(kWatchResponseHead + chunk("\n"));
+    connection.write(kWatchResponseHead + http_chunk("\n"));
     if (call >= 5) connection.read_until_close();
     const std::lock_guard lock(mutex);
-    ended.push_back(Steady::now());
+    ended.push_back(SteadyClock::now());
   });
   WatchingNode node(agent, endpoint_list_json(7, true, endpoint_json("s0", server.address())), "automatic");
-  ASSERT_TRUE(eventually([&] { return agent.calls().size() >= 6; }));
-  const auto calls = agent.calls();
+  ASSERT_TRUE(eventually([&] { return agent.requests().size() >= 6; }));
+  const auto calls = agent.requests();
   EXPECT_LT(seconds_between(calls[0].at, calls[5].at), 1.5) << "five reconnects, each after a backoff";
 }
 
 // A new process starts with the list of its predecessor. Requests that arrive before the agent's first list
 // are deferred until that list arrives.
 TEST(PushedLists, NewProcessDefersRequestsUntilTheFirstList) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   // The agent's list must arrive before the node's timeout for it. On a busy machine it may arrive too late,
   // in which case the test tries again.
   constexpr double kMaxListDelay = 0.5;  // s
@@ -268,18 +268,18 @@
       if (!gate.wait()) return;
       connection.write(
           kWatchResponseHead +
-          chunk(endpoint_list_json(8, true, endpoint_json("s0", server.address(), "draining")) + "\n"));
+          http_chunk(endpoint_list_json(8, true, endpoint_json("s0", server.address(), "draining")) + "\n"));
       connection.read_until_close();
     });
-    ConfigText config;
+    NodeConfig config;
     config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
     config.mode = "automatic";
     config.discovery = agent.address();
-    Program program(config.text(), 0, false);
+    NodeProcess program(config.text(), 0, false);
     // The node's timeout for the first list starts when it logs that it is listening.
-    auto start = Steady::now();
+    auto start = SteadyClock::now();
     ASSERT_TRUE(eventually([&] {
-      const auto checked_at = Steady::now();
+      const auto checked_at = SteadyClock::now();
       if (program.port() != 0) return true;
       start = checked_at;
       return false;
@@ -301,24 +301,24 @@
 
 // The agent sends no list while discovery is down.
 TEST(PushedLists, NewProcessServesFromTheKnownListWhenTheAgentIsSilent) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   ScriptedDiscovery agent([](RawConnection& connection, int) { connection.read_until_close(); });
   WatchingNode node(agent, endpoint_list_json(7, true, endpoint_json("s0", server.address())), "automatic");
-  const auto start = Steady::now();
+  const auto start = SteadyClock::now();
   EXPECT_EQ(node.status(), 200);
   EXPECT_LT(seconds_since(start), 10) << "ready within 10 s";
 }
 
 TEST(PushedLists, RequestIsRejectedBeforeItsTimeoutWhenTheAgentIsSilent) {
-  FakeServer server(replies(200, "ok"));
+  FakeServer server(respond_with(200, "ok"));
   ScriptedDiscovery agent([](RawConnection& connection, int) { connection.read_until_close(); });
-  ConfigText config;
+  NodeConfig config;
   config.known = endpoint_list_json(7, true, endpoint_json("s0", server.address()));
   config.mode = "automatic";
   config.discovery = agent.address();
-  Program program(config.text());
+  NodeProcess program(config.text());
   RawConnection client = RawConnection::connect_to(program.port());
-  const auto start = Steady::now();
+  const auto start = SteadyClock::now();
   client.write(ClientRequest{.id = "short_timeout", .timeout = "400"}.text());
   EXPECT_EQ(status_of(client.read_message()), 503) << "no attempt was sent, so the client may retry";
   EXPECT_LT(seconds_since(start), 0.45);
