--- a/fleet_rig/history/answer_checkers.cpp
+++ b/fleet_rig/history/answer_checkers.cpp
@@ -22,7 +22,7 @@
   for (const Record& r : history_.records) {
     if (r.what == What::kRequestSent) {
       requests_[r.id] = {&r, false};
-      ++verdict_.asked;
+      ++verdict_.requests_sent;
     } else if (is_request_end(r.what)) {
       on_request_end(r);
     }
@@ -32,7 +32,7 @@
 void FinalAnswerChecker::on_request_end(const Record& end) {
   const auto found = requests_.find(end.id);
   if (found == requests_.end()) {
-    verdict_.blind.push_back("end of request " + end.id + ", which no client sent");
+    verdict_.missing_input.push_back("end of request " + end.id + ", which no client sent");
     return;
   }
   Request& request = found->second;
@@ -55,7 +55,7 @@
 }
 
 void FinalAnswerChecker::report(const Record& request, const std::string& what, double at) {
-  verdict_.broken.push_back({"one-final-answer", describe(request) + " " + what, at});
+  verdict_.violations.push_back({"one-final-answer", describe(request) + " " + what, at});
 }
 
 void AbandonmentChecker::check() {
@@ -72,10 +72,10 @@
   // the disconnect as soon as it resumes.
   const Record& disconnect = *found->second;
   if (faults_.link_faulty(disconnect.by, disconnect.to, disconnect.t, attempt.left)) return;
-  verdict_.broken.push_back({"abandoned",
-                             attempt.id + " was sent " + std::to_string(attempt.left - disconnect.t) +
-                                 " s after its client disconnected",
-                             attempt.t});
+  verdict_.violations.push_back({"abandoned",
+                                 attempt.id + " was sent " + std::to_string(attempt.left - disconnect.t) +
+                                     " s after its client disconnected",
+                                 attempt.t});
 }
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/history/answer_checkers.h
+++ b/fleet_rig/history/answer_checkers.h
@@ -15,7 +15,7 @@
  public:
   // All arguments must outlive the checker.
   FinalAnswerChecker(const History& history, const Rules& rules, Verdict& verdict)
-      : history_(history), verdict_(verdict), faults_(history), slack_(rules.slack + verdict.latest) {}
+      : history_(history), verdict_(verdict), faults_(history), slack_(rules.slack + verdict.max_lateness) {}
   void check();
 
  private:
@@ -39,7 +39,10 @@
  public:
   // All arguments must outlive the checker.
   AbandonmentChecker(const History& history, const Rules& rules, Verdict& verdict)
-      : history_(history), verdict_(verdict), faults_(history), grace_(rules.abandoned + verdict.latest) {}
+      : history_(history),
+        verdict_(verdict),
+        faults_(history),
+        grace_(rules.abandoned + verdict.max_lateness) {}
   void check();
 
  private:
--- a/fleet_rig/history/checkers.cpp
+++ b/fleet_rig/history/checkers.cpp
@@ -23,14 +23,14 @@
   return out;
 }
 
-std::size_t Verdict::of(const std::string& rule) const {
+std::size_t Verdict::violation_count(const std::string& rule) const {
   return static_cast<std::size_t>(
-      std::count_if(broken.begin(), broken.end(), [&](const Finding& f) { return f.rule == rule; }));
+      std::count_if(violations.begin(), violations.end(), [&](const Finding& f) { return f.rule == rule; }));
 }
 
 Verdict check_history(const History& history, const Rules& rules) {
   Verdict out;
-  // Runs first: it sets Verdict::latest, which the other checkers add to their tolerances.
+  // Runs first: it sets Verdict::max_lateness, which the other checkers add to their tolerances.
   CompletenessChecker(history, rules, out).check();
   FinalAnswerChecker(history, rules, out).check();
   DoubleEffectChecker(history, rules, out).check();
@@ -39,7 +39,7 @@
   AbandonmentChecker(history, rules, out).check();
   check_views(history, rules, out);
   UsageChecker(history, out).check();
-  if (out.asked == 0) out.blind.emplace_back("no client sent a request");
+  if (out.requests_sent == 0) out.missing_input.emplace_back("no client sent a request");
   return out;
 }
 
--- a/fleet_rig/history/checkers.h
+++ b/fleet_rig/history/checkers.h
@@ -3,7 +3,7 @@
 //
 // Violations that no node can prevent are excused: a response from a node that was killed or paused during
 // the request, or that had to cross a faulty link. A checker whose input is missing reports that in
-// Verdict::blind, and the run doesn't pass.
+// Verdict::missing_input, and the run doesn't pass.
 #pragma once
 
 #include <string>
@@ -36,21 +36,22 @@
 };
 
 struct Verdict {
-  std::vector<Finding> broken;
-  std::vector<std::string> blind;  // missing or unreadable checker input
-  double latest = 0;               // s; maximum lateness of the rig itself, added to every tolerance
-  std::uint64_t asked = 0, came = 0, excused = 0;  // requests sent, attempts at servers, excused violations
+  std::vector<Finding> violations;
+  std::vector<std::string> missing_input;  // missing or unreadable checker input
+  double max_lateness = 0;                 // s; maximum lateness of the rig itself, added to every tolerance
+  std::uint64_t requests_sent = 0, attempts_received = 0,
+                excused = 0;  // requests sent, attempts at servers, excused violations
   bool void_run = false;
-  bool passed() const { return broken.empty() && blind.empty() && !void_run; }
-  std::size_t of(const std::string& rule) const;
+  bool passed() const { return violations.empty() && missing_input.empty() && !void_run; }
+  std::size_t violation_count(const std::string& rule) const;
 };
 
 // Runs all checkers of answer_checkers.h, server_checkers.h, run_checkers.h and views.cpp.
 Verdict check_history(const History& history, const Rules& rules);
 
 // fleet-views: reports a node whose max_count is below the number of running nodes, or whose view of the
-// replica set still differs from the running nodes `views_within` after the last change. `verdict.latest` has
-// to be set before.
+// replica set still differs from the running nodes `views_within` after the last change.
+// `verdict.max_lateness` has to be set before.
 void check_views(const History& history, const Rules& rules, Verdict& verdict);
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/history/run_checkers.cpp
+++ b/fleet_rig/history/run_checkers.cpp
@@ -39,16 +39,17 @@
     if (r.what == What::kBegin) begun = true;
     if (r.what == What::kActorJoined) open.insert(r.by);
     if (r.what == What::kClosed) open.erase(r.by);
-    if (r.what == What::kLate) verdict_.latest = std::max(verdict_.latest, r.work);
+    if (r.what == What::kLate) verdict_.max_lateness = std::max(verdict_.max_lateness, r.work);
     if (r.what == What::kCrash)
-      verdict_.broken.push_back({"crash", bench::name_of(r.by) + ": " + r.note, r.t});
+      verdict_.violations.push_back({"crash", bench::name_of(r.by) + ": " + r.note, r.t});
   }
-  if (!begun) verdict_.blind.emplace_back("the history has no record of the beginning of the run");
+  if (!begun) verdict_.missing_input.emplace_back("the history has no record of the beginning of the run");
   if (history_.unread > 0)
-    verdict_.blind.push_back(std::to_string(history_.unread) + " lines of the history could not be parsed");
+    verdict_.missing_input.push_back(std::to_string(history_.unread) +
+                                     " lines of the history could not be parsed");
   for (const Actor& actor : open)
-    verdict_.blind.push_back(bench::name_of(actor) + " did not write its last record");
-  verdict_.void_run = verdict_.latest > rules_.max_rig_lateness;
+    verdict_.missing_input.push_back(bench::name_of(actor) + " did not write its last record");
+  verdict_.void_run = verdict_.max_lateness > rules_.max_rig_lateness;
 }
 
 UsageChecker::Phases UsageChecker::phases() const {
@@ -79,7 +80,7 @@
   if (phases.first_fault < kMinBaseline || phases.end < phases.last_fault + kSettleTime) return;
   const Baseline before = baseline_before(phases.first_fault);
   if (before.descriptors == 0) {
-    verdict_.blind.emplace_back("no node recorded its usage before the first fault");
+    verdict_.missing_input.emplace_back("no node recorded its usage before the first fault");
     return;
   }
   std::map<Actor, const Record*> last_usage;
@@ -94,19 +95,19 @@
 void UsageChecker::check_node(const Record& usage, const Baseline& before) {
   const int descriptors = usage.count - usage.tier;  // without those that clients keep open
   if (descriptors > kDescriptorFactor * before.descriptors + kDescriptorMargin)
-    verdict_.broken.push_back({"levels",
-                               bench::name_of(usage.by) + " has " + std::to_string(descriptors) +
-                                   " descriptors open at the end; no node had more than " +
-                                   std::to_string(static_cast<int>(before.descriptors)) +
-                                   " before the first fault",
-                               usage.t});
+    verdict_.violations.push_back({"levels",
+                                   bench::name_of(usage.by) + " has " + std::to_string(descriptors) +
+                                       " descriptors open at the end; no node had more than " +
+                                       std::to_string(static_cast<int>(before.descriptors)) +
+                                       " before the first fault",
+                                   usage.t});
   if (usage.status > kMemoryFactor * before.memory_kb + kMemoryMarginKb)
-    verdict_.broken.push_back({"levels",
-                               bench::name_of(usage.by) + " uses " + std::to_string(usage.status) +
-                                   " kB of memory at the end; no node used more than " +
-                                   std::to_string(static_cast<int>(before.memory_kb)) +
-                                   " before the first fault",
-                               usage.t});
+    verdict_.violations.push_back({"levels",
+                                   bench::name_of(usage.by) + " uses " + std::to_string(usage.status) +
+                                       " kB of memory at the end; no node used more than " +
+                                       std::to_string(static_cast<int>(before.memory_kb)) +
+                                       " before the first fault",
+                                   usage.t});
 }
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/history/run_checkers.h
+++ b/fleet_rig/history/run_checkers.h
@@ -15,7 +15,7 @@
   // All arguments must outlive the checker.
   CompletenessChecker(const History& history, const Rules& rules, Verdict& verdict)
       : history_(history), rules_(rules), verdict_(verdict) {}
-  // Sets Verdict::latest and Verdict::void_run.
+  // Sets Verdict::max_lateness and Verdict::void_run.
   void check();
 
  private:
--- a/fleet_rig/history/server_checkers.cpp
+++ b/fleet_rig/history/server_checkers.cpp
@@ -26,7 +26,7 @@
     if (r.what != What::kServerReceived && r.what != What::kResponse) continue;
     const auto found = requests_.find(r.id);
     if (found == requests_.end()) {
-      verdict_.blind.push_back(r.id + " reached " + bench::name_of(r.by) + ", but no client sent it");
+      verdict_.missing_input.push_back(r.id + " reached " + bench::name_of(r.by) + ", but no client sent it");
       continue;
     }
     Request& request = found->second;
@@ -47,7 +47,7 @@
 }
 
 void DoubleEffectChecker::on_received(const Record& attempt, const RequestClass& c, Request& request) {
-  ++verdict_.came;
+  ++verdict_.attempts_received;
   if (attempt.left > request.answered + slack_) report(attempt, "was sent after its response");
   if (!attempt.yes) return;  // rejected without having run
   for (const Run& earlier : request.runs) check_rerun(attempt, earlier, c);
@@ -74,7 +74,7 @@
 }
 
 void DoubleEffectChecker::report(const Record& at, const std::string& what) {
-  verdict_.broken.push_back({"no-double-effect", at.id + " " + what, at.t});
+  verdict_.violations.push_back({"no-double-effect", at.id + " " + what, at.t});
 }
 
 void DrainChecker::check() {
@@ -91,12 +91,12 @@
 void DrainChecker::on_received(const Record& attempt) {
   const auto found = not_ready_since_.find({attempt.to, attempt.by});
   if (found == not_ready_since_.end() || attempt.left <= found->second + grace_) return;
-  verdict_.broken.push_back({"drains-kept",
-                             attempt.id + " was sent by " + bench::name_of(attempt.to) + " to " +
-                                 bench::name_of(attempt.by) + " " +
-                                 std::to_string(attempt.left - found->second) +
-                                 " s after the notification that the server is not ready",
-                             attempt.t});
+  verdict_.violations.push_back({"drains-kept",
+                                 attempt.id + " was sent by " + bench::name_of(attempt.to) + " to " +
+                                     bench::name_of(attempt.by) + " " +
+                                     std::to_string(attempt.left - found->second) +
+                                     " s after the notification that the server is not ready",
+                                 attempt.t});
 }
 
 void ColdServerChecker::check() {
@@ -121,11 +121,11 @@
   if (recent.arrivals.size() < 2 || recent.work <= rules_.fall_multiple * attempt.cold * rules_.fall_s)
     return;
   if (std::exchange(recent.reported, true)) return;
-  verdict_.broken.push_back({"cold-servers",
-                             bench::name_of(attempt.by) + " received " + std::to_string(recent.work) +
-                                 " s of work from all nodes within a second while its capacity was " +
-                                 std::to_string(attempt.cold),
-                             attempt.t});
+  verdict_.violations.push_back({"cold-servers",
+                                 bench::name_of(attempt.by) + " received " + std::to_string(recent.work) +
+                                     " s of work from all nodes within a second while its capacity was " +
+                                     std::to_string(attempt.cold),
+                                 attempt.t});
 }
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/history/server_checkers.h
+++ b/fleet_rig/history/server_checkers.h
@@ -20,7 +20,7 @@
  public:
   // All arguments must outlive the checker.
   DoubleEffectChecker(const History& history, const Rules& rules, Verdict& verdict)
-      : history_(history), rules_(rules), verdict_(verdict), slack_(rules.slack + verdict.latest) {}
+      : history_(history), rules_(rules), verdict_(verdict), slack_(rules.slack + verdict.max_lateness) {}
   void check();
 
  private:
@@ -53,7 +53,9 @@
  public:
   // All arguments must outlive the checker.
   DrainChecker(const History& history, const Rules& rules, Verdict& verdict)
-      : history_(history), verdict_(verdict), grace_(rules.drain_grace + rules.slack + verdict.latest) {}
+      : history_(history),
+        verdict_(verdict),
+        grace_(rules.drain_grace + rules.slack + verdict.max_lateness) {}
   void check();
 
  private:
--- a/fleet_rig/history/views.cpp
+++ b/fleet_rig/history/views.cpp
@@ -120,7 +120,8 @@
   void on_view(const Record& record) {
     const auto view = parse_view(record);
     if (!view) {
-      verdict_.blind.push_back("can't parse a view of " + bench::name_of(record.by) + ": " + record.note);
+      verdict_.missing_input.push_back("can't parse a view of " + bench::name_of(record.by) + ": " +
+                                       record.note);
       return;
     }
     check_if_settled(record.t);
@@ -134,11 +135,11 @@
       return node.second < record.t - kDiscoveryDelay && !leaving_.contains(node.first);
     });
     if (view.max_count >= running) return;
-    verdict_.broken.push_back({"fleet-views",
-                               bench::name_of(record.by) + " has max_count " +
-                                   std::to_string(view.max_count) + " while " + std::to_string(running) +
-                                   " nodes run",
-                               record.t});
+    verdict_.violations.push_back({"fleet-views",
+                                   bench::name_of(record.by) + " has max_count " +
+                                       std::to_string(view.max_count) + " while " + std::to_string(running) +
+                                       " nodes run",
+                                   record.t});
   }
 
   void on_change(const Record& record) {
@@ -175,7 +176,9 @@
     }
   }
 
-  [[nodiscard]] double settled_at() const { return changed_at_ + rules_.views_within + verdict_.latest; }
+  [[nodiscard]] double settled_at() const {
+    return changed_at_ + rules_.views_within + verdict_.max_lateness;
+  }
 
   // Checks once after each change that every node's view agrees with the running nodes.
   void check_if_settled(double now) {
@@ -186,13 +189,13 @@
       if (paused_.contains(actor)) continue;
       const auto view = views_.find(actor);
       if (view == views_.end()) {
-        verdict_.blind.push_back(bench::name_of(actor) + " has logged no view of the replica set");
+        verdict_.missing_input.push_back(bench::name_of(actor) + " has logged no view of the replica set");
       } else if (view->second.reachable_count != running) {
-        verdict_.broken.push_back({"fleet-views",
-                                   bench::name_of(actor) + " reaches " +
-                                       std::to_string(view->second.reachable_count) + " nodes while " +
-                                       std::to_string(running) + " run",
-                                   now});
+        verdict_.violations.push_back({"fleet-views",
+                                       bench::name_of(actor) + " reaches " +
+                                           std::to_string(view->second.reachable_count) + " nodes while " +
+                                           std::to_string(running) + " run",
+                                       now});
       }
     }
   }
@@ -201,7 +204,7 @@
     if (is_checked_) return;
     // A run that ends too soon after its last change is inconclusive.
     if (faulty_links_ == 0 && end_ < settled_at())
-      verdict_.blind.emplace_back("the run ends before the views must have converged");
+      verdict_.missing_input.emplace_back("the run ends before the views must have converged");
     check_if_settled(end_);
   }
 
--- a/fleet_rig/run/main.cpp
+++ b/fleet_rig/run/main.cpp
@@ -99,7 +99,7 @@
         samples.worst_second.push_back(result.figures.worst_second);
         samples.first_tier.push_back(result.figures.first_tier);
         samples.recovery.push_back(result.figures.recovery);
-        samples.violations += result.verdict.broken.size();
+        samples.violations += result.verdict.violations.size();
         if (label == "now") passed = passed && result.verdict.passed();
       }
     }
--- a/fleet_rig/run/scenario_run.cpp
+++ b/fleet_rig/run/scenario_run.cpp
@@ -63,25 +63,25 @@
                kPercent * f.served_part(), kPercent * f.in_time_part(), kPercent * f.rejected / requests,
                kPercent * f.failed / requests, f.client_attempts, f.first_tier, f.second_tier, f.worst_second,
                kMilli * f.p50, kMilli * f.p99, f.recovery, kPercent * f.least_node, kPercent * f.least_tenant,
-               f.most_server, f.cpu_us, result.verdict.latest,
-               static_cast<unsigned long long>(result.verdict.excused), result.verdict.broken.size(),
-               result.verdict.void_run         ? "  VOID: the rig ran late"
-               : !result.verdict.blind.empty() ? "  BLIND"
-                                               : "");
+               f.most_server, f.cpu_us, result.verdict.max_lateness,
+               static_cast<unsigned long long>(result.verdict.excused), result.verdict.violations.size(),
+               result.verdict.void_run                 ? "  VOID: the rig ran late"
+               : !result.verdict.missing_input.empty() ? "  BLIND"
+                                                       : "");
   std::fflush(to);
 }
 
 void print_findings(std::FILE* to, const Verdict& verdict, std::size_t max_per_rule) {
   std::map<std::string, std::size_t> shown;
-  for (const Finding& f : verdict.broken) {
+  for (const Finding& f : verdict.violations) {
     if (shown[f.rule]++ < max_per_rule)
       std::fprintf(to, "  %7.2f s  %s: %s\n", f.t, f.rule.c_str(), f.what.c_str());
   }
   for (const auto& [rule, count] : shown) {
     if (count > max_per_rule) std::fprintf(to, "             %s: %zu in total\n", rule.c_str(), count);
   }
-  for (std::size_t i = 0; i < std::min(max_per_rule, verdict.blind.size()); ++i)
-    std::fprintf(to, "  not checked: %s\n", verdict.blind[i].c_str());
+  for (std::size_t i = 0; i < std::min(max_per_rule, verdict.missing_input.size()); ++i)
+    std::fprintf(to, "  not checked: %s\n", verdict.missing_input[i].c_str());
 }
 
 void write_report(const std::string& folder, const std::string& scenario, const ScenarioRun& result) {
--- a/tests/fleet_rig/checkers_test.cpp
+++ b/tests/fleet_rig/checkers_test.cpp
@@ -86,17 +86,17 @@
 };
 
 void expect_only_violation_of(const Verdict& v, const std::string& rule, std::size_t times = 1) {
-  EXPECT_EQ(v.of(rule), times) << rule;
-  EXPECT_EQ(v.broken.size(), times);
-  for (const Finding& f : v.broken) {
+  EXPECT_EQ(v.violation_count(rule), times) << rule;
+  EXPECT_EQ(v.violations.size(), times);
+  for (const Finding& f : v.violations) {
     if (f.rule != rule) ADD_FAILURE() << f.rule << ": " << f.what;
   }
-  EXPECT_TRUE(v.blind.empty()) << v.blind.front();
+  EXPECT_TRUE(v.missing_input.empty()) << v.missing_input.front();
 }
 
 void expect_passed(const Verdict& v) {
-  for (const Finding& f : v.broken) ADD_FAILURE() << f.rule << ": " << f.what;
-  for (const std::string& problem : v.blind) ADD_FAILURE() << problem;
+  for (const Finding& f : v.violations) ADD_FAILURE() << f.rule << ": " << f.what;
+  for (const std::string& problem : v.missing_input) ADD_FAILURE() << problem;
   EXPECT_TRUE(v.passed());
 }
 
--- a/tests/fleet_rig/report_test.cpp
+++ b/tests/fleet_rig/report_test.cpp
@@ -35,7 +35,7 @@
   out.figures.wanted = 145;
   out.figures.served = 82;
   out.figures.faults = std::move(faults);
-  out.verdict.broken.push_back({"drains-kept", "an example finding", 4});
+  out.verdict.violations.push_back({"drains-kept", "an example finding", 4});
   return out;
 }
 
--- a/tests/fleet_rig/scenario_fixture.h
+++ b/tests/fleet_rig/scenario_fixture.h
@@ -51,11 +51,12 @@
   CheckedRun out;
   out.run = run_scenario(scenario, options);
   out.history = History::read(out.run.history);
-  for (const Finding& f : out.run.verdict.broken) ADD_FAILURE() << f.t << " s, " << f.rule << ": " << f.what;
-  for (const std::string& what : out.run.verdict.blind) ADD_FAILURE() << "not checked: " << what;
-  EXPECT_FALSE(out.run.verdict.void_run) << "the rig ran late by " << out.run.verdict.latest;
+  for (const Finding& f : out.run.verdict.violations)
+    ADD_FAILURE() << f.t << " s, " << f.rule << ": " << f.what;
+  for (const std::string& what : out.run.verdict.missing_input) ADD_FAILURE() << "not checked: " << what;
+  EXPECT_FALSE(out.run.verdict.void_run) << "the rig ran late by " << out.run.verdict.max_lateness;
   EXPECT_TRUE(out.run.verdict.passed());
-  EXPECT_GT(out.run.verdict.asked, 200u);
+  EXPECT_GT(out.run.verdict.requests_sent, 200u);
   EXPECT_GT(out.run.figures.served, 100);
   if (testing::Test::HasFailure()) {
     std::fprintf(stderr, "files of the failed run: %s\n", options.folder.c_str());
--- a/tests/fleet_rig/views_test.cpp
+++ b/tests/fleet_rig/views_test.cpp
@@ -80,15 +80,15 @@
 
 TEST(ReplicaSetViews, ThatFollowTheRunningNodesPass) {
   const Verdict v = verdict_with({of(8, What::kDown, 1), view(10, 0, 2, 3, 2), view(11, 2, 2, 3, 2)});
-  EXPECT_TRUE(v.passed()) << (v.broken.empty() ? v.blind.front() : v.broken.front().what);
+  EXPECT_TRUE(v.passed()) << (v.violations.empty() ? v.missing_input.front() : v.violations.front().what);
 }
 
 TEST(ReplicaSetViews, ThatStayOutdatedAreReported) {
-  EXPECT_EQ(verdict_with({of(8, What::kDown, 1), view(10, 0, 2, 3, 2)}).of("fleet-views"), 1u)
+  EXPECT_EQ(verdict_with({of(8, What::kDown, 1), view(10, 0, 2, 3, 2)}).violation_count("fleet-views"), 1u)
       << "node 2 has not noticed that node 1 is down";
   EXPECT_EQ(verdict_with({of(8, What::kDown, 1), view(10, 0, 2, 3, 2), view(11, 2, 2, 3, 2),
                           of(13, What::kUp, 1), view(14, 0, 3, 3, 3), view(14, 1, 3, 3, 3)})
-                .of("fleet-views"),
+                .violation_count("fleet-views"),
             1u)
       << "node 2 has not noticed that node 1 is up again";
 }
@@ -102,24 +102,24 @@
 }
 
 TEST(ReplicaSetViews, ThatCountFewerNodesThanRunAreReportedAtOnce) {
-  EXPECT_EQ(verdict_with({view(9, 0, 2, 2, 3), view(9.5, 0, 3, 3, 3)}).of("fleet-views"), 1u);
+  EXPECT_EQ(verdict_with({view(9, 0, 2, 2, 3), view(9.5, 0, 3, 3, 3)}).violation_count("fleet-views"), 1u);
   EXPECT_EQ(
       verdict_with({of(8, What::kTerm, 1), view(9, 0, 2, 2, 2), view(9, 2, 2, 2, 2), of(9.5, What::kDown, 1)})
-          .of("fleet-views"),
+          .violation_count("fleet-views"),
       0u)
       << "a node that was sent SIGTERM does not have to be counted";
   // A paused node continues when it resumes, so it has to be counted.
-  EXPECT_EQ(
-      verdict_with({of(8, What::kPaused, 1), view(10, 0, 2, 2, 2), view(10, 2, 2, 3, 2)}).of("fleet-views"),
-      1u);
+  EXPECT_EQ(verdict_with({of(8, What::kPaused, 1), view(10, 0, 2, 2, 2), view(10, 2, 2, 3, 2)})
+                .violation_count("fleet-views"),
+            1u);
 }
 
 TEST(ReplicaSetViews, ThatAreMissingOrUnreadableLeaveTheCheckInconclusive) {
   Record unreadable = view(9, 0, 3, 3, 3);
   unreadable.note = "all is well";
-  EXPECT_EQ(verdict_with({unreadable}).blind.size(), 1u);
-  EXPECT_EQ(verdict_with({of(8, What::kUp, 3)}).blind.size(), 1u) << "a fourth node logs no view";
-  EXPECT_EQ(verdict_with({of(18, What::kDown, 1)}).blind.size(), 1u)
+  EXPECT_EQ(verdict_with({unreadable}).missing_input.size(), 1u);
+  EXPECT_EQ(verdict_with({of(8, What::kUp, 3)}).missing_input.size(), 1u) << "a fourth node logs no view";
+  EXPECT_EQ(verdict_with({of(18, What::kDown, 1)}).missing_input.size(), 1u)
       << "the run ends too soon after the last change";
 }
 
