--- a/bench/model/scenario_fleet_tables.cpp
+++ b/bench/model/scenario_fleet_tables.cpp
@@ -147,8 +147,8 @@
   if (s.peers) s.fleet_only.push_back(t.location() + ": peers");
   s.operators = t.text("operators", "");
   if (!s.operators.empty()) s.fleet_only.push_back(t.location() + ": operators");
-  s.views_within = t.number("views_within", 0);
-  if (s.views_within > 0 && s.operators.empty()) t.fail("'views_within' needs 'operators'");
+  s.view_convergence_time = t.number("views_within", 0);
+  if (s.view_convergence_time > 0 && s.operators.empty()) t.fail("'views_within' needs 'operators'");
 }
 
 void read_links(TableReader& t, const Topology& topology, Scenario& s) {
--- a/fleet_rig/history/answer_checkers.h
+++ b/fleet_rig/history/answer_checkers.h
@@ -15,7 +15,10 @@
  public:
   // All arguments must outlive the checker.
   FinalAnswerChecker(const History& history, const Rules& rules, Verdict& verdict)
-      : history_(history), verdict_(verdict), faults_(history), slack_(rules.slack + verdict.max_lateness) {}
+      : history_(history),
+        verdict_(verdict),
+        faults_(history),
+        slack_(rules.time_tolerance + verdict.max_lateness) {}
   void check();
 
  private:
--- a/fleet_rig/history/checkers.cpp
+++ b/fleet_rig/history/checkers.cpp
@@ -10,7 +10,7 @@
 
 Rules Rules::of(const bench::Scenario& scenario) {
   Rules out;
-  out.views_within = scenario.views_within;
+  out.view_convergence_time = scenario.view_convergence_time;
   for (const bench::LoadClass& c : scenario.classes) out.classes.push_back(c.settings);
   for (const bench::ScenarioServer& s : scenario.servers) {
     out.server_cells.push_back(s.cell);
--- a/fleet_rig/history/checkers.h
+++ b/fleet_rig/history/checkers.h
@@ -17,13 +17,13 @@
 struct Rules {
   std::vector<RequestClass> classes;
   std::vector<int> server_cells, server_zones, backend_cells, backend_zones;  // indexed by actor number
-  double drain_grace = 1;       // s; from PROTOCOL, the rules on sockets
-  double fall_multiple = 4;     // times the current capacity of a server that is warming up ...
-  double fall_s = 1;            // ... over this many seconds
-  double slack = 0.05;          // s; tolerance on all time limits
-  double abandoned = 0.1;       // s; attempts may still be sent for so long after the client disconnected
-  double views_within = 0;      // s; see bench::Scenario
-  double max_rig_lateness = 1;  // s; if the rig itself ran later than this, the run is void
+  double drain_grace = 1;        // s; from PROTOCOL, the rules on sockets
+  double fall_multiple = 4;      // times the current capacity of a server that is warming up ...
+  double fall_s = 1;             // ... over this many seconds
+  double time_tolerance = 0.05;  // s; tolerance on all time limits
+  double abandoned = 0.1;        // s; attempts may still be sent for so long after the client disconnected
+  double view_convergence_time = 0;  // s; see bench::Scenario
+  double max_rig_lateness = 1;       // s; if the rig itself ran later than this, the run is void
 
   static Rules of(const bench::Scenario& scenario);
 };
@@ -50,7 +50,7 @@
 Verdict check_history(const History& history, const Rules& rules);
 
 // fleet-views: reports a node whose max_count is below the number of running nodes, or whose view of the
-// replica set still differs from the running nodes `views_within` after the last change.
+// replica set still differs from the running nodes `view_convergence_time` after the last change.
 // `verdict.max_lateness` has to be set before.
 void check_views(const History& history, const Rules& rules, Verdict& verdict);
 
--- a/fleet_rig/history/server_checkers.h
+++ b/fleet_rig/history/server_checkers.h
@@ -20,7 +20,10 @@
  public:
   // All arguments must outlive the checker.
   DoubleEffectChecker(const History& history, const Rules& rules, Verdict& verdict)
-      : history_(history), rules_(rules), verdict_(verdict), slack_(rules.slack + verdict.max_lateness) {}
+      : history_(history),
+        rules_(rules),
+        verdict_(verdict),
+        slack_(rules.time_tolerance + verdict.max_lateness) {}
   void check();
 
  private:
@@ -55,7 +58,7 @@
   DrainChecker(const History& history, const Rules& rules, Verdict& verdict)
       : history_(history),
         verdict_(verdict),
-        grace_(rules.drain_grace + rules.slack + verdict.max_lateness) {}
+        grace_(rules.drain_grace + rules.time_tolerance + verdict.max_lateness) {}
   void check();
 
  private:
--- a/fleet_rig/history/views.cpp
+++ b/fleet_rig/history/views.cpp
@@ -177,7 +177,7 @@
   }
 
   [[nodiscard]] double settled_at() const {
-    return changed_at_ + rules_.views_within + verdict_.max_lateness;
+    return changed_at_ + rules_.view_convergence_time + verdict_.max_lateness;
   }
 
   // Checks once after each change that every node's view agrees with the running nodes.
@@ -229,7 +229,7 @@
 }
 
 void check_views(const History& history, const Rules& rules, Verdict& verdict) {
-  if (rules.views_within <= 0) return;
+  if (rules.view_convergence_time <= 0) return;
   ViewChecker(rules, verdict).replay(history);
 }
 
--- a/fleet_rig/run/main.cpp
+++ b/fleet_rig/run/main.cpp
@@ -28,7 +28,7 @@
   std::vector<std::string> files;
   std::string node, against, logs = "logs/fleet", report;
   std::vector<std::uint64_t> seeds{1};
-  double load_factor = 1, slack = 0.05;
+  double load_factor = 1, time_tolerance = 0.05;
   bool quiet = false, standalone = false, keep = false;
 };
 
@@ -39,13 +39,13 @@
   bench::Scenario scenario = bench::read_scenario(file, command_line.load_factor);
   if (command_line.standalone) {
     scenario.operators.clear();
-    scenario.views_within = 0;
+    scenario.view_convergence_time = 0;
   }
   ScenarioRunOptions options;
   options.program = program;
   options.folder = command_line.logs + "/" + scenario_name(file) + "-" + label + "-" + std::to_string(seed);
   options.seed = seed;
-  options.slack = command_line.slack;
+  options.time_tolerance = command_line.time_tolerance;
   constexpr int kMaxRuns = 3;
   options.max_runs = kMaxRuns;
   if (!command_line.quiet && ::isatty(STDERR_FILENO) != 0) {
@@ -139,7 +139,7 @@
     options.program = command_line.node;
     options.folder = folder;
     options.seed = seed;
-    options.slack = command_line.slack;
+    options.time_tolerance = command_line.time_tolerance;
     constexpr int kMaxRuns = 3;
     options.max_runs = kMaxRuns;
     const ScenarioRun result = run_scenario(bench::parse_scenario(text, name), options);
@@ -159,10 +159,10 @@
   return failed.empty() ? 0 : 1;
 }
 
-int check_file(const std::string& history, const std::string& scenario_file, double slack) {
+int check_file(const std::string& history, const std::string& scenario_file, double time_tolerance) {
   const bench::Scenario scenario = bench::read_scenario(scenario_file);
   Rules rules = Rules::of(scenario);
-  rules.slack = slack;
+  rules.time_tolerance = time_tolerance;
   ScenarioRun result;
   const History recorded = History::read(history);
   result.verdict = check_history(recorded, rules);
@@ -185,7 +185,8 @@
         ->check(CLI::ExistingFile);
     command->add_option("--seed,--seeds", command_line.seeds, "one or more seeds");
     command->add_option("--times", command_line.load_factor, "factor on the load of the files");
-    command->add_option("--slack", command_line.slack, "seconds by which a time limit may be missed");
+    command->add_option("--slack", command_line.time_tolerance,
+                        "seconds by which a time limit may be missed");
     command->add_option("--logs", command_line.logs, "folder for histories, configurations and logs");
     command->add_flag("--alone", command_line.standalone, "no operators' file: the nodes run without peers");
     command->add_flag("--quiet", command_line.quiet, "no progress");
@@ -202,7 +203,8 @@
   CLI::App* const check_command = app.add_subcommand("judge", "check a recorded history again");
   check_command->add_option("history", history)->required()->check(CLI::ExistingFile);
   check_command->add_option("scenario", scenario)->required()->check(CLI::ExistingFile);
-  check_command->add_option("--slack", command_line.slack, "seconds by which a time limit may be missed");
+  check_command->add_option("--slack", command_line.time_tolerance,
+                            "seconds by which a time limit may be missed");
   std::size_t connections = 9900;  // the relay uses two descriptors for each
   CLI::App* const cost_command = app.add_subcommand("relay-cost", "what a relay adds to a round trip");
   cost_command->add_option("--connections", connections, "connections held open during the measurement");
@@ -213,7 +215,8 @@
   soak_command->add_option("--node", command_line.node, "the node's program")
       ->required()
       ->check(CLI::ExistingFile);
-  soak_command->add_option("--slack", command_line.slack, "seconds by which a time limit may be missed");
+  soak_command->add_option("--slack", command_line.time_tolerance,
+                           "seconds by which a time limit may be missed");
   soak_command->add_option("--logs", command_line.logs,
                            "folder for histories, configurations and logs of failed scenarios");
   soak_command->add_flag("--keep", command_line.keep, "keep those of passed scenarios too");
@@ -221,7 +224,7 @@
   if (soak_command->parsed()) return run_soak(command_line, first, last);
   if (run_command->parsed()) return run(command_line);
   if (table_command->parsed()) return compare(command_line);
-  if (check_command->parsed()) return check_file(history, scenario, command_line.slack);
+  if (check_command->parsed()) return check_file(history, scenario, command_line.time_tolerance);
   return print_relay_cost(connections);
 }
 
--- a/fleet_rig/run/scenario_run.cpp
+++ b/fleet_rig/run/scenario_run.cpp
@@ -37,7 +37,7 @@
     }
     const History history = History::read(out.history);
     Rules rules = Rules::of(scenario);
-    rules.slack = options.slack;
+    rules.time_tolerance = options.time_tolerance;
     out.verdict = check_history(history, rules);
     out.figures = figures_of(history, scenario);
     if (!out.verdict.void_run || run >= options.max_runs) return out;
--- a/fleet_rig/run/scenario_run.h
+++ b/fleet_rig/run/scenario_run.h
@@ -14,8 +14,8 @@
 struct ScenarioRunOptions {
   std::string program, folder;
   std::uint64_t seed = 1;
-  double slack = 0.05;  // s; see Rules
-  int max_runs = 1;     // in total: a run in which the rig itself ran late is repeated
+  double time_tolerance = 0.05;  // s; see Rules
+  int max_runs = 1;              // in total: a run in which the rig itself ran late is repeated
   std::function<void(double, const std::string&)> progress;
 };
 
--- a/tests/fleet_rig/scenario_fixture.h
+++ b/tests/fleet_rig/scenario_fixture.h
@@ -46,7 +46,7 @@
   ScenarioRunOptions options;
   options.program = NODE_PROGRAM;
   options.folder = testing::TempDir() + "/fleet_" + std::to_string(::getpid()) + "_" + name;
-  options.slack = kTestSlack;
+  options.time_tolerance = kTestSlack;
   options.max_runs = 3;
   CheckedRun out;
   out.run = run_scenario(scenario, options);
--- a/tests/fleet_rig/views_test.cpp
+++ b/tests/fleet_rig/views_test.cpp
@@ -38,7 +38,7 @@
   h.records.push_back(of(end, What::kUsage, 0));
   h.sort();
   Rules rules;
-  rules.views_within = 5;
+  rules.view_convergence_time = 5;
   Verdict out;
   check_views(h, rules, out);
   return out;
