--- a/fleet_rig/actors/client_pool.cpp
+++ b/fleet_rig/actors/client_pool.cpp
@@ -156,7 +156,7 @@
   began.t = started_at;
   began.what = Record::What::kOperationBegan;
   began.by = kClients;
-  began.first = operation_id;
+  began.operation_id = operation_id;
   began.request_class = static_cast<int>(class_index);
   began.tenant = static_cast<int>(tenant_index);
   history_.add(began);
--- a/fleet_rig/actors/discovery_stand_in.cpp
+++ b/fleet_rig/actors/discovery_stand_in.cpp
@@ -128,7 +128,7 @@
   notified.what = Record::What::kNotified;
   notified.by = node;
   notified.to = server;
-  notified.yes = status == Status::kUp;
+  notified.flag = status == Status::kUp;
   if (access_.reaches(node)) {
     history_.add(notified);
   } else {
--- a/fleet_rig/actors/http_client.cpp
+++ b/fleet_rig/actors/http_client.cpp
@@ -80,7 +80,7 @@
     r.by = client_;
     r.to = node_;
     r.id = request.id;
-    r.first = request.operation_id;
+    r.operation_id = request.operation_id;
     r.request_class = request.request_class;
     r.tenant = request.tenant_index;
     r.tier = request.tier;
@@ -127,7 +127,7 @@
       co_return result;
     }
     if (deadline.state->expired) {
-      record(Record::What::kClientLeft, 0);
+      record(Record::What::kClientDisconnected, 0);
       co_return result;
     }
     // The node may close an idle connection just as a request is sent; the request is resent on another one.
--- a/fleet_rig/actors/server_stand_in.cpp
+++ b/fleet_rig/actors/server_stand_in.cpp
@@ -152,15 +152,15 @@
   out.what = Record::What::kServerReceived;
   out.by = actor_;
   out.id = request.id;
-  out.first = request.operation_id;
+  out.operation_id = request.operation_id;
   out.tier = actor_.kind == ActorKind::kBackend ? 1 : 0;
-  out.left = out.t;
+  out.last_byte_sent_at = out.t;
   if (const auto from = origin_(port)) {
     out.to = from->from;
-    out.left = history_.at(from->last_read);
+    out.last_byte_sent_at = history_.at(from->last_read);
   }
   out.work = work;
-  out.cold = model_.warmth(out.t) < 1 ? model_.rate(out.t, 1) : 0;
+  out.cold_capacity = model_.warmth(out.t) < 1 ? model_.rate(out.t, 1) : 0;
   return out;
 }
 
@@ -171,12 +171,12 @@
   const bool fails = random_.unit() < fail_share_, mute = random_.unit() < mute_share_;
   const std::size_t queued = queue_.size();
   advance_model();
-  arrival.yes = fails || mute || !is_full(queued);
+  arrival.flag = fails || mute || !is_full(queued);
   history_.add(arrival);
-  const auto kind = mute           ? Admission::Kind::kNoResponse
-                    : !arrival.yes ? Admission::Kind::kReject
-                    : fails        ? Admission::Kind::kFail
-                                   : Admission::Kind::kProcess;
+  const auto kind = mute            ? Admission::Kind::kNoResponse
+                    : !arrival.flag ? Admission::Kind::kReject
+                    : fails         ? Admission::Kind::kFail
+                                    : Admission::Kind::kProcess;
   return {kind, work};
 }
 
--- a/fleet_rig/history/answer_checkers.cpp
+++ b/fleet_rig/history/answer_checkers.cpp
@@ -13,7 +13,7 @@
 }
 
 bool is_request_end(What what) {
-  return what == What::kResponse || what == What::kConnectionBroken || what == What::kClientLeft;
+  return what == What::kResponse || what == What::kConnectionBroken || what == What::kClientDisconnected;
 }
 
 }  // namespace
@@ -41,7 +41,8 @@
     return report(sent, "got more than one response", end.t);
   const bool late = end.what == What::kResponse && end.t > sent.limit + slack_;
   const bool connection_lost = end.what == What::kConnectionBroken && !request.answered;
-  const bool unanswered = end.what == What::kClientLeft && !request.answered && end.t >= sent.limit + slack_;
+  const bool unanswered =
+      end.what == What::kClientDisconnected && !request.answered && end.t >= sent.limit + slack_;
   if (!late && !connection_lost && !unanswered) return;
   if (faults_.fault_affects(sent.by, sent.to, sent.t, std::min(end.t, sent.limit + slack_))) {
     ++verdict_.excused;
@@ -60,20 +61,21 @@
 
 void AbandonmentChecker::check() {
   for (const Record& r : history_.records) {
-    if (r.what == What::kClientLeft) disconnected_[r.id] = &r;
+    if (r.what == What::kClientDisconnected) disconnected_[r.id] = &r;
     if (r.what == What::kServerReceived) on_received(r);
   }
 }
 
 void AbandonmentChecker::on_received(const Record& attempt) {
   const auto found = disconnected_.find(attempt.id);
-  if (found == disconnected_.end() || attempt.left <= found->second->t + grace_) return;
+  if (found == disconnected_.end() || attempt.last_byte_sent_at <= found->second->t + grace_) return;
   // A node can't see a disconnect that is lost on a faulty link. A paused node is not excused: it can see
   // the disconnect as soon as it resumes.
   const Record& disconnect = *found->second;
-  if (faults_.link_faulty(disconnect.by, disconnect.to, disconnect.t, attempt.left)) return;
+  if (faults_.link_faulty(disconnect.by, disconnect.to, disconnect.t, attempt.last_byte_sent_at)) return;
   verdict_.violations.push_back({"abandoned",
-                                 attempt.id + " was sent " + std::to_string(attempt.left - disconnect.t) +
+                                 attempt.id + " was sent " +
+                                     std::to_string(attempt.last_byte_sent_at - disconnect.t) +
                                      " s after its client disconnected",
                                  attempt.t});
 }
--- a/fleet_rig/history/fault_windows.cpp
+++ b/fleet_rig/history/fault_windows.cpp
@@ -25,10 +25,10 @@
       case What::kTerm:
         shut_down_.begin(r.by, r.t + kGracefulShutdownSeconds);
         break;
-      case What::kBadLink:
+      case What::kLinkFaulty:
         links_.begin({r.by, r.to}, r.t);
         break;
-      case What::kGoodLink:
+      case What::kLinkRestored:
         links_.end({r.by, r.to}, r.t);
         break;
       default:
--- a/fleet_rig/history/figures.cpp
+++ b/fleet_rig/history/figures.cpp
@@ -77,7 +77,7 @@
     Second* const second = second_of(r.t);
     switch (r.what) {
       case What::kOperationBegan: {
-        operations[r.first] = {r.t, r.request_class, r.tenant, -1, false};
+        operations[r.operation_id] = {r.t, r.request_class, r.tenant, -1, false};
         out.wanted += 1;
         if (second != nullptr) second->wanted += 1;
         break;
@@ -86,7 +86,7 @@
         if (r.by.kind != ActorKind::kClients) break;
         out.client_attempts += 1;
         if (second != nullptr) second->client_attempts += 1;
-        operations[r.first].node = r.to.number;
+        operations[r.operation_id].node = r.to.number;
         break;
       case What::kServerReceived:
         (r.by.kind == ActorKind::kServer ? out.first_tier : out.second_tier) += 1;
@@ -95,7 +95,7 @@
           (r.by.kind == ActorKind::kServer ? second->first_tier : second->second_tier) += 1;
         break;
       case What::kOperationEnded: {
-        Operation& operation = operations[r.first];
+        Operation& operation = operations[r.operation_id];
         operation.ended = true;
         Second* const began_in = second_of(operation.at);
         ServedCount& node = by_node[operation.node];
@@ -125,7 +125,7 @@
       case What::kFault:
         open_faults[r.note] = r.t;
         break;
-      case What::kHealed:
+      case What::kFaultEnded:
         if (const auto at = open_faults.find(r.note); at != open_faults.end()) {
           out.faults.emplace_back(at->second, r.t);
           open_faults.erase(at);
--- a/fleet_rig/history/record.cpp
+++ b/fleet_rig/history/record.cpp
@@ -77,20 +77,20 @@
   put(out, "by", r.by);
   put(out, "to", r.to);
   put(out, "id", r.id);
-  put(out, "first", r.first);
+  put(out, "first", r.operation_id);
   put(out, "class", r.request_class);
   put(out, "tenant", r.tenant);
   put(out, "tier", r.tier);
   put(out, "count", r.count);
   put(out, "status", r.status);
-  if (r.yes) {
+  if (r.flag) {
     out.Key("yes");
     out.Bool(true);
   }
   put(out, "limit", r.limit);
-  put(out, "left", r.left);
+  put(out, "left", r.last_byte_sent_at);
   put(out, "work", r.work);
-  put(out, "cold", r.cold);
+  put(out, "cold", r.cold_capacity);
   put(out, "wait", r.wait);
   put(out, "note", r.note);
   out.EndObject();
@@ -111,17 +111,17 @@
   get(in, "by", out.by);
   get(in, "to", out.to);
   get(in, "id", out.id);
-  get(in, "first", out.first);
+  get(in, "first", out.operation_id);
   get(in, "class", out.request_class);
   get(in, "tenant", out.tenant);
   get(in, "tier", out.tier);
   get(in, "count", out.count);
   get(in, "status", out.status);
-  get(in, "yes", out.yes);
+  get(in, "yes", out.flag);
   get(in, "limit", out.limit);
-  get(in, "left", out.left);
+  get(in, "left", out.last_byte_sent_at);
   get(in, "work", out.work);
-  get(in, "cold", out.cold);
+  get(in, "cold", out.cold_capacity);
   get(in, "wait", out.wait);
   get(in, "note", out.note);
   return out;
@@ -135,7 +135,7 @@
     if (std::optional<Record> record = from_line(line)) {
       out.records.push_back(std::move(*record));
     } else {
-      ++out.unread;
+      ++out.unparsed_lines;
     }
   }
   out.sort();
--- a/fleet_rig/history/run_checkers.cpp
+++ b/fleet_rig/history/run_checkers.cpp
@@ -19,7 +19,7 @@
 bool is_disturbance(const Record& r) {
   switch (r.what) {
     case What::kFault:
-    case What::kHealed:
+    case What::kFaultEnded:
     case What::kTerm:
       return true;
     case What::kUp:
@@ -44,8 +44,8 @@
       verdict_.violations.push_back({"crash", bench::name_of(r.by) + ": " + r.note, r.t});
   }
   if (!begun) verdict_.missing_input.emplace_back("the history has no record of the beginning of the run");
-  if (history_.unread > 0)
-    verdict_.missing_input.push_back(std::to_string(history_.unread) +
+  if (history_.unparsed_lines > 0)
+    verdict_.missing_input.push_back(std::to_string(history_.unparsed_lines) +
                                      " lines of the history could not be parsed");
   for (const Actor& actor : open)
     verdict_.missing_input.push_back(bench::name_of(actor) + " did not write its last record");
--- a/fleet_rig/history/server_checkers.cpp
+++ b/fleet_rig/history/server_checkers.cpp
@@ -48,16 +48,16 @@
 
 void DoubleEffectChecker::on_received(const Record& attempt, const RequestClass& c, Request& request) {
   ++verdict_.attempts_received;
-  if (attempt.left > request.answered + slack_) report(attempt, "was sent after its response");
-  if (!attempt.yes) return;  // rejected without having run
+  if (attempt.last_byte_sent_at > request.answered + slack_) report(attempt, "was sent after its response");
+  if (!attempt.flag) return;  // rejected without having run
   for (const Run& earlier : request.runs) check_rerun(attempt, earlier, c);
-  request.runs.push_back({attempt.left > 0 ? attempt.left : attempt.t, attempt.by});
+  request.runs.push_back({attempt.last_byte_sent_at > 0 ? attempt.last_byte_sent_at : attempt.t, attempt.by});
 }
 
 void DoubleEffectChecker::check_rerun(const Record& attempt, const Run& earlier, const RequestClass& c) {
   if (c.idempotency == Idempotency::kNotIdempotent) return report(attempt, "ran twice");
   if (c.idempotency != Idempotency::kIdempotentWithKey) return;
-  if (attempt.left > earlier.at + c.dedup_window + slack_) {
+  if (attempt.last_byte_sent_at > earlier.at + c.dedup_window + slack_) {
     report(attempt, "was sent again after its deduplication window");
   } else if (!in_same_scope(earlier.server, attempt.by, c.dedup_scope)) {
     report(attempt, "was sent again to a server outside the scope of its key");
@@ -79,8 +79,8 @@
 
 void DrainChecker::check() {
   for (const Record& r : history_.records) {
-    if (r.what == What::kNotified && r.yes) not_ready_since_.erase({r.by, r.to});
-    if (r.what == What::kNotified && !r.yes) not_ready_since_.try_emplace({r.by, r.to}, r.t);
+    if (r.what == What::kNotified && r.flag) not_ready_since_.erase({r.by, r.to});
+    if (r.what == What::kNotified && !r.flag) not_ready_since_.try_emplace({r.by, r.to}, r.t);
     // A restarted node knows only the endpoint list that it is started with.
     if (r.what == What::kDown || r.what == What::kCrash)
       std::erase_if(not_ready_since_, [&](const auto& entry) { return entry.first.first == r.by; });
@@ -90,11 +90,11 @@
 
 void DrainChecker::on_received(const Record& attempt) {
   const auto found = not_ready_since_.find({attempt.to, attempt.by});
-  if (found == not_ready_since_.end() || attempt.left <= found->second + grace_) return;
+  if (found == not_ready_since_.end() || attempt.last_byte_sent_at <= found->second + grace_) return;
   verdict_.violations.push_back({"drains-kept",
                                  attempt.id + " was sent by " + bench::name_of(attempt.to) + " to " +
                                      bench::name_of(attempt.by) + " " +
-                                     std::to_string(attempt.left - found->second) +
+                                     std::to_string(attempt.last_byte_sent_at - found->second) +
                                      " s after the notification that the server is not ready",
                                  attempt.t});
 }
@@ -107,7 +107,7 @@
 
 void ColdServerChecker::on_received(const Record& attempt) {
   RecentArrivals& recent = recent_[attempt.by];
-  if (attempt.cold <= 0) {
+  if (attempt.cold_capacity <= 0) {
     recent = {};
     return;
   }
@@ -118,13 +118,14 @@
     recent.arrivals.pop_front();
   }
   // A single request is no overload: it may be larger than what a cold server can do in a second.
-  if (recent.arrivals.size() < 2 || recent.work <= rules_.fall_multiple * attempt.cold * rules_.fall_s)
+  if (recent.arrivals.size() < 2 ||
+      recent.work <= rules_.fall_multiple * attempt.cold_capacity * rules_.fall_s)
     return;
   if (std::exchange(recent.reported, true)) return;
   verdict_.violations.push_back({"cold-servers",
                                  bench::name_of(attempt.by) + " received " + std::to_string(recent.work) +
                                      " s of work from all nodes within a second while its capacity was " +
-                                     std::to_string(attempt.cold),
+                                     std::to_string(attempt.cold_capacity),
                                  attempt.t});
 }
 
--- a/fleet_rig/history/views.cpp
+++ b/fleet_rig/history/views.cpp
@@ -109,8 +109,8 @@
       case What::kResumed:
       case What::kTerm:
         return is_node(record.by);
-      case What::kBadLink:
-      case What::kGoodLink:
+      case What::kLinkFaulty:
+      case What::kLinkRestored:
         return true;
       default:
         return false;
@@ -165,10 +165,10 @@
       case What::kTerm:
         leaving_.insert(record.by);
         break;
-      case What::kBadLink:
+      case What::kLinkFaulty:
         ++faulty_links_;
         break;
-      case What::kGoodLink:
+      case What::kLinkRestored:
         --faulty_links_;
         break;
       default:
--- a/fleet_rig/run/fleet.cpp
+++ b/fleet_rig/run/fleet.cpp
@@ -222,7 +222,7 @@
     schedule_at(flood.at, [this, note] { record(Record::What::kFault, kDiscoveryActor, note); });
     if (std::isfinite(flood.lasts))
       schedule_at(flood.at + flood.lasts,
-                  [this, note] { record(Record::What::kHealed, kDiscoveryActor, note); });
+                  [this, note] { record(Record::What::kFaultEnded, kDiscoveryActor, note); });
   }
 }
 
--- a/fleet_rig/run/fleet_faults.cpp
+++ b/fleet_rig/run/fleet_faults.cpp
@@ -79,7 +79,7 @@
     record(Record::What::kFault, kDiscoveryActor, step.note);
   } else {
     end_fault(fault, step);
-    record(Record::What::kHealed, kDiscoveryActor, step.note);
+    record(Record::What::kFaultEnded, kDiscoveryActor, step.note);
   }
 }
 
@@ -199,7 +199,7 @@
       direction.lift(step.number);
     }
     Record r;
-    r.what = on ? Record::What::kBadLink : Record::What::kGoodLink;
+    r.what = on ? Record::What::kLinkFaulty : Record::What::kLinkRestored;
     r.by = way.from;
     r.to = way.to;
     history_.add(r);
--- a/tests/fleet_rig/checkers_test.cpp
+++ b/tests/fleet_rig/checkers_test.cpp
@@ -50,19 +50,19 @@
                 .by = kClients,
                 .to = node(to),
                 .id = id,
-                .first = id,
+                .operation_id = id,
                 .request_class = request_class,
                 .limit = t + time});
   }
   HistoryBuilder& server_received(double t, const std::string& id, int at, int from = 0, bool executed = true,
-                                  double left = 0) {
+                                  double last_byte_sent_at = 0) {
     return add({.t = t,
                 .what = What::kServerReceived,
                 .by = server(at),
                 .to = node(from),
                 .id = id,
-                .yes = executed,
-                .left = left > 0 ? left : t,
+                .flag = executed,
+                .last_byte_sent_at = last_byte_sent_at > 0 ? last_byte_sent_at : t,
                 .work = 0.1});
   }
   HistoryBuilder& response(double t, const std::string& id, int status) {
@@ -71,8 +71,8 @@
   HistoryBuilder& client_event(double t, What what, const std::string& id) {
     return add({.t = t, .what = what, .by = kClients, .to = node(0), .id = id});
   }
-  HistoryBuilder& actor_event(double t, What what, const Actor& by, const Actor& to = {}, bool yes = false) {
-    return add({.t = t, .what = what, .by = by, .to = to, .yes = yes});
+  HistoryBuilder& actor_event(double t, What what, const Actor& by, const Actor& to = {}, bool flag = false) {
+    return add({.t = t, .what = what, .by = by, .to = to, .flag = flag});
   }
   Verdict verdict(bool ended = true) {
     if (ended) add({.t = 19, .what = What::kClosed, .by = kClients});
@@ -115,7 +115,7 @@
       HistoryBuilder().request_sent(1, "a").client_event(1.4, What::kConnectionBroken, "a").verdict(),
       "one-final-answer");
   expect_only_violation_of(
-      HistoryBuilder().request_sent(1, "a").client_event(2.3, What::kClientLeft, "a").verdict(),
+      HistoryBuilder().request_sent(1, "a").client_event(2.3, What::kClientDisconnected, "a").verdict(),
       "one-final-answer");
   expect_only_violation_of(
       HistoryBuilder().request_sent(1, "a").response(1.2, "a", 200).response(1.3, "a", 200).verdict(),
@@ -123,7 +123,8 @@
 }
 
 TEST(FinalAnswer, IsNotRequiredForAClientThatDisconnectsEarly) {
-  expect_passed(HistoryBuilder().request_sent(1, "a").client_event(1.4, What::kClientLeft, "a").verdict());
+  expect_passed(
+      HistoryBuilder().request_sent(1, "a").client_event(1.4, What::kClientDisconnected, "a").verdict());
 }
 
 TEST(FinalAnswer, OfAKilledOrPartitionedNodeIsExcusedAndCounted) {
@@ -137,14 +138,14 @@
   expect_passed(HistoryBuilder()
                     .actor_event(0.5, What::kPaused, node(0))
                     .request_sent(1, "a")
-                    .client_event(2.3, What::kClientLeft, "a")
+                    .client_event(2.3, What::kClientDisconnected, "a")
                     .actor_event(3, What::kResumed, node(0))
                     .verdict());
   expect_passed(HistoryBuilder()
-                    .actor_event(0.5, What::kBadLink, node(0), kClients)
+                    .actor_event(0.5, What::kLinkFaulty, node(0), kClients)
                     .request_sent(1, "a")
-                    .client_event(2.3, What::kClientLeft, "a")
-                    .actor_event(3, What::kGoodLink, node(0), kClients)
+                    .client_event(2.3, What::kClientDisconnected, "a")
+                    .actor_event(3, What::kLinkRestored, node(0), kClients)
                     .verdict());
 }
 
@@ -164,9 +165,9 @@
                            "one-final-answer");
   // A fault on the node's link to a server does not excuse the node's clients.
   expect_only_violation_of(HistoryBuilder()
-                               .actor_event(0.5, What::kBadLink, node(0), server(0))
+                               .actor_event(0.5, What::kLinkFaulty, node(0), server(0))
                                .request_sent(1, "a")
-                               .client_event(2.3, What::kClientLeft, "a")
+                               .client_event(2.3, What::kClientDisconnected, "a")
                                .verdict(),
                            "one-final-answer");
 }
@@ -261,11 +262,11 @@
 // ---------------------------------------------------------------- drains, cold servers, disconnected clients
 
 TEST(Drains, CountFromTheNodesOwnNotification) {
-  const auto verdict_of = [](double received_at, int from, double left = 0) {
+  const auto verdict_of = [](double received_at, int from, double last_byte_sent_at = 0) {
     return HistoryBuilder()
         .actor_event(1, What::kNotified, node(0), server(0), false)
         .request_sent(received_at - 0.1, "a", kIdempotent, from)
-        .server_received(received_at, "a", 0, from, true, left)
+        .server_received(received_at, "a", 0, from, true, last_byte_sent_at)
         .response(received_at + 0.1, "a", 200)
         .verdict();
   };
@@ -304,10 +305,10 @@
              .by = server(0),
              .to = node(i % nodes),
              .id = id,
-             .yes = true,
-             .left = 1.001 + i * 0.01,
+             .flag = true,
+             .last_byte_sent_at = 1.001 + i * 0.01,
              .work = 0.1,
-             .cold = cold});
+             .cold_capacity = cold});
       s.response(1.9, id, 200);
     }
     return s.verdict();
@@ -318,11 +319,11 @@
 }
 
 TEST(Abandoned, SendLongAfterTheClientDisconnectedIsReported) {
-  const auto verdict_of = [](double received_at, double left) {
+  const auto verdict_of = [](double received_at, double last_byte_sent_at) {
     return HistoryBuilder()
         .request_sent(1, "a", kIdempotent)
-        .client_event(1.3, What::kClientLeft, "a")
-        .server_received(received_at, "a", 0, 0, true, left)
+        .client_event(1.3, What::kClientDisconnected, "a")
+        .server_received(received_at, "a", 0, 0, true, last_byte_sent_at)
         .verdict();
   };
   expect_passed(verdict_of(1.4, 1.4));
@@ -332,17 +333,17 @@
   expect_only_violation_of(HistoryBuilder()
                                .actor_event(0.9, What::kPaused, node(0))
                                .request_sent(1, "a", kIdempotent)
-                               .client_event(1.3, What::kClientLeft, "a")
+                               .client_event(1.3, What::kClientDisconnected, "a")
                                .actor_event(3.4, What::kResumed, node(0))
                                .server_received(3.5, "a", 0)
                                .verdict(),
                            "abandoned");
   expect_passed(HistoryBuilder()
-                    .actor_event(0.9, What::kBadLink, kClients, node(0))
+                    .actor_event(0.9, What::kLinkFaulty, kClients, node(0))
                     .request_sent(1, "a", kIdempotent)
-                    .client_event(1.3, What::kClientLeft, "a")
+                    .client_event(1.3, What::kClientDisconnected, "a")
                     .server_received(3.5, "a", 0)
-                    .actor_event(4, What::kGoodLink, kClients, node(0))
+                    .actor_event(4, What::kLinkRestored, kClients, node(0))
                     .verdict());
 }
 
@@ -351,7 +352,7 @@
 HistoryBuilder with_usage(int descriptors, int kilobytes, double healed = 8, int kept = 0) {
   HistoryBuilder s;
   s.request_sent(0.5, "a").response(0.6, "a", 200);
-  s.actor_event(5, What::kFault, kDiscovery).actor_event(healed, What::kHealed, kDiscovery);
+  s.actor_event(5, What::kFault, kDiscovery).actor_event(healed, What::kFaultEnded, kDiscovery);
   for (int t = 1; t < 19; ++t) {
     for (int n = 0; n < 2; ++n) {
       const bool late = n == 1 && t > 8;
@@ -400,7 +401,7 @@
       << "an attempt of a request that no client sent";
   HistoryBuilder truncated;
   truncated.request_sent(1, "a").response(1.1, "a", 200);
-  truncated.history().unread = 1;
+  truncated.history().unparsed_lines = 1;
   EXPECT_FALSE(truncated.verdict().passed()) << "a truncated line";
   History empty;
   EXPECT_FALSE(check_history(empty, rules()).passed());
@@ -425,17 +426,17 @@
            .by = server(3),
            .to = node(2),
            .id = "x\"y",
-           .first = "f",
+           .operation_id = "f",
            .request_class = 2,
            .tenant = 1,
            .tier = 1,
            .count = 7,
            .status = 503,
-           .yes = true,
+           .flag = true,
            .limit = 3.5,
-           .left = 1.125,
+           .last_byte_sent_at = 1.125,
            .work = 0.25,
-           .cold = 0.5,
+           .cold_capacity = 0.5,
            .wait = 0.75,
            .note = "n"};
   const std::optional<Record> back = from_line(to_line(r));
@@ -443,7 +444,7 @@
   EXPECT_EQ(to_line(*back), to_line(r));
   EXPECT_EQ(back->id, r.id);
   EXPECT_EQ(back->by, r.by);
-  EXPECT_DOUBLE_EQ(back->left, r.left);
+  EXPECT_DOUBLE_EQ(back->last_byte_sent_at, r.last_byte_sent_at);
   for (const char* malformed :
        {"", "{", "[]", "{\"t\":1}", "{\"t\":1,\"what\":\"dance\"}", "{\"t\":1,\"what\":\"as"})
     EXPECT_FALSE(from_line(malformed)) << malformed;
@@ -463,7 +464,7 @@
   EXPECT_EQ(back.records[0].what, What::kUp);
   EXPECT_LE(back.records[0].t, -5);
   std::ofstream(path, std::ios::app) << "{\"t\":1,\"wha";
-  EXPECT_EQ(History::read(path).unread, 1u);
+  EXPECT_EQ(History::read(path).unparsed_lines, 1u);
   std::remove(path.c_str());
   EXPECT_THROW(History::read(path), std::runtime_error);
 }
@@ -478,7 +479,7 @@
   for (int i = 0; i < 100; ++i) {
     const double t = 0.1 * i + 0.01;
     const std::string id = "w" + std::to_string(i);
-    builder.add({.t = t, .what = What::kOperationBegan, .by = kClients, .first = id});
+    builder.add({.t = t, .what = What::kOperationBegan, .by = kClients, .operation_id = id});
     builder.request_sent(t + 0.001, id, 0);
     builder.server_received(t + 0.01, id, 0);
     if (i % 4 == 0) builder.server_received(t + 0.02, id, 1);
@@ -486,11 +487,11 @@
     builder.add({.t = t + 0.05,
                  .what = What::kOperationEnded,
                  .by = kClients,
-                 .first = id,
+                 .operation_id = id,
                  .status = lost ? 503 : 200});
   }
   builder.add({.t = 4, .what = What::kFault, .by = kDiscovery, .note = "x"});
-  builder.add({.t = 6, .what = What::kHealed, .by = kDiscovery, .note = "x"});
+  builder.add({.t = 6, .what = What::kFaultEnded, .by = kDiscovery, .note = "x"});
   builder.history().sort();
   const Figures f = figures_of(builder.history(), s);
   EXPECT_DOUBLE_EQ(f.wanted, 100);
@@ -511,16 +512,16 @@
     for (int i = 0; i < 200; ++i) {
       const double t = 0.1 * i + 0.01;
       const std::string id = "w" + std::to_string(i);
-      builder.add({.t = t, .what = What::kOperationBegan, .by = kClients, .first = id});
+      builder.add({.t = t, .what = What::kOperationBegan, .by = kClients, .operation_id = id});
       const bool lost = t > 4 && t < until;
       builder.add({.t = t + 0.01,
                    .what = What::kOperationEnded,
                    .by = kClients,
-                   .first = id,
+                   .operation_id = id,
                    .status = lost ? 0 : 200});
     }
     builder.add({.t = 4, .what = What::kFault, .by = kDiscovery, .note = "x"});
-    builder.add({.t = 6, .what = What::kHealed, .by = kDiscovery, .note = "x"});
+    builder.add({.t = 6, .what = What::kFaultEnded, .by = kDiscovery, .note = "x"});
     builder.history().sort();
     return figures_of(builder.history(), s).recovery;
   };
--- a/tests/fleet_rig/scenarios_test.cpp
+++ b/tests/fleet_rig/scenarios_test.cpp
@@ -94,9 +94,9 @@
       run_with_faults("zone_lost",
                       "[[change]]\nat = 1\nwhat = \"stop\"\nfirst = 3\nlast = 5\ntold_after_ms = 500\n"
                       "[[change]]\nat = 3\nwhat = \"start\"\nfirst = 3\nlast = 5\ntold_after_ms = 100\n");
-  const auto cold =
-      std::count_if(result.history.records.begin(), result.history.records.end(),
-                    [](const Record& r) { return r.what == Record::What::kServerReceived && r.cold > 0; });
+  const auto cold = std::count_if(
+      result.history.records.begin(), result.history.records.end(),
+      [](const Record& r) { return r.what == Record::What::kServerReceived && r.cold_capacity > 0; });
   EXPECT_GT(cold, 0) << "cold servers received requests";
 }
 
@@ -104,8 +104,8 @@
   const ScenarioResult result = run_with_faults(
       "one_way",
       "[[fault]]\nat = 1.5\nlasts = 2\nwhat = \"cut_to\"\nwho = \"server:3-5\"\nto = \"node:0-1\"\n");
-  EXPECT_EQ(result.count(Record::What::kBadLink), 6u);
-  EXPECT_EQ(result.count(Record::What::kGoodLink), 6u);
+  EXPECT_EQ(result.count(Record::What::kLinkFaulty), 6u);
+  EXPECT_EQ(result.count(Record::What::kLinkRestored), 6u);
 }
 
 TEST(FleetScenario, EndpointListsAreLateAndDiffer) {
@@ -114,9 +114,9 @@
                       "[[fault]]\nat = 0.2\nlasts = 5\nwhat = \"lag\"\ndelay_ms = 700\n"
                       "[[change]]\nat = 1\nwhat = \"drain\"\nfirst = 0\nlast = 1\n"
                       "[[change]]\nat = 4\nwhat = \"stop\"\nfirst = 0\nlast = 1\n");
-  const auto notified =
-      std::count_if(result.history.records.begin(), result.history.records.end(),
-                    [](const Record& r) { return r.what == Record::What::kNotified && !r.yes && r.t > 1.7; });
+  const auto notified = std::count_if(
+      result.history.records.begin(), result.history.records.end(),
+      [](const Record& r) { return r.what == Record::What::kNotified && !r.flag && r.t > 1.7; });
   EXPECT_GE(notified, 8) << "each node was notified of each drain";
 }
 
--- a/tests/fleet_rig/views_test.cpp
+++ b/tests/fleet_rig/views_test.cpp
@@ -98,7 +98,7 @@
                             view(17, 0, 2, 3, 2), view(18, 2, 2, 3, 2)},
                            22)
                   .passed());
-  EXPECT_TRUE(verdict_with({of(8, What::kBadLink, 1)}).passed());
+  EXPECT_TRUE(verdict_with({of(8, What::kLinkFaulty, 1)}).passed());
 }
 
 TEST(ReplicaSetViews, ThatCountFewerNodesThanRunAreReportedAtOnce) {
