--- a/fleet_rig/history/figures.cpp
+++ b/fleet_rig/history/figures.cpp
@@ -58,7 +58,7 @@
 }  // namespace
 
 // NOLINTNEXTLINE(readability-function-size,readability-function-cognitive-complexity)
-Figures figures_of(const History& history, const bench::Scenario& scenario) {
+Figures compute_figures(const History& history, const bench::Scenario& scenario) {
   Figures out;
   out.seconds.resize(static_cast<std::size_t>(std::ceil(scenario.seconds)));
   std::unordered_map<std::string, Operation> operations;
@@ -151,14 +151,14 @@
   const double mean_rate = out.wanted / std::max(1.0, scenario.seconds);
   for (const Second& s : out.seconds) {
     if (s.wanted < mean_rate / 10) continue;
-    out.worst_second = std::min(out.worst_second, s.served / s.wanted);
+    out.min_second_share = std::min(out.min_second_share, s.served / s.wanted);
     out.max_first_tier = std::max(out.max_first_tier, s.first_tier / s.wanted);
   }
   constexpr double kMinOperations = 30;  // operations; with fewer, a share is too noisy
   bool found = false;
   for (const auto& [node, served_count] : by_node) {
     if (node < 0 || disturbed.contains(node) || served_count.wanted < kMinOperations) continue;
-    out.least_node = found ? std::min(out.least_node, served_count.share()) : served_count.share();
+    out.min_node_share = found ? std::min(out.min_node_share, served_count.share()) : served_count.share();
     out.max_node = found ? std::max(out.max_node, served_count.share()) : served_count.share();
     found = true;
   }
@@ -167,11 +167,11 @@
         scenario.floods.begin(), scenario.floods.end(),
         [number = tenant](const bench::Flood& flood) { return static_cast<int>(flood.tenant) == number; });
     if (served_count.wanted >= kMinOperations && !floods)
-      out.least_tenant = std::min(out.least_tenant, served_count.share());
+      out.min_tenant_share = std::min(out.min_tenant_share, served_count.share());
   }
   for (const auto& [server, attempts] : by_server)
-    out.most_server =
-        std::max(out.most_server, attempts * static_cast<double>(scenario.servers.size()) / out.first_tier);
+    out.max_server_load_ratio = std::max(
+        out.max_server_load_ratio, attempts * static_cast<double>(scenario.servers.size()) / out.first_tier);
   double cpu = 0;
   for (const auto& [actor, last] : usage_last) {
     out.memory_kb = std::max(out.memory_kb, static_cast<double>(last.status));
@@ -187,7 +187,7 @@
   out.second_tier /= std::max(1.0, out.wanted);
   out.p50 = latency.quantile(0.5);
   out.p99 = latency.quantile(0.99);
-  out.recovery = recovery_of(out);
+  out.recovery_seconds = recovery_of(out);
   return out;
 }
 
--- a/fleet_rig/history/figures.h
+++ b/fleet_rig/history/figures.h
@@ -25,25 +25,26 @@
   double first_tier = 0, second_tier = 0;  // attempts that reached servers and backends, per operation
   double max_first_tier = 0;               // maximum over the seconds with at least a tenth of the mean load
   double p50 = 0, p99 = 0;                 // s; latency of served operations
-  double worst_second = 1;  // minimum served share of the seconds with at least a tenth of the mean load
-  double recovery = 0;      // s from the end of the last fault until recovered, see figures_of(); -1: never
-  double most_server = 1;   // attempts at the busiest first-tier server, relative to the mean
-  double least_node = 1, max_node = 1;  // minimum and maximum served share of the nodes
-                                        // that were never down, paused or sent SIGTERM
-  double least_tenant = 1;              // minimum served share of the tenants that don't flood
+  double min_second_share = 1;  // minimum served share of the seconds with at least a tenth of the mean load
+  double recovery_seconds =
+      0;  // s from the end of the last fault until recovered, see compute_figures(); -1: never
+  double max_server_load_ratio = 1;         // attempts at the busiest first-tier server, relative to the mean
+  double min_node_share = 1, max_node = 1;  // minimum and maximum served share of the nodes
+                                            // that were never down, paused or sent SIGTERM
+  double min_tenant_share = 1;              // minimum served share of the tenants that don't flood
   double memory_kb = 0,
          max_memory_growth_kb = 0;  // maximum at the end, and maximum growth, of any node
   int descriptors = 0;              // maximum of any node at the end
   double cpu_us = 0;                // us of all nodes, per client attempt
   std::vector<Second> seconds;
   std::vector<std::pair<double, double>> faults;  // s; begin and end
-  double served_part() const { return wanted > 0 ? served / wanted : 1; }
-  double in_time_part() const { return wanted > 0 ? in_time / wanted : 1; }
+  double served_share() const { return wanted > 0 ? served / wanted : 1; }
+  double in_time_share() const { return wanted > 0 ? in_time / wanted : 1; }
 };
 
 // A run has recovered at the first second from which on the served share of every window of three seconds is
 // at least 0.98 of the served share before the first fault. If the first fault begins in the first second,
 // the share of the whole run takes its place.
-Figures figures_of(const History& history, const bench::Scenario& scenario);
+Figures compute_figures(const History& history, const bench::Scenario& scenario);
 
 }  // namespace thymewood::fleet
--- a/fleet_rig/run/main.cpp
+++ b/fleet_rig/run/main.cpp
@@ -94,11 +94,11 @@
         print_row(stdout, scenario_name(file), label, seed, result);
         print_findings(stdout, result.verdict, 1);
         Samples& samples = all[{scenario_name(file), label}];
-        samples.served.push_back(100 * result.figures.served_part());
-        samples.in_time.push_back(100 * result.figures.in_time_part());
-        samples.worst_second.push_back(result.figures.worst_second);
+        samples.served.push_back(100 * result.figures.served_share());
+        samples.in_time.push_back(100 * result.figures.in_time_share());
+        samples.worst_second.push_back(result.figures.min_second_share);
         samples.first_tier.push_back(result.figures.first_tier);
-        samples.recovery.push_back(result.figures.recovery);
+        samples.recovery.push_back(result.figures.recovery_seconds);
         samples.violations += result.verdict.violations.size();
         if (label == "now") passed = passed && result.verdict.passed();
       }
@@ -166,7 +166,7 @@
   ScenarioRun result;
   const History recorded = History::read(history);
   result.verdict = check_history(recorded, rules);
-  result.figures = figures_of(recorded, scenario);
+  result.figures = compute_figures(recorded, scenario);
   print_header(stdout);
   print_row(stdout, scenario_name(scenario_file), "", 0, result);
   print_findings(stdout, result.verdict, 20);
--- a/fleet_rig/run/scenario_run.cpp
+++ b/fleet_rig/run/scenario_run.cpp
@@ -39,7 +39,7 @@
     Rules rules = Rules::of(scenario);
     rules.time_tolerance = options.time_tolerance;
     out.verdict = check_history(history, rules);
-    out.figures = figures_of(history, scenario);
+    out.figures = compute_figures(history, scenario);
     if (!out.verdict.void_run || run >= options.max_runs) return out;
   }
 }
@@ -60,11 +60,12 @@
                "%6.2f %6.2f %6.2f %7.0f "
                "%6.3f %6llu %6zu%s\n",
                scenario.c_str(), node.c_str(), static_cast<unsigned long long>(seed), f.wanted,
-               kPercent * f.served_part(), kPercent * f.in_time_part(), kPercent * f.rejected / requests,
-               kPercent * f.failed / requests, f.client_attempts, f.first_tier, f.second_tier, f.worst_second,
-               kMilli * f.p50, kMilli * f.p99, f.recovery, kPercent * f.least_node, kPercent * f.least_tenant,
-               f.most_server, f.cpu_us, result.verdict.max_lateness,
-               static_cast<unsigned long long>(result.verdict.excused), result.verdict.violations.size(),
+               kPercent * f.served_share(), kPercent * f.in_time_share(), kPercent * f.rejected / requests,
+               kPercent * f.failed / requests, f.client_attempts, f.first_tier, f.second_tier,
+               f.min_second_share, kMilli * f.p50, kMilli * f.p99, f.recovery_seconds,
+               kPercent * f.min_node_share, kPercent * f.min_tenant_share, f.max_server_load_ratio, f.cpu_us,
+               result.verdict.max_lateness, static_cast<unsigned long long>(result.verdict.excused),
+               result.verdict.violations.size(),
                result.verdict.void_run                 ? "  VOID: the rig ran late"
                : !result.verdict.missing_input.empty() ? "  BLIND"
                                                        : "");
--- a/tests/fleet_rig/checkers_test.cpp
+++ b/tests/fleet_rig/checkers_test.cpp
@@ -493,14 +493,14 @@
   builder.add({.t = 4, .what = What::kFault, .by = kDiscovery, .note = "x"});
   builder.add({.t = 6, .what = What::kFaultEnded, .by = kDiscovery, .note = "x"});
   builder.history().sort();
-  const Figures f = figures_of(builder.history(), s);
+  const Figures f = compute_figures(builder.history(), s);
   EXPECT_DOUBLE_EQ(f.wanted, 100);
   EXPECT_DOUBLE_EQ(f.served, 80);
   EXPECT_DOUBLE_EQ(f.rejected, 20);
   EXPECT_DOUBLE_EQ(f.client_attempts, 1);
   EXPECT_DOUBLE_EQ(f.first_tier, 1.25);
-  EXPECT_DOUBLE_EQ(f.worst_second, 0);
-  EXPECT_DOUBLE_EQ(f.recovery, 0) << "recovered in the second in which the fault ended";
+  EXPECT_DOUBLE_EQ(f.min_second_share, 0);
+  EXPECT_DOUBLE_EQ(f.recovery_seconds, 0) << "recovered in the second in which the fault ended";
   ASSERT_EQ(f.faults.size(), 1u);
 }
 
@@ -523,7 +523,7 @@
     builder.add({.t = 4, .what = What::kFault, .by = kDiscovery, .note = "x"});
     builder.add({.t = 6, .what = What::kFaultEnded, .by = kDiscovery, .note = "x"});
     builder.history().sort();
-    return figures_of(builder.history(), s).recovery;
+    return compute_figures(builder.history(), s).recovery_seconds;
   };
   EXPECT_DOUBLE_EQ(recovery(6), 0);
   EXPECT_DOUBLE_EQ(recovery(9), 3);
--- a/tests/fleet_rig/scenarios_test.cpp
+++ b/tests/fleet_rig/scenarios_test.cpp
@@ -70,7 +70,7 @@
 
 TEST(FleetScenario, WithoutFaults) {
   const ScenarioResult result = run_with_faults("calm", "");
-  EXPECT_GT(result.run.figures.served_part(), 0.9);
+  EXPECT_GT(result.run.figures.served_share(), 0.9);
   EXPECT_GT(result.run.figures.second_tier, 1) << "two calls to the second tier for each request";
   EXPECT_EQ(result.count(Record::What::kUp), 10u);
   EXPECT_EQ(result.run.verdict.excused, 0u);
