--- a/fleet_rig/plan/planner.cpp
+++ b/fleet_rig/plan/planner.cpp
@@ -52,14 +52,14 @@
 
 // The link directions between `who` and `to`; an empty `to` stands for all other actors. With `one_way`, only
 // those from `who` to `to`.
-std::vector<Way> ways_between(const Topology& topology, const std::vector<Actor>& who,
-                              const std::vector<Actor>& to, bool one_way) {
+std::vector<DirectedLink> links_between(const Topology& topology, const std::vector<Actor>& who,
+                                        const std::vector<Actor>& to, bool one_way) {
   const std::set<Actor> sources(who.begin(), who.end()), targets(to.begin(), to.end());
   const auto is_target = [&](const Actor& actor) {
     return targets.empty() ? !sources.contains(actor) : targets.contains(actor);
   };
-  std::set<Way> out;
-  for (const Way& link : links_of(topology)) {
+  std::set<DirectedLink> out;
+  for (const DirectedLink& link : links_of(topology)) {
     if (sources.contains(link.from) && is_target(link.to)) {
       out.insert(link);
       if (!one_way) out.insert({link.to, link.from});
@@ -89,8 +89,8 @@
 
 }  // namespace
 
-std::vector<Way> links_of(const Topology& topology) {
-  std::vector<Way> out;
+std::vector<DirectedLink> links_of(const Topology& topology) {
+  std::vector<DirectedLink> out;
   const auto number = [](std::size_t i) { return static_cast<int>(i); };
   const Actor clients{ActorKind::kClients, 0}, discovery{ActorKind::kDiscovery, 0};
   for (std::size_t n = 0; n < topology.node_zones.size(); ++n) {
@@ -112,14 +112,14 @@
   return out;
 }
 
-std::vector<std::pair<Way, Shape>> standing_shapes(const Scenario& scenario) {
+std::vector<std::pair<DirectedLink, Shape>> configured_link_shapes(const Scenario& scenario) {
   const Topology topology = scenario.topology();
   Random random(0);
-  std::vector<std::pair<Way, Shape>> out;
+  std::vector<std::pair<DirectedLink, Shape>> out;
   for (const bench::LinkRule& rule : scenario.links) {
-    for (const Way& way :
-         ways_between(topology, rule.from.pick(topology, random), rule.to.pick(topology, random), false))
-      out.emplace_back(way, rule.shape);
+    for (const DirectedLink& link :
+         links_between(topology, rule.from.pick(topology, random), rule.to.pick(topology, random), false))
+      out.emplace_back(link, rule.shape);
   }
   return out;
 }
@@ -147,18 +147,18 @@
       for (const auto& [from, end] : intervals) {
         Step step;
         step.fault = i;
-        step.number = ++number;
+        step.interval_id = ++number;
         step.at = from + static_cast<double>(group) * f.stagger;
         step.note = f.text + ", " + std::to_string(++index) + " of " +
                     std::to_string(groups.size() * intervals.size());
         if (is_link_fault(f.what)) {
-          step.ways = ways_between(topology, groups[group], to, f.what == Fault::What::kCutTo);
+          step.links = links_between(topology, groups[group], to, f.what == Fault::What::kCutTo);
           step.shape = shape_of(f);
         } else {
-          step.who = groups[group];
+          step.actors = groups[group];
         }
         out.push_back(step);
-        step.what = Step::What::kEnds;
+        step.what = Step::What::kFaultEnds;
         step.at = is_instantaneous(f.what) ? step.at : end + static_cast<double>(group) * f.stagger;
         if (std::isfinite(step.at)) out.push_back(step);
       }
@@ -167,7 +167,7 @@
   for (std::size_t i = 0; i < scenario.changes.size(); ++i) {
     Step step;
     step.at = scenario.changes[i].at;
-    step.what = Step::What::kChange;
+    step.what = Step::What::kServerChange;
     step.change = i;
     out.push_back(step);
   }
--- a/fleet_rig/run/fleet.cpp
+++ b/fleet_rig/run/fleet.cpp
@@ -109,8 +109,8 @@
 }
 
 void Fleet::build_relays() {
-  for (const auto& [way, shape] : standing_shapes(scenario_))
-    links_.way(way.from, way.to).lay(std::numeric_limits<std::uint64_t>::max() - relays_.size(), shape);
+  for (const auto& [link, shape] : configured_link_shapes(scenario_))
+    links_.way(link.from, link.to).lay(std::numeric_limits<std::uint64_t>::max() - relays_.size(), shape);
   std::vector<UdpHub::Peer> peers;
   for (const auto& [actor, node] : nodes_) {
     const bool sidecar = actor.kind == ActorKind::kSidecar;
--- a/fleet_rig/run/fleet_faults.cpp
+++ b/fleet_rig/run/fleet_faults.cpp
@@ -70,9 +70,9 @@
 }
 
 void Fleet::apply(const Step& step) {
-  if (step.what == Step::What::kChange) return apply_change(scenario_.changes.at(step.change));
+  if (step.what == Step::What::kServerChange) return apply_change(scenario_.changes.at(step.change));
   const Fault& fault = scenario_.faults.at(step.fault);
-  const bool begins = step.what == Step::What::kBegins;
+  const bool begins = step.what == Step::What::kFaultBegins;
   if (options_.progress) options_.progress(history_.now(), (begins ? "" : "ended: ") + step.note);
   if (begins) {
     begin_fault(fault, step);
@@ -124,16 +124,16 @@
 }
 
 void Fleet::begin_fault(const Fault& fault, const Step& step) {
-  for (const Actor& actor : step.who) {
+  for (const Actor& actor : step.actors) {
     if (actor.kind == ActorKind::kDiscovery) break;
     begin_node_fault(fault, actor);
   }
   if (fault.what == Fault::What::kSilence) discovery_->down();
   if (fault.what == Fault::What::kLag) discovery_->lag_more(fault.delay);
-  if (!step.ways.empty()) apply_link_fault(step, true);
+  if (!step.links.empty()) apply_link_fault(step, true);
   if (fault.what == Fault::What::kReset || fault.what == Fault::What::kRefuse) {
-    for (const Way& way : step.ways) {
-      const auto relay = relays_.find({way.from, way.to});
+    for (const DirectedLink& link : step.links) {
+      const auto relay = relays_.find({link.from, link.to});
       if (relay == relays_.end()) continue;
       if (fault.what == Fault::What::kReset) {
         relay->second->reset();
@@ -175,41 +175,42 @@
 }
 
 void Fleet::end_fault(const Fault& fault, const Step& step) {
-  for (const Actor& actor : step.who) {
+  for (const Actor& actor : step.actors) {
     if (actor.kind == ActorKind::kDiscovery) break;
     end_node_fault(fault, actor);
   }
   if (fault.what == Fault::What::kSilence) discovery_->up();
   if (fault.what == Fault::What::kLag) discovery_->lag_more(-fault.delay);
   if (fault.what == Fault::What::kRefuse) {
-    for (const Way& way : step.ways) {
-      const auto relay = relays_.find({way.from, way.to});
+    for (const DirectedLink& link : step.links) {
+      const auto relay = relays_.find({link.from, link.to});
       if (relay != relays_.end()) relay->second->refuse(false);
     }
   }
-  if (!step.ways.empty()) apply_link_fault(step, false);
+  if (!step.links.empty()) apply_link_fault(step, false);
 }
 
 void Fleet::apply_link_fault(const Step& step, bool on) {
-  for (const Way& way : step.ways) {
-    Direction& direction = links_.way(way.from, way.to);
+  for (const DirectedLink& link : step.links) {
+    Direction& direction = links_.way(link.from, link.to);
     if (on) {
-      direction.lay(step.number, step.shape);
+      direction.lay(step.interval_id, step.shape);
     } else {
-      direction.lift(step.number);
+      direction.lift(step.interval_id);
     }
     Record r;
     r.what = on ? Record::What::kLinkFaulty : Record::What::kLinkRestored;
-    r.by = way.from;
-    r.to = way.to;
+    r.by = link.from;
+    r.to = link.to;
     history_.add(r);
   }
-  for (const Way& way : step.ways) {
-    for (const auto& link : {std::pair{way.from, way.to}, std::pair{way.to, way.from}}) {
-      const auto relay = relays_.find(link);
+  for (const DirectedLink& link : step.links) {
+    for (const auto& actors : {std::pair{link.from, link.to}, std::pair{link.to, link.from}}) {
+      const auto relay = relays_.find(actors);
       if (relay != relays_.end()) relay->second->changed();
     }
-    if (!on && way.from == kDiscoveryActor && !links_.way(way.from, way.to).cut()) discovery_->healed(way.to);
+    if (!on && link.from == kDiscoveryActor && !links_.way(link.from, link.to).cut())
+      discovery_->healed(link.to);
   }
 }
 
--- a/tests/fleet_rig/model_test.cpp
+++ b/tests/fleet_rig/model_test.cpp
@@ -151,7 +151,7 @@
       "[[fault]]\nat = 2\nlasts = 2\nwhat = \"pause\"\nwho = \"node:50%\"\n");
   const auto who = [&s](std::uint64_t seed) {
     std::vector<std::vector<int>> out;
-    for (const Step& step : plan(s, seed)) out.push_back(numbers(step.who));
+    for (const Step& step : plan(s, seed)) out.push_back(numbers(step.actors));
     return out;
   };
   EXPECT_EQ(who(3), who(3));
@@ -164,10 +164,10 @@
   const std::vector<Step> steps =
       plan(scenario_of("[[fault]]\nat = 1\nlasts = 2\nwhat = \"kill\"\nwho = \"node:50%\"\n"), 5);
   ASSERT_EQ(steps.size(), 2u);
-  EXPECT_EQ(steps[0].what, Step::What::kBegins);
-  EXPECT_EQ(steps[1].what, Step::What::kEnds);
-  EXPECT_EQ(steps[0].who, steps[1].who);
-  EXPECT_EQ(steps[0].number, steps[1].number);
+  EXPECT_EQ(steps[0].what, Step::What::kFaultBegins);
+  EXPECT_EQ(steps[1].what, Step::What::kFaultEnds);
+  EXPECT_EQ(steps[0].actors, steps[1].actors);
+  EXPECT_EQ(steps[0].interval_id, steps[1].interval_id);
   EXPECT_DOUBLE_EQ(steps[1].at, 3);
 }
 
@@ -180,52 +180,53 @@
   const std::vector<Step> staggered = plan(
       scenario_of("[[fault]]\nat = 1\nlasts = 0.5\nstagger = 2\nwhat = \"kill\"\nwho = \"node:0-1\"\n"), 1);
   ASSERT_EQ(staggered.size(), 4u);
-  EXPECT_EQ(numbers(staggered[0].who), std::vector<int>{0});
-  EXPECT_EQ(numbers(staggered[2].who), std::vector<int>{1});
+  EXPECT_EQ(numbers(staggered[0].actors), std::vector<int>{0});
+  EXPECT_EQ(numbers(staggered[2].actors), std::vector<int>{1});
   EXPECT_DOUBLE_EQ(staggered[2].at, 3);
 }
 
-bool has(const std::vector<Way>& ways, Actor from, Actor to) {
-  return std::find(ways.begin(), ways.end(), Way{from, to}) != ways.end();
+bool has(const std::vector<DirectedLink>& links, Actor from, Actor to) {
+  return std::find(links.begin(), links.end(), DirectedLink{from, to}) != links.end();
 }
 
 TEST(Planner, CutIsBidirectionalAndCutToIsOneWay) {
   const Actor node{ActorKind::kNode, 0}, server{ActorKind::kServer, 3}, clients{ActorKind::kClients, 0};
-  const auto ways = [](const std::string& what, const std::string& to) {
+  const auto links = [](const std::string& what, const std::string& to) {
     return plan(scenario_of("[[fault]]\nat = 1\nwhat = \"" + what + "\"\nwho = \"node:0\"\nto = \"" + to +
                             "\"\n"),
                 1)
         .front()
-        .ways;
+        .links;
   };
-  const std::vector<Way> both = ways("cut", "server:3");
+  const std::vector<DirectedLink> both = links("cut", "server:3");
   EXPECT_EQ(both.size(), 2u);
   EXPECT_TRUE(has(both, node, server) && has(both, server, node));
-  const std::vector<Way> one = ways("cut_to", "server:3");
-  EXPECT_EQ(one, (std::vector<Way>{{node, server}}));
-  const std::vector<Way> back =
+  const std::vector<DirectedLink> one = links("cut_to", "server:3");
+  EXPECT_EQ(one, (std::vector<DirectedLink>{{node, server}}));
+  const std::vector<DirectedLink> back =
       plan(scenario_of("[[fault]]\nat = 1\nwhat = \"cut_to\"\nwho = \"server:3\"\nto = "
                        "\"node:0\"\n"),
            1)
           .front()
-          .ways;
-  EXPECT_EQ(back, (std::vector<Way>{{server, node}})) << "against the direction in which the link connects";
-  EXPECT_TRUE(has(ways("cut", ""), clients, node)) << "from all other actors";
+          .links;
+  EXPECT_EQ(back, (std::vector<DirectedLink>{{server, node}}))
+      << "against the direction in which the link connects";
+  EXPECT_TRUE(has(links("cut", ""), clients, node)) << "from all other actors";
 }
 
 TEST(Planner, ZonePartitionLeavesLinksWithinTheZone) {
-  const std::vector<Way> ways =
-      plan(scenario_of("[[fault]]\nat = 1\nwhat = \"cut\"\nwho = \"zone:1\"\n"), 1).front().ways;
+  const std::vector<DirectedLink> links =
+      plan(scenario_of("[[fault]]\nat = 1\nwhat = \"cut\"\nwho = \"zone:1\"\n"), 1).front().links;
   const Actor inside{ActorKind::kNode, 2}, outside{ActorKind::kNode, 0}, inside_server{ActorKind::kServer, 3},
       outside_server{ActorKind::kServer, 0};
-  EXPECT_TRUE(has(ways, inside, outside_server) && has(ways, outside_server, inside) &&
-              has(ways, inside_server, outside));
-  EXPECT_TRUE(has(ways, inside, outside) && has(ways, outside, inside))
+  EXPECT_TRUE(has(links, inside, outside_server) && has(links, outside_server, inside) &&
+              has(links, inside_server, outside));
+  EXPECT_TRUE(has(links, inside, outside) && has(links, outside, inside))
       << "the datagram links between nodes too";
-  EXPECT_FALSE(has(ways, inside, inside_server) || has(ways, inside_server, inside) ||
-               has(ways, outside, outside_server));
+  EXPECT_FALSE(has(links, inside, inside_server) || has(links, inside_server, inside) ||
+               has(links, outside, outside_server));
   // Clients and discovery belong to no zone, so they are cut off too, unless 'to' selects other actors.
-  EXPECT_TRUE(has(ways, inside, {ActorKind::kDiscovery, 0}));
+  EXPECT_TRUE(has(links, inside, {ActorKind::kDiscovery, 0}));
 }
 
 // ---------------------------------------------------------------- link shaping
