--- a/fleet_rig/actors/discovery_stand_in.cpp
+++ b/fleet_rig/actors/discovery_stand_in.cpp
@@ -39,12 +39,12 @@
 }  // namespace
 
 DiscoveryStandIn::DiscoveryStandIn(asio::io_context& io, const bench::Scenario& scenario,
-                                   HistoryWriter& history, const Endpoint& where, Access access,
+                                   HistoryWriter& history, const Endpoint& endpoint, Access access,
                                    std::uint64_t seed)
     : io_(io),
       scenario_(scenario),
       history_(history),
-      where_(where),
+      endpoint_(endpoint),
       access_(std::move(access)),
       random_(seed),
       acceptor_(io) {
@@ -62,7 +62,7 @@
 void DiscoveryStandIn::up() {
   if (acceptor_.is_open()) return;
   ++generation_;
-  where_ = listen_at(acceptor_, where_);
+  endpoint_ = listen_at(acceptor_, endpoint_);
   asio::co_spawn(io_, accept(generation_), asio::detached);
 }
 
--- a/fleet_rig/actors/discovery_stand_in.h
+++ b/fleet_rig/actors/discovery_stand_in.h
@@ -33,7 +33,7 @@
   };
 
   DiscoveryStandIn(boost::asio::io_context& io, const bench::Scenario& scenario, HistoryWriter& history,
-                   const Endpoint& where, Access access, std::uint64_t seed);
+                   const Endpoint& endpoint, Access access, std::uint64_t seed);
   ~DiscoveryStandIn();
   DiscoveryStandIn(const DiscoveryStandIn&) = delete;
   DiscoveryStandIn& operator=(const DiscoveryStandIn&) = delete;
@@ -41,7 +41,7 @@
   void up();
   // Closes all watches and refuses connections; changes made meanwhile are sent when the next watch starts.
   void down();
-  const Endpoint& where() const { return where_; }
+  const Endpoint& endpoint() const { return endpoint_; }
 
   // Applies a status change now; each node is notified after its lag. `since_ms`: Unix time of a server
   // start.
@@ -81,7 +81,7 @@
   boost::asio::io_context& io_;
   const bench::Scenario& scenario_;
   HistoryWriter& history_;
-  Endpoint where_;
+  Endpoint endpoint_;
   Access access_;
   bench::Random random_;
   boost::asio::ip::tcp::acceptor acceptor_;
--- a/fleet_rig/actors/server_stand_in.cpp
+++ b/fleet_rig/actors/server_stand_in.cpp
@@ -41,14 +41,14 @@
 }  // namespace
 
 ServerStandIn::ServerStandIn(asio::io_context& io, const bench::Scenario& scenario, HistoryWriter& history,
-                             const Actor& actor, const bench::ScenarioServer& spec, const Endpoint& where,
+                             const Actor& actor, const bench::ScenarioServer& spec, const Endpoint& endpoint,
                              Origin origin, HttpClient* second_tier_client, std::uint64_t seed)
     : io_(io),
       scenario_(scenario),
       history_(history),
       actor_(actor),
       spec_(spec),
-      where_(where),
+      endpoint_(endpoint),
       origin_(std::move(origin)),
       second_tier_client_(second_tier_client),
       random_(seed),
@@ -62,7 +62,7 @@
   if (is_up()) return;
   ++generation_;
   if (cold) model_.restart(history_.now());
-  where_ = listen_at(acceptor_, where_);
+  endpoint_ = listen_at(acceptor_, endpoint_);
   asio::co_spawn(io_, accept(generation_), asio::detached);
 }
 
--- a/fleet_rig/actors/server_stand_in.h
+++ b/fleet_rig/actors/server_stand_in.h
@@ -35,8 +35,8 @@
   // `second_tier_client`: calls the second tier; null for a server that makes no calls. All reference and
   // pointer arguments outlive the server.
   ServerStandIn(boost::asio::io_context& io, const bench::Scenario& scenario, HistoryWriter& history,
-                const Actor& actor, const bench::ScenarioServer& spec, const Endpoint& where, Origin origin,
-                HttpClient* second_tier_client, std::uint64_t seed);
+                const Actor& actor, const bench::ScenarioServer& spec, const Endpoint& endpoint,
+                Origin origin, HttpClient* second_tier_client, std::uint64_t seed);
   ~ServerStandIn();
   ServerStandIn(const ServerStandIn&) = delete;
   ServerStandIn& operator=(const ServerStandIn&) = delete;
@@ -50,7 +50,7 @@
   void slow_down(double factor);
   void fail(double share) { fail_share_ = share; }  // share of requests that fail at once
   void mute(double share) { mute_share_ = share; }  // share of requests that get no response
-  const Endpoint& where() const { return where_; }
+  const Endpoint& endpoint() const { return endpoint_; }
   std::size_t connections() const { return sockets_.size(); }
   double work_done() const { return work_done_; }  // s of completed work
 
@@ -96,7 +96,7 @@
   HistoryWriter& history_;
   Actor actor_;
   bench::ScenarioServer spec_;
-  Endpoint where_;
+  Endpoint endpoint_;
   Origin origin_;
   HttpClient* second_tier_client_;
   bench::Random random_;
--- a/fleet_rig/net/link_table.cpp
+++ b/fleet_rig/net/link_table.cpp
@@ -4,12 +4,12 @@
 
 namespace thymewood::fleet {
 
-void Direction::lay(std::uint64_t fault, const Shape& shape) {
+void Direction::add_fault(std::uint64_t fault, const Shape& shape) {
   shapes_by_fault_[fault] = shape;
   combine_shapes();
 }
 
-void Direction::lift(std::uint64_t fault) {
+void Direction::remove_fault(std::uint64_t fault) {
   shapes_by_fault_.erase(fault);
   combine_shapes();
 }
@@ -27,7 +27,7 @@
   }
 }
 
-double Direction::due_in_stream(double now, std::size_t bytes, double& free_at, Random& random) const {
+double Direction::stream_delivery_time(double now, std::size_t bytes, double& free_at, Random& random) const {
   double due = now + draw_delay(random);
   if (combined_.loss > 0 && random.unit() < combined_.loss) due += Shape::kResend;
   due = std::max(due, free_at);
@@ -37,7 +37,7 @@
   return due;
 }
 
-std::vector<double> Direction::due_datagrams(double now, std::size_t bytes, Random& random) {
+std::vector<double> Direction::datagram_delivery_times(double now, std::size_t bytes, Random& random) {
   if (combined_.cut || (combined_.loss > 0 && random.unit() < combined_.loss)) return {};
   double departure = now;
   if (combined_.rate < std::numeric_limits<double>::infinity()) {
--- a/fleet_rig/net/link_table.h
+++ b/fleet_rig/net/link_table.h
@@ -26,15 +26,15 @@
  public:
   const Shape& shape() const { return combined_; }
   bool cut() const { return combined_.cut; }
-  void lay(std::uint64_t fault, const Shape& shape);
-  void lift(std::uint64_t fault);
+  void add_fault(std::uint64_t fault, const Shape& shape);
+  void remove_fault(std::uint64_t fault);
 
   // The delivery time of a stream chunk that arrives now. A stream stays in order, so a lost chunk, which is
   // delivered Shape::kResend later, delays those after it. `free_at` is state of the stream, 0 at its start:
   // the time at which the preceding chunk is delivered.
-  double due_in_stream(double now, std::size_t bytes, double& free_at, Random& random) const;
+  double stream_delivery_time(double now, std::size_t bytes, double& free_at, Random& random) const;
   // The delivery times of a datagram: one, two if it is duplicated, none if it is lost.
-  std::vector<double> due_datagrams(double now, std::size_t bytes, Random& random);
+  std::vector<double> datagram_delivery_times(double now, std::size_t bytes, Random& random);
 
  private:
   void combine_shapes();
@@ -48,8 +48,8 @@
 class LinkTable {
  public:
   // The reference stays valid for the lifetime of the table.
-  Direction& way(const Actor& from, const Actor& to) { return directions_[{from, to}]; }
-  bool both_open(const Actor& a, const Actor& b) { return !way(a, b).cut() && !way(b, a).cut(); }
+  Direction& direction(const Actor& from, const Actor& to) { return directions_[{from, to}]; }
+  bool both_open(const Actor& a, const Actor& b) { return !direction(a, b).cut() && !direction(b, a).cut(); }
 
  private:
   std::map<std::pair<Actor, Actor>, Direction> directions_;
--- a/fleet_rig/net/tcp_relay.cpp
+++ b/fleet_rig/net/tcp_relay.cpp
@@ -15,18 +15,18 @@
 using tcp = asio::ip::tcp;
 
 TcpRelay::TcpRelay(asio::io_context& io, LinkTable& table, const Actor& from, const Actor& to,
-                   const Endpoint& where, const Endpoint& target, std::uint64_t seed)
+                   const Endpoint& endpoint, const Endpoint& target, std::uint64_t seed)
     : io_(io),
       table_(table),
       from_(from),
       to_(to),
-      where_(where),
+      endpoint_(endpoint),
       target_(target),
       random_(seed),
       acceptor_(io) {
   open();
-  where_ = acceptor_.local_endpoint();
-  changed();
+  endpoint_ = acceptor_.local_endpoint();
+  on_link_changed();
 }
 
 TcpRelay::~TcpRelay() {
@@ -39,7 +39,7 @@
 }
 
 void TcpRelay::open() {
-  listen_at(acceptor_, where_);
+  listen_at(acceptor_, endpoint_);
   ++generation_;
   accepting_ = false;
   accept();
@@ -62,7 +62,7 @@
   connection->start();
 }
 
-void TcpRelay::changed() {
+void TcpRelay::on_link_changed() {
   const bool block = !table_.both_open(from_, to_);
   if (block != blocked_) {
     blocked_ = block;
@@ -88,7 +88,7 @@
   fillers_.back().native_non_blocking(true, ignored);
   // The backlog is full whether this connection is established or waits behind another.
   std::ignore =
-      ::connect(fillers_.back().native_handle(), where_.data(), static_cast<socklen_t>(where_.size()));
+      ::connect(fillers_.back().native_handle(), endpoint_.data(), static_cast<socklen_t>(endpoint_.size()));
 }
 
 void TcpRelay::drain_backlog() {
@@ -117,7 +117,7 @@
   for (const std::shared_ptr<Connection>& connection : all) connection->close(Connection::Close::kReset);
 }
 
-void TcpRelay::refuse(bool on) {
+void TcpRelay::set_refusing(bool on) {
   if (on == refusing_) return;
   refusing_ = on;
   if (on) {
--- a/fleet_rig/net/tcp_relay.h
+++ b/fleet_rig/net/tcp_relay.h
@@ -31,24 +31,24 @@
     Steady::time_point last_read;  // when the relay read the last chunk delivered to the target
   };
 
-  // Listens at `where`; the system chooses the port if it is 0. The table outlives the relay. Throws
+  // Listens at `endpoint`; the system chooses the port if it is 0. The table outlives the relay. Throws
   // boost::system::system_error.
   TcpRelay(boost::asio::io_context& io, LinkTable& table, const Actor& from, const Actor& to,
-           const Endpoint& where, const Endpoint& target, std::uint64_t seed);
+           const Endpoint& endpoint, const Endpoint& target, std::uint64_t seed);
   ~TcpRelay();
   TcpRelay(const TcpRelay&) = delete;
   TcpRelay& operator=(const TcpRelay&) = delete;
 
   const Actor& from() const { return from_; }
   const Actor& to() const { return to_; }
-  const Endpoint& where() const { return where_; }
+  const Endpoint& endpoint() const { return endpoint_; }
 
   // Applies a change of the table for this pair before it returns.
-  void changed();
+  void on_link_changed();
   // Resets both ends of each open connection.
   void reset();
   // Refuses new connections, as a target that does not listen.
-  void refuse(bool on);
+  void set_refusing(bool on);
   std::size_t connections() const { return connections_.size(); }
   // Looks up a connection by the local port of the relay's connection to the target.
   std::optional<Origin> origin(unsigned short port) const;
@@ -64,7 +64,7 @@
   boost::asio::io_context& io_;
   LinkTable& table_;
   Actor from_, to_;
-  Endpoint where_, target_;
+  Endpoint endpoint_, target_;
   Random random_;
   boost::asio::ip::tcp::acceptor acceptor_;
   std::vector<boost::asio::ip::tcp::socket> fillers_;  // they keep the backlog full while the link is cut
--- a/fleet_rig/net/tcp_relay_connection.cpp
+++ b/fleet_rig/net/tcp_relay_connection.cpp
@@ -86,7 +86,7 @@
     chunk.bytes.assign(pipe.buffer.data(), size);
     pipe.queued += size;
   }
-  chunk.due = pipe.direction.due_in_stream(now, chunk.bytes.size(), pipe.free_at, relay_->random_);
+  chunk.due = pipe.direction.stream_delivery_time(now, chunk.bytes.size(), pipe.free_at, relay_->random_);
   pipe.queue.push_back(std::move(chunk));
   deliver(pipe);
   if (relay_ != nullptr) read(pipe);
@@ -155,7 +155,8 @@
   other.free_at = 0;
   Chunk chunk;
   chunk.end = ChunkEnd::kReset;
-  chunk.due = other.direction.due_in_stream(seconds_of(Steady::now()), 0, other.free_at, relay_->random_);
+  chunk.due =
+      other.direction.stream_delivery_time(seconds_of(Steady::now()), 0, other.free_at, relay_->random_);
   other.queue.push_back(std::move(chunk));
   deliver(other);
 }
--- a/fleet_rig/net/tcp_relay_connection.h
+++ b/fleet_rig/net/tcp_relay_connection.h
@@ -20,8 +20,8 @@
       : relay_(&relay),
         downstream_(std::move(downstream)),
         upstream_(relay.io_),
-        forward_(relay.io_, downstream_, upstream_, relay.table_.way(relay.from_, relay.to_)),
-        backward_(relay.io_, upstream_, downstream_, relay.table_.way(relay.to_, relay.from_)) {}
+        forward_(relay.io_, downstream_, upstream_, relay.table_.direction(relay.from_, relay.to_)),
+        backward_(relay.io_, upstream_, downstream_, relay.table_.direction(relay.to_, relay.from_)) {}
 
   std::list<std::shared_ptr<Connection>>::iterator position;  // in its relay's list
 
--- a/fleet_rig/net/udp_hub.cpp
+++ b/fleet_rig/net/udp_hub.cpp
@@ -18,11 +18,15 @@
   std::array<char, 65536> receive_buffer{};
 };
 
-UdpHub::UdpHub(asio::io_context& io, LinkTable& table, std::vector<Peer> peers, const Endpoint& all,
-               std::uint64_t seed)
-    : io_(io), table_(table), peers_(std::move(peers)), all_(all), random_(seed) {
+UdpHub::UdpHub(asio::io_context& io, LinkTable& table, std::vector<Peer> peers,
+               const Endpoint& broadcast_endpoint, std::uint64_t seed)
+    : io_(io),
+      table_(table),
+      peers_(std::move(peers)),
+      broadcast_endpoint_(broadcast_endpoint),
+      random_(seed) {
   for (std::size_t i = 0; i <= peers_.size(); ++i) {
-    Endpoint& where = i < peers_.size() ? peers_[i].face : all_;
+    Endpoint& where = i < peers_.size() ? peers_[i].proxy_endpoint : broadcast_endpoint_;
     auto owned = std::make_unique<Socket>(io_);
     owned->socket.open(udp::v4());
     owned->socket.bind(where);
@@ -65,12 +69,12 @@
 void UdpHub::forward(std::size_t from, std::size_t to, const std::string& bytes) {
   const auto now = std::chrono::steady_clock::now();
   const double seconds = std::chrono::duration<double>(now.time_since_epoch()).count();
-  const std::vector<double> due_times =
-      table_.way(peers_[from].actor, peers_[to].actor).due_datagrams(seconds, bytes.size(), random_);
+  const std::vector<double> due_times = table_.direction(peers_[from].actor, peers_[to].actor)
+                                            .datagram_delivery_times(seconds, bytes.size(), random_);
   if (due_times.empty()) counts_.dropped += 1;
   const auto send = [this, from, to](const std::string& text) {
     // The link may have been cut while the datagram was delayed.
-    if (table_.way(peers_[from].actor, peers_[to].actor).cut()) {
+    if (table_.direction(peers_[from].actor, peers_[to].actor).cut()) {
       counts_.dropped += 1;
       return;
     }
--- a/fleet_rig/run/fleet.cpp
+++ b/fleet_rig/run/fleet.cpp
@@ -95,22 +95,23 @@
             return std::nullopt;
           },
           [this](const Actor& node, const Actor& server) {
-            return endpoint_text(relay(node, server).where());
+            return endpoint_text(relay(node, server).endpoint());
           },
-          [this](const Actor& node) { return !links_.way(kDiscoveryActor, node).cut(); }},
+          [this](const Actor& node) { return !links_.direction(kDiscoveryActor, node).cut(); }},
       options_.seed ^ 0xD15C);
   build_relays();
   build_servers();
   std::vector<HttpClient::Endpoint> node_endpoints;
   node_endpoints.reserve(static_cast<std::size_t>(scenario_.replicas));
   for (int i = 0; i < scenario_.replicas; ++i)
-    node_endpoints.push_back(relay(kClientsActor, {ActorKind::kNode, i}).where());
+    node_endpoints.push_back(relay(kClientsActor, {ActorKind::kNode, i}).endpoint());
   clients_ = std::make_unique<ClientPool>(io_, scenario_, history_, node_endpoints, options_.seed);
 }
 
 void Fleet::build_relays() {
   for (const auto& [link, shape] : configured_link_shapes(scenario_))
-    links_.way(link.from, link.to).lay(std::numeric_limits<std::uint64_t>::max() - relays_.size(), shape);
+    links_.direction(link.from, link.to)
+        .add_fault(std::numeric_limits<std::uint64_t>::max() - relays_.size(), shape);
   std::vector<UdpHub::Peer> peers;
   for (const auto& [actor, node] : nodes_) {
     const bool sidecar = actor.kind == ActorKind::kSidecar;
@@ -121,7 +122,7 @@
     };
     const Actor client = sidecar ? Actor{ActorKind::kServer, actor.number} : kClientsActor;
     add(client, actor, addresses_.relay_to_node(actor), addresses_.node(actor));
-    add(actor, kDiscoveryActor, addresses_.relay_to_discovery(actor), discovery_->where());
+    add(actor, kDiscoveryActor, addresses_.relay_to_discovery(actor), discovery_->endpoint());
     const std::size_t targets = sidecar ? scenario_.backends.size() : scenario_.servers.size();
     for (std::size_t i = 0; i < targets; ++i) {
       const int number = static_cast<int>(i);
@@ -141,7 +142,7 @@
     const Actor sidecar{ActorKind::kSidecar, actor.number};
     if (actor.kind == ActorKind::kServer && scenario_.chain.calls > 0) {
       nodes_.at(sidecar).client =
-          std::make_unique<HttpClient>(io_, history_, actor, sidecar, relay(actor, sidecar).where());
+          std::make_unique<HttpClient>(io_, history_, actor, sidecar, relay(actor, sidecar).endpoint());
       second_tier_client = nodes_.at(sidecar).client.get();
     }
     const auto origin = [this, actor](unsigned short port) -> std::optional<TcpRelay::Origin> {
--- a/fleet_rig/run/fleet_faults.cpp
+++ b/fleet_rig/run/fleet_faults.cpp
@@ -138,7 +138,7 @@
       if (fault.what == Fault::What::kReset) {
         relay->second->reset();
       } else {
-        relay->second->refuse(true);
+        relay->second->set_refusing(true);
       }
     }
   }
@@ -184,7 +184,7 @@
   if (fault.what == Fault::What::kRefuse) {
     for (const DirectedLink& link : step.links) {
       const auto relay = relays_.find({link.from, link.to});
-      if (relay != relays_.end()) relay->second->refuse(false);
+      if (relay != relays_.end()) relay->second->set_refusing(false);
     }
   }
   if (!step.links.empty()) apply_link_fault(step, false);
@@ -192,11 +192,11 @@
 
 void Fleet::apply_link_fault(const Step& step, bool on) {
   for (const DirectedLink& link : step.links) {
-    Direction& direction = links_.way(link.from, link.to);
+    Direction& direction = links_.direction(link.from, link.to);
     if (on) {
-      direction.lay(step.interval_id, step.shape);
+      direction.add_fault(step.interval_id, step.shape);
     } else {
-      direction.lift(step.interval_id);
+      direction.remove_fault(step.interval_id);
     }
     Record r;
     r.what = on ? Record::What::kLinkFaulty : Record::What::kLinkRestored;
@@ -207,16 +207,16 @@
   for (const DirectedLink& link : step.links) {
     for (const auto& actors : {std::pair{link.from, link.to}, std::pair{link.to, link.from}}) {
       const auto relay = relays_.find(actors);
-      if (relay != relays_.end()) relay->second->changed();
+      if (relay != relays_.end()) relay->second->on_link_changed();
     }
-    if (!on && link.from == kDiscoveryActor && !links_.way(link.from, link.to).cut())
+    if (!on && link.from == kDiscoveryActor && !links_.direction(link.from, link.to).cut())
       discovery_->healed(link.to);
   }
 }
 
 void Fleet::refuse_connections_to(const Actor& actor, bool on) {
   for (const auto& [link, relay] : relays_) {
-    if (link.second == actor) relay->refuse(on);
+    if (link.second == actor) relay->set_refusing(on);
   }
 }
 
@@ -226,7 +226,7 @@
   for (int i = 0; i < count; ++i) {
     const auto socket = std::make_shared<asio::ip::tcp::socket>(io_);
     sockets.push_back(socket);
-    socket->async_connect(relay(kClientsActor, node).where(), [socket](error_code error) {
+    socket->async_connect(relay(kClientsActor, node).endpoint(), [socket](error_code error) {
       if (error) return;
       socket->async_wait(asio::ip::tcp::socket::wait_read, [socket](error_code) {
         error_code ignored;
--- a/fleet_rig/run/fleet_nodes.cpp
+++ b/fleet_rig/run/fleet_nodes.cpp
@@ -33,7 +33,7 @@
   NodeParameters parameters;
   parameters.name = bench::name_of(actor);
   parameters.listen = endpoint_text(addresses_.node(actor));
-  parameters.discovery = endpoint_text(relay(actor, kDiscoveryActor).where());
+  parameters.discovery = endpoint_text(relay(actor, kDiscoveryActor).endpoint());
   parameters.seed = options_.seed * 1000003 + static_cast<std::uint64_t>(member) * 1009 +
                     static_cast<std::uint64_t>(node.incarnation) * (sidecar ? 31 : 17);
   parameters.position = actor.number;
@@ -43,9 +43,9 @@
   parameters.known = discovery_->known(actor);
   if (hub_ && !sidecar) {
     parameters.peer_listen = endpoint_text(addresses_.node_gossip(actor));
-    parameters.peers_all = endpoint_text(hub_->all());
+    parameters.peers_all = endpoint_text(hub_->broadcast_endpoint());
     for (int i = 0; i < scenario_.replicas; ++i)
-      parameters.peers.push_back(endpoint_text(hub_->face(static_cast<std::size_t>(i))));
+      parameters.peers.push_back(endpoint_text(hub_->proxy_endpoint(static_cast<std::size_t>(i))));
   }
   if (!scenario_.operators.empty()) {
     std::ofstream operators(node.machine->folder() + "/operators.toml", std::ios::trunc);
--- a/fleet_rig/run/relay_cost.cpp
+++ b/fleet_rig/run/relay_cost.cpp
@@ -146,7 +146,7 @@
         io, *table, from, to, tcp::endpoint(asio::ip::address_v4::loopback(), 0), echo.endpoint(), 1);
     owner =
         std::make_shared<std::pair<std::shared_ptr<LinkTable>, std::shared_ptr<TcpRelay>>>(table, tcp_relay);
-    return tcp_relay->where();
+    return tcp_relay->endpoint();
   });
   RelayCost out;
   asio::io_context io(1);
--- a/tests/fleet_rig/model_test.cpp
+++ b/tests/fleet_rig/model_test.cpp
@@ -233,36 +233,36 @@
 
 TEST(Direction, CombinesActiveFaultsAndDropsEndedOnes) {
   Direction d;
-  d.lay(1, {.delay = 0.1});
-  d.lay(2, {.delay = 0.2, .loss = 0.5, .rate = 1000});
-  d.lay(3, {.loss = 0.5, .rate = 500, .cut = true});
+  d.add_fault(1, {.delay = 0.1});
+  d.add_fault(2, {.delay = 0.2, .loss = 0.5, .rate = 1000});
+  d.add_fault(3, {.loss = 0.5, .rate = 500, .cut = true});
   EXPECT_DOUBLE_EQ(d.shape().delay, 0.1 + 0.2);
   EXPECT_DOUBLE_EQ(d.shape().loss, 0.75);
   EXPECT_DOUBLE_EQ(d.shape().rate, 500);
   EXPECT_TRUE(d.cut());
-  d.lift(3);
+  d.remove_fault(3);
   EXPECT_FALSE(d.cut());
   EXPECT_DOUBLE_EQ(d.shape().rate, 1000);
-  d.lift(1);
-  d.lift(2);
+  d.remove_fault(1);
+  d.remove_fault(2);
   EXPECT_DOUBLE_EQ(d.shape().delay, 0);
 }
 
 TEST(Direction, StreamStaysInOrderAndWithinItsRate) {
   Direction d;
-  d.lay(1, {.delay = 0.05, .jitter = 0.1, .loss = 0.2});
+  d.add_fault(1, {.delay = 0.05, .jitter = 0.1, .loss = 0.2});
   bench::Random random(1);
   double free = 0, last = 0, now = 0;
   for (int i = 0; i < 1000; ++i, now += 0.001) {
-    const double due = d.due_in_stream(now, 100, free, random);
+    const double due = d.stream_delivery_time(now, 100, free, random);
     EXPECT_GE(due, last);
     EXPECT_GE(due, now + 0.05);
     last = due;
   }
   Direction slow;
-  slow.lay(1, {.rate = 1000});
+  slow.add_fault(1, {.rate = 1000});
   free = 0;
-  for (int i = 0; i < 10; ++i) last = slow.due_in_stream(0, 100, free, random);
+  for (int i = 0; i < 10; ++i) last = slow.stream_delivery_time(0, 100, free, random);
   EXPECT_NEAR(last, 1, 1e-9) << "1,000 bytes at 1,000 bytes a second";
 }
 
@@ -270,12 +270,12 @@
   bench::Random random(1);
   const auto count = [&random](const Shape& shape) {
     Direction d;
-    d.lay(1, shape);
+    d.add_fault(1, shape);
     int lost = 0, duplicated = 0, reordered = 0;
     double latest = 0;
     constexpr int kDatagrams = 20000;
     for (int i = 0; i < kDatagrams; ++i) {
-      const std::vector<double> dues = d.due_datagrams(i * 0.001, 10, random);
+      const std::vector<double> dues = d.datagram_delivery_times(i * 0.001, 10, random);
       lost += dues.empty() ? 1 : 0;
       duplicated += dues.size() == 2 ? 1 : 0;
       if (dues.empty()) continue;
--- a/tests/fleet_rig/net_test.cpp
+++ b/tests/fleet_rig/net_test.cpp
@@ -86,19 +86,19 @@
   }
   void set_fault(bool forward, bool backward, const Shape& shape) {
     loop_.run_in_loop([&] {
-      if (forward) table_.way(kClient, kServer).lay(1, shape);
-      if (backward) table_.way(kServer, kClient).lay(1, shape);
-      relay_->changed();
+      if (forward) table_.direction(kClient, kServer).add_fault(1, shape);
+      if (backward) table_.direction(kServer, kClient).add_fault(1, shape);
+      relay_->on_link_changed();
     });
   }
   void clear_fault() {
     loop_.run_in_loop([&] {
-      table_.way(kClient, kServer).lift(1);
-      table_.way(kServer, kClient).lift(1);
-      relay_->changed();
+      table_.direction(kClient, kServer).remove_fault(1);
+      table_.direction(kServer, kClient).remove_fault(1);
+      relay_->on_link_changed();
     });
   }
-  RawConnection connect_client() { return RawConnection::connect_to(relay_->where().port()); }
+  RawConnection connect_client() { return RawConnection::connect_to(relay_->endpoint().port()); }
   RawConnection accept() {
     pollfd wait{listen_.get(), POLLIN, 0};
     if (::poll(&wait, 1, static_cast<int>(std::chrono::milliseconds(node::kMaxWait).count())) <= 0)
@@ -117,7 +117,7 @@
   // Starts a non-blocking connection attempt; returns whether it is established within `wait`.
   bool connects_within(std::chrono::milliseconds wait) {
     pending_ = Fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-    const sockaddr_in where = node::loopback(relay_->where().port());
+    const sockaddr_in where = node::loopback(relay_->endpoint().port());
     if (::connect(pending_.get(), reinterpret_cast<const sockaddr*>(&where), sizeof where) == 0) return true;
     pollfd poll_request{pending_.get(), POLLOUT, 0};
     if (errno != EINPROGRESS || ::poll(&poll_request, 1, static_cast<int>(wait.count())) <= 0) return false;
@@ -270,11 +270,11 @@
 
 TEST_F(TcpLink, RefusesNewConnectionsAndLeavesOpenOnes) {
   Pair p = connect();
-  loop_.run_in_loop([&] { relay_->refuse(true); });
+  loop_.run_in_loop([&] { relay_->set_refusing(true); });
   EXPECT_FALSE(connect_client().is_open());
   p.client.write("x");
   EXPECT_EQ(read_some(p.server), "x");
-  loop_.run_in_loop([&] { relay_->refuse(false); });
+  loop_.run_in_loop([&] { relay_->set_refusing(false); });
   Pair q = connect();
   q.client.write("y");
   EXPECT_EQ(read_some(q.server), "y");
@@ -282,9 +282,9 @@
 
 TEST_F(TcpLink, PartitionOutlastsARefusal) {
   set_fault(true, true, {.cut = true});
-  loop_.run_in_loop([&] { relay_->refuse(true); });
+  loop_.run_in_loop([&] { relay_->set_refusing(true); });
   EXPECT_FALSE(connect_client().is_open());
-  loop_.run_in_loop([&] { relay_->refuse(false); });
+  loop_.run_in_loop([&] { relay_->set_refusing(false); });
   EXPECT_FALSE(connects_within(300ms)) << "listens again, but the link is still cut";
   clear_fault();
   EXPECT_TRUE(connects_within(5000ms));
@@ -402,7 +402,7 @@
     return {std::string(buffer, static_cast<std::size_t>(std::max<ssize_t>(n, 0))), ntohs(from.sin_port)};
   }
   void set_fault(int from, int to, const Shape& shape) {
-    loop_.run_in_loop([&] { table_.way(actor(from), actor(to)).lay(1, shape); });
+    loop_.run_in_loop([&] { table_.direction(actor(from), actor(to)).add_fault(1, shape); });
   }
 
   EventLoop loop_;
@@ -412,19 +412,19 @@
 };
 
 TEST_F(Datagrams, HaveTheSendersProxyAddress) {
-  send(0, hub_->face(1), "one");
-  EXPECT_EQ(receive(1), std::make_pair(std::string("one"), static_cast<int>(hub_->face(0).port())));
-  send(2, hub_->all(), "all");
+  send(0, hub_->proxy_endpoint(1), "one");
+  EXPECT_EQ(receive(1), std::make_pair(std::string("one"), static_cast<int>(hub_->proxy_endpoint(0).port())));
+  send(2, hub_->broadcast_endpoint(), "all");
   EXPECT_EQ(receive(0).first, "all");
-  EXPECT_EQ(receive(1), std::make_pair(std::string("all"), static_cast<int>(hub_->face(2).port())));
+  EXPECT_EQ(receive(1), std::make_pair(std::string("all"), static_cast<int>(hub_->proxy_endpoint(2).port())));
   EXPECT_EQ(receive(2, kNoDataWait).first, "") << "a broadcast must not return to its sender";
 }
 
 TEST_F(Datagrams, FromAnUnknownSenderAreDropped) {
   const Fd unknown_sender(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
-  const sockaddr_in where = node::loopback(hub_->face(1).port());
+  const sockaddr_in where = node::loopback(hub_->proxy_endpoint(1).port());
   ::sendto(unknown_sender.get(), "x", 1, 0, reinterpret_cast<const sockaddr*>(&where), sizeof where);
-  send(0, hub_->face(1), "one");
+  send(0, hub_->proxy_endpoint(1), "one");
   EXPECT_EQ(receive(1).first, "one");
   EXPECT_EQ(receive(1, kNoDataWait).first, "");
   EXPECT_EQ(hub_->counts().unknown_sender, 1u);
@@ -432,9 +432,9 @@
 
 TEST_F(Datagrams, ArePartitionedPerPairAndDirection) {
   set_fault(0, 1, {.cut = true});
-  send(0, hub_->face(1), "lost");
-  send(1, hub_->face(0), "back");
-  send(0, hub_->face(2), "other");
+  send(0, hub_->proxy_endpoint(1), "lost");
+  send(1, hub_->proxy_endpoint(0), "back");
+  send(0, hub_->proxy_endpoint(2), "other");
   EXPECT_EQ(receive(0).first, "back");
   EXPECT_EQ(receive(2).first, "other");
   EXPECT_EQ(receive(1, kNoDataWait).first, "");
@@ -443,18 +443,18 @@
 TEST_F(Datagrams, AreDelayedDuplicatedAndReordered) {
   set_fault(0, 1, {.delay = 0.2});
   const auto begin = std::chrono::steady_clock::now();
-  send(0, hub_->face(1), "slow");
+  send(0, hub_->proxy_endpoint(1), "slow");
   EXPECT_EQ(receive(1).first, "slow");
   EXPECT_GE(std::chrono::steady_clock::now() - begin, 200ms);
   set_fault(0, 1, {.duplicate = 1});
-  send(0, hub_->face(1), "twice");
+  send(0, hub_->proxy_endpoint(1), "twice");
   EXPECT_EQ(receive(1).first, "twice");
   EXPECT_EQ(receive(1).first, "twice");
   set_fault(0, 1, {.delay = 0.05, .reorder = 1});
-  send(0, hub_->face(1), "first");
+  send(0, hub_->proxy_endpoint(1), "first");
   EXPECT_TRUE(eventually([&] { return hub_->counts().received == 3; }));
   set_fault(0, 1, {});
-  send(0, hub_->face(1), "second");
+  send(0, hub_->proxy_endpoint(1), "second");
   EXPECT_EQ(receive(1).first, "second");
   EXPECT_EQ(receive(1).first, "first");
 }
