--- a/bench/rig/load_generator.cpp
+++ b/bench/rig/load_generator.cpp
@@ -29,11 +29,11 @@
   fleet::RequestHead head;
   head.host = "rig";
   head.class_name = name;
-  head.operation = head.id = id;
-  if (settings.idempotency == Idempotency::kIdempotentWithKey) head.key = id;
+  head.operation_id = head.id = id;
+  if (settings.idempotency == Idempotency::kIdempotentWithKey) head.idempotency_key = id;
   head.timeout_ms = std::lround(settings.client_timeout * 1000);
   head.has_body = settings.idempotency != Idempotency::kIdempotent;
-  return fleet::request_text(head);
+  return fleet::serialize_http_request(head);
 }
 
 }  // namespace
--- a/fleet_rig/actors/http_client.cpp
+++ b/fleet_rig/actors/http_client.cpp
@@ -32,13 +32,13 @@
   RequestHead head;
   head.host = "fleet";
   head.class_name = request.class_name;
-  head.operation = request.operation_id;
+  head.operation_id = request.operation_id;
   head.id = request.id;
   head.tenant = request.tenant;
-  head.key = request.idempotency_key;
+  head.idempotency_key = request.idempotency_key;
   head.timeout_ms = std::max(1L, std::lround(request.timeout * 1000));
   head.has_body = request.has_body;
-  return request_text(head);
+  return serialize_http_request(head);
 }
 
 // Closes a socket at its deadline unless the exchange has finished, as the connection may be reused by then.
