--- a/fleet_rig/actors/discovery_stand_in.cpp
+++ b/fleet_rig/actors/discovery_stand_in.cpp
@@ -56,17 +56,17 @@
 
 DiscoveryStandIn::~DiscoveryStandIn() {
   *alive_ = false;
-  down();
+  stop();
 }
 
-void DiscoveryStandIn::up() {
+void DiscoveryStandIn::start() {
   if (acceptor_.is_open()) return;
   ++generation_;
   endpoint_ = listen_at(acceptor_, endpoint_);
   asio::co_spawn(io_, accept(generation_), asio::detached);
 }
 
-void DiscoveryStandIn::down() {
+void DiscoveryStandIn::stop() {
   ++generation_;
   error_code ignored;
   acceptor_.close(ignored);
@@ -89,7 +89,7 @@
   return it->second;
 }
 
-void DiscoveryStandIn::change(const Actor& server, Status status, std::int64_t since_ms) {
+void DiscoveryStandIn::set_status(const Actor& server, Status status, std::int64_t since_ms) {
   std::vector<Entry>& all = server.kind == ActorKind::kBackend ? backends_ : servers_;
   // The view of a node that has not connected yet starts with the list as it was before this change.
   const bench::Topology topology = scenario_.topology();
@@ -129,14 +129,14 @@
   notified.by = node;
   notified.to = server;
   notified.flag = status == Status::kUp;
-  if (access_.reaches(node)) {
+  if (access_.is_reachable(node)) {
     history_.add(notified);
   } else {
     view.undelivered.push_back(notified);
   }
 }
 
-void DiscoveryStandIn::healed(const Actor& node) {
+void DiscoveryStandIn::link_restored(const Actor& node) {
   View& view = view_of(node);
   for (const Record& notified : std::exchange(view.undelivered, {})) history_.add(notified);
 }
@@ -163,7 +163,7 @@
   return R"({"index":)" + std::to_string(view.index) + R"(,"snapshot":true,"endpoints":[)" + entries + "]}";
 }
 
-std::string DiscoveryStandIn::known(const Actor& node) { return list(node, view_of(node)); }
+std::string DiscoveryStandIn::initial_list(const Actor& node) { return list(node, view_of(node)); }
 
 asio::awaitable<void> DiscoveryStandIn::accept(std::uint64_t generation) {
   for (;;) {
--- a/fleet_rig/actors/discovery_stand_in.h
+++ b/fleet_rig/actors/discovery_stand_in.h
@@ -29,7 +29,8 @@
     std::function<std::optional<TcpRelay::Origin>(unsigned short)> origin;  // the node behind a peer's port
     // "ADDRESS:PORT" at which a node reaches a server.
     std::function<std::string(const Actor& node, const Actor& server)> address;
-    std::function<bool(const Actor& node)> reaches;  // whether bytes written to the node now are delivered
+    std::function<bool(const Actor& node)>
+        is_reachable;  // whether bytes written to the node now are delivered
   };
 
   DiscoveryStandIn(boost::asio::io_context& io, const bench::Scenario& scenario, HistoryWriter& history,
@@ -38,20 +39,20 @@
   DiscoveryStandIn(const DiscoveryStandIn&) = delete;
   DiscoveryStandIn& operator=(const DiscoveryStandIn&) = delete;
 
-  void up();
+  void start();
   // Closes all watches and refuses connections; changes made meanwhile are sent when the next watch starts.
-  void down();
+  void stop();
   const Endpoint& endpoint() const { return endpoint_; }
 
   // Applies a status change now; each node is notified after its lag. `since_ms`: Unix time of a server
   // start.
-  void change(const Actor& server, Status status, std::int64_t since_ms = 0);
+  void set_status(const Actor& server, Status status, std::int64_t since_ms = 0);
   // Adds `seconds`, which may be negative, to the lag of every later change.
-  void lag_more(double seconds) { extra_lag_ += seconds; }
+  void add_lag(double seconds) { extra_lag_ += seconds; }
   // The link to the node is open again: records the notifications that were written while it was cut.
-  void healed(const Actor& node);
+  void link_restored(const Actor& node);
   // The full list that a node starts with, as PROTOCOL specifies: its entries as lagged for this node.
-  std::string known(const Actor& node);
+  std::string initial_list(const Actor& node);
 
  private:
   using Socket = boost::asio::ip::tcp::socket;
--- a/fleet_rig/actors/server_stand_in.cpp
+++ b/fleet_rig/actors/server_stand_in.cpp
@@ -56,9 +56,9 @@
       model_timer_(io),
       model_(spec.capacity, -std::numeric_limits<double>::infinity()) {}
 
-ServerStandIn::~ServerStandIn() { down(); }
+ServerStandIn::~ServerStandIn() { stop(); }
 
-void ServerStandIn::up(bool cold) {
+void ServerStandIn::start(bool cold) {
   if (is_up()) return;
   ++generation_;
   if (cold) model_.restart(history_.now());
@@ -66,7 +66,7 @@
   asio::co_spawn(io_, accept(generation_), asio::detached);
 }
 
-void ServerStandIn::down() {
+void ServerStandIn::stop() {
   if (!is_up()) return;
   ++generation_;
   error_code ignored;
--- a/fleet_rig/actors/server_stand_in.h
+++ b/fleet_rig/actors/server_stand_in.h
@@ -43,13 +43,13 @@
 
   // Starts listening; `cold`: with an unwarmed capacity model, as after a restart. Throws
   // boost::system::system_error.
-  void up(bool cold);
+  void start(bool cold);
   // Simulates a process exit: resets all connections and drops all requests in progress.
-  void down();
+  void stop();
   bool is_up() const { return acceptor_.is_open(); }
   void slow_down(double factor);
-  void fail(double share) { fail_share_ = share; }  // share of requests that fail at once
-  void mute(double share) { mute_share_ = share; }  // share of requests that get no response
+  void set_failure_share(double share) { fail_share_ = share; }      // share of requests that fail at once
+  void set_no_response_share(double share) { mute_share_ = share; }  // share of requests that get no response
   const Endpoint& endpoint() const { return endpoint_; }
   std::size_t connections() const { return sockets_.size(); }
   double work_done() const { return work_done_; }  // s of completed work
--- a/fleet_rig/run/fleet.cpp
+++ b/fleet_rig/run/fleet.cpp
@@ -169,7 +169,7 @@
   for (auto& [actor, server] : servers_) {
     const auto& specs = actor.kind == ActorKind::kBackend ? scenario_.backends : scenario_.servers;
     if (specs.at(static_cast<std::size_t>(actor.number)).up) {
-      server->up(false);
+      server->start(false);
     } else {
       refuse_connections_to(actor, true);
     }
@@ -229,7 +229,7 @@
 
 std::string Fleet::run() {
   start_servers();
-  discovery_->up();
+  discovery_->start();
   await_healthy(start_nodes());
   constexpr double kLeadTime = 0.1;  // s; before the load begins
   history_.begin(kLeadTime);
--- a/fleet_rig/run/fleet_faults.cpp
+++ b/fleet_rig/run/fleet_faults.cpp
@@ -128,8 +128,8 @@
     if (actor.kind == ActorKind::kDiscovery) break;
     begin_node_fault(fault, actor);
   }
-  if (fault.what == Fault::What::kSilence) discovery_->down();
-  if (fault.what == Fault::What::kLag) discovery_->lag_more(fault.delay);
+  if (fault.what == Fault::What::kSilence) discovery_->stop();
+  if (fault.what == Fault::What::kLag) discovery_->add_lag(fault.delay);
   if (!step.links.empty()) apply_link_fault(step, true);
   if (fault.what == Fault::What::kReset || fault.what == Fault::What::kRefuse) {
     for (const DirectedLink& link : step.links) {
@@ -179,8 +179,8 @@
     if (actor.kind == ActorKind::kDiscovery) break;
     end_node_fault(fault, actor);
   }
-  if (fault.what == Fault::What::kSilence) discovery_->up();
-  if (fault.what == Fault::What::kLag) discovery_->lag_more(-fault.delay);
+  if (fault.what == Fault::What::kSilence) discovery_->start();
+  if (fault.what == Fault::What::kLag) discovery_->add_lag(-fault.delay);
   if (fault.what == Fault::What::kRefuse) {
     for (const DirectedLink& link : step.links) {
       const auto relay = relays_.find({link.from, link.to});
@@ -210,7 +210,7 @@
       if (relay != relays_.end()) relay->second->on_link_changed();
     }
     if (!on && link.from == kDiscoveryActor && !links_.direction(link.from, link.to).cut())
-      discovery_->healed(link.to);
+      discovery_->link_restored(link.to);
   }
 }
 
@@ -241,9 +241,9 @@
 void Fleet::start_server(const Actor& actor) {
   ServerStandIn& server = *servers_.at(actor);
   if (server.is_up()) stop_server(actor);
-  server.fail(0);
-  server.mute(0);
-  server.up(true);
+  server.set_failure_share(0);
+  server.set_no_response_share(0);
+  server.start(true);
   refuse_connections_to(actor, false);
   record(Record::What::kUp, actor);
   const Actor sidecar{ActorKind::kSidecar, actor.number};
@@ -252,7 +252,7 @@
 }
 
 void Fleet::stop_server(const Actor& actor) {
-  servers_.at(actor)->down();
+  servers_.at(actor)->stop();
   refuse_connections_to(actor, true);
   record(Record::What::kDown, actor);
   const Actor sidecar{ActorKind::kSidecar, actor.number};
@@ -276,10 +276,10 @@
       server.slow_down(change.factor);
       return std::nullopt;
     case What::kFail:
-      server.fail(change.part);
+      server.set_failure_share(change.part);
       return std::nullopt;
     case What::kMute:
-      server.mute(change.part);
+      server.set_no_response_share(change.part);
       return std::nullopt;
     case What::kDrain:
       return DiscoveryStandIn::Status::kDraining;
@@ -306,7 +306,7 @@
     const std::optional<DiscoveryStandIn::Status> status = change_server(change, actor);
     if (!status) continue;
     const auto announce = [this, actor, status = *status, now_ms] {
-      discovery_->change(actor, status, status == DiscoveryStandIn::Status::kUp ? now_ms : 0);
+      discovery_->set_status(actor, status, status == DiscoveryStandIn::Status::kUp ? now_ms : 0);
     };
     if (change.notify_delay > 0) {
       schedule_at(history_.now() + change.notify_delay, announce);
--- a/fleet_rig/run/fleet_nodes.cpp
+++ b/fleet_rig/run/fleet_nodes.cpp
@@ -40,7 +40,7 @@
   parameters.count = sidecar ? topology_.sidecar : scenario_.replicas;
   parameters.tier = sidecar ? 1 : 0;
   parameters.zone = topology_.zone_of(actor);
-  parameters.known = discovery_->known(actor);
+  parameters.known = discovery_->initial_list(actor);
   if (hub_ && !sidecar) {
     parameters.peer_listen = endpoint_text(addresses_.node_gossip(actor));
     parameters.peers_all = endpoint_text(hub_->broadcast_endpoint());
