--- a/fleet_rig/actors/client_pool.cpp
+++ b/fleet_rig/actors/client_pool.cpp
@@ -29,12 +29,12 @@
   }
 }
 
-std::size_t ClientPool::up() const {
+std::size_t ClientPool::available_count() const {
   return static_cast<std::size_t>(
-      std::count_if(nodes_.begin(), nodes_.end(), [](const Node& n) { return n.up; }));
+      std::count_if(nodes_.begin(), nodes_.end(), [](const Node& n) { return n.available; }));
 }
 
-void ClientPool::expect(int node) {
+void ClientPool::add_when_healthy(int node) {
   Node& target = nodes_.at(static_cast<std::size_t>(node));
   asio::co_spawn(io_, wait_until_healthy(node, ++target.generation), asio::detached);
 }
@@ -45,21 +45,21 @@
     const bool is_healthy = co_await target.client->is_healthy();
     if (target.generation != generation) co_return;
     if (is_healthy) {
-      target.up = true;
+      target.available = true;
       co_return;
     }
     co_await sleep(kHealthPollInterval);
   }
 }
 
-void ClientPool::lost(int node, double detection_delay) {
+void ClientPool::remove_after(int node, double detection_delay) {
   Node& target = nodes_.at(static_cast<std::size_t>(node));
   const auto timer =
       std::make_shared<asio::steady_timer>(io_, history_.time_of(history_.now() + detection_delay));
   timer->async_wait([&target, timer, generation = target.generation](error_code cancelled) {
     if (cancelled || target.generation != generation) return;  // the node has restarted meanwhile
-    target.up = false;
-    target.client->forget();
+    target.available = false;
+    target.client->drop_idle_connections();
   });
 }
 
@@ -135,7 +135,7 @@
 int ClientPool::pick_node() {
   std::vector<int> available;
   for (std::size_t i = 0; i < nodes_.size(); ++i) {
-    if (nodes_[i].up) available.push_back(static_cast<int>(i));
+    if (nodes_[i].available) available.push_back(static_cast<int>(i));
   }
   return available.empty() ? -1 : available[random_.below(available.size())];
 }
@@ -164,9 +164,9 @@
   for (int attempts = 0; attempts <= scenario_.client_behavior.retries;) {
     const double remaining = deadline - history_.now();
     if (remaining < kMinAttemptTimeout) break;
-    const int node = pinned_node < 0                                    ? pick_node()
-                     : nodes_[static_cast<std::size_t>(pinned_node)].up ? pinned_node
-                                                                        : -1;
+    const int node = pinned_node < 0                                           ? pick_node()
+                     : nodes_[static_cast<std::size_t>(pinned_node)].available ? pinned_node
+                                                                               : -1;
     if (node < 0) {
       co_await sleep(std::min(kNoNodeRetryInterval, remaining));
       continue;
--- a/fleet_rig/actors/client_pool.h
+++ b/fleet_rig/actors/client_pool.h
@@ -24,15 +24,15 @@
              const std::vector<HttpClient::Endpoint>& nodes, std::uint64_t seed);
 
   // Polls the health of a starting node; once it is healthy, the frontend routes to it.
-  void expect(int node);
+  void add_when_healthy(int node);
   // A node has exited or is about to; the frontend stops routing to it `detection_delay` seconds from now.
-  void lost(int node, double detection_delay);
+  void remove_after(int node, double detection_delay);
   // Open connections to `node` that are not in use.
   std::size_t idle_connections(int node) const {
     return nodes_.at(static_cast<std::size_t>(node)).client->idle_connections();
   }
-  std::size_t up() const;  // nodes that the frontend considers available
-  bool is_up(int node) const { return nodes_.at(static_cast<std::size_t>(node)).up; }
+  std::size_t available_count() const;  // nodes that the frontend considers available
+  bool is_available(int node) const { return nodes_.at(static_cast<std::size_t>(node)).available; }
 
   // Starts the load; its time 0 is that of the history.
   void start();
@@ -42,7 +42,7 @@
  private:
   struct Node {
     std::unique_ptr<HttpClient> client;
-    bool up = false;
+    bool available = false;
     std::uint64_t generation = 0;  // distinguishes the health polls of successive starts
   };
 
--- a/fleet_rig/actors/http_client.h
+++ b/fleet_rig/actors/http_client.h
@@ -40,7 +40,7 @@
   boost::asio::awaitable<ClientResponse> send_request(ClientRequest request);
   // Whether GET /_health returns 200 within the health check timeout. Records nothing in the history.
   boost::asio::awaitable<bool> is_healthy();
-  void forget() { idle_connections_.clear(); }
+  void drop_idle_connections() { idle_connections_.clear(); }
   std::size_t idle_connections() const {
     return idle_connections_.size();
   }  // open connections that are not in use
--- a/fleet_rig/run/fleet.cpp
+++ b/fleet_rig/run/fleet.cpp
@@ -204,7 +204,8 @@
   for (const Actor& sidecar : sidecars)
     asio::co_spawn(io_, count_when_healthy(sidecar, healthy), asio::detached);
   const double deadline = history_.now() + kStartupTimeout;
-  while (clients_->up() < static_cast<std::size_t>(scenario_.replicas) || *healthy < sidecars.size()) {
+  while (clients_->available_count() < static_cast<std::size_t>(scenario_.replicas) ||
+         *healthy < sidecars.size()) {
     io_.run_for(std::chrono::milliseconds(10));
     for (auto& [actor, node] : nodes_) {
       const bool exited = node.should_run && !node.machine->running();
--- a/fleet_rig/run/fleet_faults.cpp
+++ b/fleet_rig/run/fleet_faults.cpp
@@ -89,7 +89,7 @@
   switch (fault.what) {
     case Fault::What::kKill:
       if (node.should_run && actor.kind == ActorKind::kNode)
-        clients_->lost(actor.number, scenario_.client_behavior.failure_detection);
+        clients_->remove_after(actor.number, scenario_.client_behavior.failure_detection);
       stop_node(actor);
       break;
     case Fault::What::kRestart:
@@ -106,7 +106,7 @@
       break;
     case Fault::What::kHangup:
       // SIGHUP is sent neither in the process's first second nor before the clients see the node as healthy.
-      if (history_.now() - node.started_at > kMinAgeForHangup && clients_->is_up(actor.number))
+      if (history_.now() - node.started_at > kMinAgeForHangup && clients_->is_available(actor.number))
         node.machine->signal(SIGHUP);
       break;
     case Fault::What::kCrowd:
@@ -261,7 +261,7 @@
 
 void Fleet::kill_and_restart(int replica, double down_time) {
   const Actor node{ActorKind::kNode, replica};
-  clients_->lost(replica, scenario_.client_behavior.failure_detection);
+  clients_->remove_after(replica, scenario_.client_behavior.failure_detection);
   stop_node(node);
   schedule_at(history_.now() + down_time, [this, node] { start_node(node); });
 }
--- a/fleet_rig/run/fleet_nodes.cpp
+++ b/fleet_rig/run/fleet_nodes.cpp
@@ -69,7 +69,7 @@
   node.started_at = history_.now();
   asio::co_spawn(io_, admit_when_listening(actor, node.incarnation), asio::detached);
   record(Record::What::kUp, actor);
-  if (actor.kind == ActorKind::kNode) clients_->expect(actor.number);
+  if (actor.kind == ActorKind::kNode) clients_->add_when_healthy(actor.number);
 }
 
 // Before a process listens, a real machine refuses connections. A relay would accept them and then break
@@ -96,7 +96,7 @@
   node.should_run = false;
   node.machine->kill();
   refuse_connections_to(actor, true);
-  if (node.client) node.client->forget();
+  if (node.client) node.client->drop_idle_connections();
   record(Record::What::kDown, actor);
 }
 
@@ -110,7 +110,7 @@
   const int incarnation = node.incarnation;
   node.should_run = false;  // its exit is no crash from now on
   node.machine->terminate();
-  if (actor.kind == ActorKind::kNode) clients_->lost(actor.number, kRoutingAfterSigterm);
+  if (actor.kind == ActorKind::kNode) clients_->remove_after(actor.number, kRoutingAfterSigterm);
   const double deadline = history_.now() + longest_deadline + kKillMargin;
   asio::steady_timer timer(io_);
   error_code ignored;
--- a/fleet_rig/run/fleet_observation.cpp
+++ b/fleet_rig/run/fleet_observation.cpp
@@ -43,7 +43,7 @@
   node.should_run = false;
   refuse_connections_to(actor, true);
   if (actor.kind == ActorKind::kNode)
-    clients_->lost(actor.number, scenario_.client_behavior.failure_detection);
+    clients_->remove_after(actor.number, scenario_.client_behavior.failure_detection);
   const int status = node.machine->status();
   record(Record::What::kCrash, actor,
          WIFSIGNALED(status) ? "ended by signal " + std::to_string(WTERMSIG(status))
