--- a/bench/rig/node_process.cpp
+++ b/bench/rig/node_process.cpp
@@ -37,11 +37,11 @@
   node.listen = "127.0.0.1:0";
   node.discovery = "127.0.0.1:9";  // nobody: what a node knows at its start is all
   node.seed = static_cast<std::uint64_t>(replica) + 1;
-  node.position = replica;
-  node.count = s.replicas;
+  node.replica_index = replica;
+  node.replica_count = s.replicas;
   node.sockets = kSockets;
   node.memory_mb = kMemoryMb;
-  node.can_hedge = node.cancel = false;  // as in virtual time
+  node.can_hedge = node.can_cancel = false;  // as in virtual time
   std::ostringstream known;
   known << R"({"index":1,"snapshot":true,"endpoints":[)";
   for (std::size_t i = 0; i < servers.size(); ++i) {
@@ -50,7 +50,7 @@
           << "}";
   }
   known << "]}";
-  node.known = known.str();
+  node.initial_endpoints = known.str();
   return fleet::node_config(s, node);
 }
 
--- a/fleet_rig/machine/machine.cpp
+++ b/fleet_rig/machine/machine.cpp
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-FaultsFile::FaultsFile(std::string path) : path_(std::move(path)) {
+FaultPlanFile::FaultPlanFile(std::string path) : path_(std::move(path)) {
   const int fd = ::open(path_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   void* mapping = MAP_FAILED;
   if (fd >= 0 && ::ftruncate(fd, sizeof(FaultPlan)) == 0)
@@ -69,13 +69,13 @@
   path_ = fs::absolute(path_);
 }
 
-FaultsFile::~FaultsFile() {
+FaultPlanFile::~FaultPlanFile() {
   ::munmap(plan_, sizeof(FaultPlan));
   std::error_code ignored;
   fs::remove(path_, ignored);
 }
 
-std::vector<std::string> FaultsFile::environment(const std::string& shim) const {
+std::vector<std::string> FaultPlanFile::environment(const std::string& shim) const {
   // ASAN_OPTIONS is for programs built with the address sanitizer, which checks that it is loaded first.
   return {std::string("LD_PRELOAD=") + shim, std::string(kFaultsVariable) + "=" + path_,
           "ASAN_OPTIONS=verify_asan_link_order=0"};
@@ -87,7 +87,7 @@
   options_.program = fs::absolute(options_.program);
   if (options_.shim.empty()) return;
   // Outside the folder, which start(true) empties.
-  faults_ = std::make_unique<FaultsFile>(options_.folder + ".faults");
+  faults_ = std::make_unique<FaultPlanFile>(options_.folder + ".faults");
   for (std::string& variable : faults_->environment(fs::absolute(options_.shim)))
     options_.environment.push_back(std::move(variable));
 }
@@ -110,7 +110,7 @@
   pid_ = ::fork();
   if (pid_ < 0) throw std::runtime_error("cannot fork a child process");
   if (pid_ == 0)
-    exec_program(options_.program.c_str(), log.c_str(), environment.data(), parent, options_.descriptors);
+    exec_program(options_.program.c_str(), log.c_str(), environment.data(), parent, options_.max_descriptors);
   ::setpgid(pid_, pid_);  // the child does the same: in effect whichever of them runs first
   paused_ = kill_requested_ = false;
   ++start_count_;
--- a/fleet_rig/machine/machine.h
+++ b/fleet_rig/machine/machine.h
@@ -19,13 +19,13 @@
 namespace thymewood::fleet {
 
 // A FaultPlan in a file that the shim in the child process maps too. The destructor removes the file.
-class FaultsFile {
+class FaultPlanFile {
  public:
   // Throws std::runtime_error if the file cannot be created or mapped.
-  explicit FaultsFile(std::string path);
-  ~FaultsFile();
-  FaultsFile(const FaultsFile&) = delete;
-  FaultsFile& operator=(const FaultsFile&) = delete;
+  explicit FaultPlanFile(std::string path);
+  ~FaultPlanFile();
+  FaultPlanFile(const FaultPlanFile&) = delete;
+  FaultPlanFile& operator=(const FaultPlanFile&) = delete;
 
   FaultPlan& plan() const { return *plan_; }
   // Environment variables that make a process preload the library `shim` and read this plan.
@@ -42,7 +42,7 @@
     std::string program;
     std::string folder;                    // created if missing; holds `log` and the files of the program
     std::vector<std::string> environment;  // "NAME=value"; besides these only TMPDIR=folder is set
-    std::uint64_t descriptors = 0;         // RLIMIT_NOFILE at the start; 0: inherited
+    std::uint64_t max_descriptors = 0;     // RLIMIT_NOFILE at the start; 0: inherited
     std::string shim;                      // library to preload, see fleet_rig/shim; empty: none
   };
   // Resource usage from proc(5); all zero if no process runs.
@@ -98,7 +98,7 @@
   void record_exit(int status);
 
   Options options_;
-  std::unique_ptr<FaultsFile> faults_;
+  std::unique_ptr<FaultPlanFile> faults_;
   pid_t pid_ = -1;
   int status_ = -1, start_count_ = 0;
   bool paused_ = false, crashed_ = false, kill_requested_ = false;
--- a/fleet_rig/run/fleet_nodes.cpp
+++ b/fleet_rig/run/fleet_nodes.cpp
@@ -36,11 +36,11 @@
   parameters.discovery = endpoint_text(relay(actor, kDiscoveryActor).endpoint());
   parameters.seed = options_.seed * 1000003 + static_cast<std::uint64_t>(member) * 1009 +
                     static_cast<std::uint64_t>(node.incarnation) * (sidecar ? 31 : 17);
-  parameters.position = actor.number;
-  parameters.count = sidecar ? topology_.sidecar : scenario_.replicas;
+  parameters.replica_index = actor.number;
+  parameters.replica_count = sidecar ? topology_.sidecar : scenario_.replicas;
   parameters.tier = sidecar ? 1 : 0;
   parameters.zone = topology_.zone_of(actor);
-  parameters.known = discovery_->initial_list(actor);
+  parameters.initial_endpoints = discovery_->initial_list(actor);
   if (hub_ && !sidecar) {
     parameters.peer_listen = endpoint_text(addresses_.node_gossip(actor));
     parameters.peers_all = endpoint_text(hub_->broadcast_endpoint());
--- a/fleet_rig/run/node_config.cpp
+++ b/fleet_rig/run/node_config.cpp
@@ -50,8 +50,8 @@
   for (int i = 0; i <= last_zone; ++i) out.String(("z" + std::to_string(i)).c_str());
   out.EndArray();
   write_int(out, "zone", node.zone);
-  write_int(out, "position", node.position);
-  write_int(out, "peersTotal", node.count);
+  write_int(out, "position", node.replica_index);
+  write_int(out, "peersTotal", node.replica_count);
   write_int(out, "stage", node.tier);
   out.Key("stages");
   out.StartArray();
@@ -63,7 +63,7 @@
   write_double(out, "overShareWorth", s.over_quota_weight);
   out.Key("bounds");
   out.StartObject();
-  write_bool(out, "cancel", node.cancel);
+  write_bool(out, "cancel", node.can_cancel);
   write_bool(out, "secondCopies", node.can_hedge);
   write_bool(out, "retryAfter", true);
   write_bool(out, "probes", false);
@@ -126,9 +126,9 @@
   write_int(out, "memory_mb", node.memory_mb);
   write_int(out, "sockets", node.sockets);
   out.EndObject();
-  if (!node.known.empty()) {
+  if (!node.initial_endpoints.empty()) {
     out.Key("known");
-    out.RawValue(node.known.data(), node.known.size(), rapidjson::kObjectType);
+    out.RawValue(node.initial_endpoints.data(), node.initial_endpoints.size(), rapidjson::kObjectType);
   }
   if (!node.peer_listen.empty()) {
     write_string(out, "peer_listen", node.peer_listen);
--- a/fleet_rig/run/relay_cost.cpp
+++ b/fleet_rig/run/relay_cost.cpp
@@ -156,7 +156,7 @@
     open_connections.back().connect(relay.endpoint());
     round_trip(open_connections.back());
   }
-  out.held = open_connections.size();
+  out.open_connections = open_connections.size();
   tcp::socket direct(io), relayed(io);
   direct.connect(echo.endpoint());
   relayed.connect(relay.endpoint());
@@ -178,8 +178,8 @@
   constexpr int kRounds = 20000;
   const RelayCost cost = measure_relay_cost(connections, kRounds);
   constexpr double kMicro = 1e6;
-  std::printf("%zu connections held open, %d round trips, alternately direct and relayed\n", cost.held,
-              kRounds);
+  std::printf("%zu connections held open, %d round trips, alternately direct and relayed\n",
+              cost.open_connections, kRounds);
   std::printf("direct  p50 %6.1f us  p99 %6.1f us\n", kMicro * cost.direct_p50, kMicro * cost.direct_p99);
   std::printf("relayed p50 %6.1f us  p99 %6.1f us\n", kMicro * cost.relayed_p50, kMicro * cost.relayed_p99);
   std::printf("a relay adds %.1f us to a round trip at p50\n", kMicro * (cost.relayed_p50 - cost.direct_p50));
--- a/fleet_rig/run/relay_cost.h
+++ b/fleet_rig/run/relay_cost.h
@@ -8,7 +8,7 @@
 
 struct RelayCost {
   double direct_p50 = 0, direct_p99 = 0, relayed_p50 = 0, relayed_p99 = 0;  // s, round trip
-  std::size_t held = 0;  // connections open during the measurement
+  std::size_t open_connections = 0;  // connections open during the measurement
 };
 
 RelayCost measure_relay_cost(std::size_t connections, int rounds);
--- a/fleet_rig/shim/call_plan.h
+++ b/fleet_rig/shim/call_plan.h
@@ -27,8 +27,8 @@
   std::atomic<FaultyCall> call{FaultyCall::kNone};
   std::atomic<std::int32_t> error{0};
   std::atomic<std::uint64_t> nth{1}, times{1};
-  std::atomic<std::uint64_t> seen{0};   // matching calls since the plan was set
-  std::atomic<std::uint64_t> fired{0};  // of these, how many had a fault injected
+  std::atomic<std::uint64_t> matching_calls{0};   // matching calls since the plan was set
+  std::atomic<std::uint64_t> injected_faults{0};  // of these, how many had a fault injected
 };
 
 constexpr const char* kCallPlanVariable = "THYMEWOOD_CALL_PLAN";  // path of the file that holds the plan
--- a/fleet_rig/shim/call_shim.cpp
+++ b/fleet_rig/shim/call_shim.cpp
@@ -38,9 +38,9 @@
 bool applies_to(FaultyCall call) {
   CallPlan* const p = mapped_plan;
   if (p == nullptr || p->call.load() != call) return false;
-  const std::uint64_t number = ++p->seen;
+  const std::uint64_t number = ++p->matching_calls;
   if (number < p->nth || number >= p->nth + p->times) return false;
-  ++p->fired;
+  ++p->injected_faults;
   return true;
 }
 
--- a/tests/fleet_rig/net_test.cpp
+++ b/tests/fleet_rig/net_test.cpp
@@ -342,7 +342,7 @@
 
 TEST(RelayCost, IsMeasuredWhileConnectionsAreOpen) {
   const RelayCost cost = measure_relay_cost(50, 100);
-  EXPECT_EQ(cost.held, 50u);
+  EXPECT_EQ(cost.open_connections, 50u);
   EXPECT_GT(cost.direct_p50, 0);
   EXPECT_GT(cost.relayed_p50, 0);
 }
--- a/tests/fleet_rig/shim_test.cpp
+++ b/tests/fleet_rig/shim_test.cpp
@@ -65,7 +65,7 @@
   std::uintmax_t size() { return std::filesystem::file_size(folder_ + "/data"); }
 
   std::string folder_;
-  FaultsFile faults_;
+  FaultPlanFile faults_;
   pid_t pid_ = -1;
   int command_fd_ = -1;
   std::FILE* output_ = nullptr;
--- a/tests/node/system_calls_test.cpp
+++ b/tests/node/system_calls_test.cpp
@@ -39,11 +39,11 @@
     plan_->error = error;
     plan_->nth = nth;
     plan_->times = 1;
-    plan_->seen = plan_->fired = 0;
+    plan_->matching_calls = plan_->injected_faults = 0;
     plan_->call = call;
   }
   void clear() const { plan_->call = FaultyCall::kNone; }
-  bool fired() const { return plan_->fired > 0; }
+  bool fired() const { return plan_->injected_faults > 0; }
 
  private:
   std::string path_;
--- a/tests/node/wall_clock_test.cpp
+++ b/tests/node/wall_clock_test.cpp
@@ -84,7 +84,7 @@
   void step(int seconds) {
     faults_.plan().clock_shift_ns = static_cast<std::int64_t>(seconds) * 1'000'000'000;
   }
-  fleet::FaultsFile faults_;
+  fleet::FaultPlanFile faults_;
 };
 
 std::string endpoint_started_now(const std::string& name, const std::string& address) {
