--- a/bench/model/actors.cpp
+++ b/bench/model/actors.cpp
@@ -51,7 +51,7 @@
   return "?";
 }
 
-std::vector<Actor> Topology::everyone() const {
+std::vector<Actor> Topology::all_actors() const {
   std::vector<Actor> out;
   for (const auto& [name, kind] : kActorKindNames) {
     for (int i = 0; i < actor_count(*this, kind); ++i) out.push_back({kind, i});
@@ -125,7 +125,7 @@
 std::string Selector::mismatch_reason(const Topology& topology) const {
   if (kind == Kind::kNobody) return "";
   if (kind == Kind::kZone) {
-    for (const Actor& actor : topology.everyone()) {
+    for (const Actor& actor : topology.all_actors()) {
       if (topology.zone_of(actor) == first) return "";
     }
     return "no actor is in zone " + std::to_string(first);
@@ -140,7 +140,7 @@
   std::vector<Actor> out;
   if (kind == Kind::kNobody) return out;
   if (kind == Kind::kZone) {
-    for (const Actor& actor : topology.everyone()) {
+    for (const Actor& actor : topology.all_actors()) {
       if (topology.zone_of(actor) == first) out.push_back(actor);
     }
     return out;
--- a/bench/model/actors.h
+++ b/bench/model/actors.h
@@ -29,7 +29,7 @@
 struct Topology {
   std::vector<int> node_zones, server_zones, backend_zones;  // zone of each actor, by its number
   int sidecar = 0;  // number of sidecars: one for each server where there is a second tier, else 0
-  std::vector<Actor> everyone() const;
+  std::vector<Actor> all_actors() const;
   int zone_of(const Actor& actor) const;  // -1: clients and discovery are in no zone
 };
 
--- a/bench/model/fleet_tables.h
+++ b/bench/model/fleet_tables.h
@@ -33,18 +33,18 @@
 struct Fault {
   enum class What {
     // faults of machines
-    kKill,          // killed at once; starts again after `lasts`
-    kRestart,       // SIGTERM, then SIGKILL as soon as it may be killed; starts again
-    kPause,         // process stopped for `lasts`
-    kStarve,        // limited to `share` of a core
-    kDescriptors,   // limited to `count` open file descriptors
-    kDiskFull,      // writes to files fail
-    kDiskFails,     // `share` of writes to files, and all syncs, fail
-    kDiskReadOnly,  // all writes, syncs and renames fail as on a read-only file system
-    kDiskSlow,      // each write and sync takes `delay` longer
-    kClock,         // wall clock off by `shift`
-    kHangup,        // SIGHUP, once: the node reloads its configuration
-    kCrowd,         // `count` clients hold open connections and send nothing, for `lasts`
+    kKill,             // killed at once; starts again after `lasts`
+    kRestart,          // SIGTERM, then SIGKILL as soon as it may be killed; starts again
+    kPause,            // process stopped for `lasts`
+    kCpuLimit,         // limited to `share` of a core
+    kDescriptors,      // limited to `count` open file descriptors
+    kDiskFull,         // writes to files fail
+    kDiskFails,        // `share` of writes to files, and all syncs, fail
+    kDiskReadOnly,     // all writes, syncs and renames fail as on a read-only file system
+    kDiskSlow,         // each write and sync takes `delay` longer
+    kClock,            // wall clock off by `shift`
+    kSighup,           // SIGHUP, once: the node reloads its configuration
+    kIdleConnections,  // `count` clients hold open connections and send nothing, for `lasts`
     // faults of links
     kCut,       // black hole: all traffic dropped, in both directions
     kCutTo,     // black hole: all traffic dropped, only from `who` to `to`
@@ -54,17 +54,17 @@
     kReset,     // all open connections are reset, once
     kRefuse,    // connections are refused
     // faults of discovery
-    kSilence,  // discovery is down: watches end and connections are refused
-    kLag       // updates arrive `delay` later
+    kDiscoveryDown,  // discovery is down: watches end and connections are refused
+    kDiscoveryLag    // updates arrive `delay` later
   };
   double at = 0, lasts = std::numeric_limits<double>::infinity();
   What what = What::kKill;
   Selector who, to;    // empty `to`: all other actors
-  double share = 0.1;  // kStarve, kLoss
+  double share = 0.1;  // kCpuLimit, kLoss
   double delay = 0, jitter = 0;
   double rate = 0;
   double shift = 0;  // s; kClock
-  int count = 64;    // kDescriptors, kCrowd
+  int count = 64;    // kDescriptors, kIdleConnections
   double flap = 0;   // s; the fault alternates between on and off, each for this long, until `lasts` is over
   double stagger = 0;  // s; interval between the starts of the fault at successive actors of `who`
   std::string text;    // as written in the file, for reports
--- a/bench/model/scenario_fleet_tables.cpp
+++ b/bench/model/scenario_fleet_tables.cpp
@@ -11,15 +11,15 @@
     {"kill", Fault::What::kKill},
     {"restart", Fault::What::kRestart},
     {"pause", Fault::What::kPause},
-    {"starve", Fault::What::kStarve},
+    {"starve", Fault::What::kCpuLimit},
     {"descriptors", Fault::What::kDescriptors},
     {"disk_full", Fault::What::kDiskFull},
     {"disk_fails", Fault::What::kDiskFails},
     {"disk_read_only", Fault::What::kDiskReadOnly},
     {"disk_slow", Fault::What::kDiskSlow},
     {"clock", Fault::What::kClock},
-    {"hangup", Fault::What::kHangup},
-    {"crowd", Fault::What::kCrowd},
+    {"hangup", Fault::What::kSighup},
+    {"crowd", Fault::What::kIdleConnections},
     {"cut", Fault::What::kCut},
     {"cut_to", Fault::What::kCutTo},
     {"delay", Fault::What::kDelay},
@@ -27,23 +27,23 @@
     {"slow_link", Fault::What::kSlowLink},
     {"reset", Fault::What::kReset},
     {"refuse", Fault::What::kRefuse},
-    {"silence", Fault::What::kSilence},
-    {"lag", Fault::What::kLag}};
+    {"silence", Fault::What::kDiscoveryDown},
+    {"lag", Fault::What::kDiscoveryLag}};
 
 bool is_machine_fault(Fault::What what) {
   switch (what) {
     case Fault::What::kKill:
     case Fault::What::kRestart:
     case Fault::What::kPause:
-    case Fault::What::kStarve:
+    case Fault::What::kCpuLimit:
     case Fault::What::kDescriptors:
     case Fault::What::kDiskFull:
     case Fault::What::kDiskFails:
     case Fault::What::kDiskReadOnly:
     case Fault::What::kDiskSlow:
     case Fault::What::kClock:
-    case Fault::What::kHangup:
-    case Fault::What::kCrowd:
+    case Fault::What::kSighup:
+    case Fault::What::kIdleConnections:
       return true;
     default:
       return false;
@@ -51,7 +51,7 @@
 }
 
 bool is_discovery_fault(Fault::What what) {
-  return what == Fault::What::kSilence || what == Fault::What::kLag;
+  return what == Fault::What::kDiscoveryDown || what == Fault::What::kDiscoveryLag;
 }
 
 Fault read_fault(TableReader t, const Topology& topology) {
@@ -76,7 +76,7 @@
   f.jitter = t.ms("jitter_ms", 0);
   f.rate = t.number("rate", 0);
   if (f.what == Fault::What::kSlowLink && f.rate <= 0) t.fail("'rate' has to be above 0, in bytes a second");
-  if (f.what == Fault::What::kStarve && (f.share <= 0 || f.share >= 1))
+  if (f.what == Fault::What::kCpuLimit && (f.share <= 0 || f.share >= 1))
     t.fail("'share' has to be between 0 and 1, both excluded");
   constexpr double kYearMs = 3.2e10;  // 370 days
   f.shift = t.number("shift_ms", 0, -kYearMs, kYearMs) / 1000;
--- a/fleet_rig/actors/discovery_stand_in.cpp
+++ b/fleet_rig/actors/discovery_stand_in.cpp
@@ -93,7 +93,7 @@
   std::vector<Entry>& all = server.kind == ActorKind::kBackend ? backends_ : servers_;
   // The view of a node that has not connected yet starts with the list as it was before this change.
   const bench::Topology topology = scenario_.topology();
-  for (const Actor& node : topology.everyone()) {
+  for (const Actor& node : topology.all_actors()) {
     if (node.kind == ActorKind::kNode || node.kind == ActorKind::kSidecar) view_of(node);
   }
   Entry& entry = all.at(static_cast<std::size_t>(server.number));
--- a/fleet_rig/plan/planner.cpp
+++ b/fleet_rig/plan/planner.cpp
@@ -84,7 +84,7 @@
 // Whether a fault ends at the moment at which it begins: connections are reset once, a process gets SIGTERM
 // or SIGHUP once.
 bool is_instantaneous(Fault::What what) {
-  return what == Fault::What::kReset || what == Fault::What::kRestart || what == Fault::What::kHangup;
+  return what == Fault::What::kReset || what == Fault::What::kRestart || what == Fault::What::kSighup;
 }
 
 }  // namespace
--- a/fleet_rig/run/fleet.cpp
+++ b/fleet_rig/run/fleet.cpp
@@ -71,7 +71,7 @@
 Fleet::~Fleet() = default;
 
 void Fleet::build() {
-  for (const Actor& actor : topology_.everyone()) {
+  for (const Actor& actor : topology_.all_actors()) {
     if (actor.kind != ActorKind::kNode && actor.kind != ActorKind::kSidecar) continue;
     Node& node = nodes_[actor];
     const std::string folder = options_.folder + "/" + bench::name_of(actor);
--- a/fleet_rig/run/fleet_faults.cpp
+++ b/fleet_rig/run/fleet_faults.cpp
@@ -99,17 +99,17 @@
       record(Record::What::kPaused, actor);
       node.machine->pause();
       break;
-    case Fault::What::kStarve:
+    case Fault::What::kCpuLimit:
       record(Record::What::kPaused, actor);
       node.cpu_limited = true;
       asio::co_spawn(io_, limit_cpu(actor, fault.share), asio::detached);
       break;
-    case Fault::What::kHangup:
+    case Fault::What::kSighup:
       // SIGHUP is sent neither in the process's first second nor before the clients see the node as healthy.
       if (history_.now() - node.started_at > kMinAgeForHangup && clients_->is_available(actor.number))
         node.machine->signal(SIGHUP);
       break;
-    case Fault::What::kCrowd:
+    case Fault::What::kIdleConnections:
       open_idle_connections(actor, fault.count);
       break;
     case Fault::What::kDescriptors:
@@ -128,8 +128,8 @@
     if (actor.kind == ActorKind::kDiscovery) break;
     begin_node_fault(fault, actor);
   }
-  if (fault.what == Fault::What::kSilence) discovery_->stop();
-  if (fault.what == Fault::What::kLag) discovery_->add_lag(fault.delay);
+  if (fault.what == Fault::What::kDiscoveryDown) discovery_->stop();
+  if (fault.what == Fault::What::kDiscoveryLag) discovery_->add_lag(fault.delay);
   if (!step.links.empty()) apply_link_fault(step, true);
   if (fault.what == Fault::What::kReset || fault.what == Fault::What::kRefuse) {
     for (const DirectedLink& link : step.links) {
@@ -155,12 +155,12 @@
       node.machine->resume();
       record(Record::What::kResumed, actor);
       break;
-    case Fault::What::kStarve:
+    case Fault::What::kCpuLimit:
       node.cpu_limited = false;
       node.machine->resume();
       record(Record::What::kResumed, actor);
       break;
-    case Fault::What::kCrowd:
+    case Fault::What::kIdleConnections:
       idle_connections_.erase(actor);
       break;
     case Fault::What::kDescriptors:
@@ -179,8 +179,8 @@
     if (actor.kind == ActorKind::kDiscovery) break;
     end_node_fault(fault, actor);
   }
-  if (fault.what == Fault::What::kSilence) discovery_->start();
-  if (fault.what == Fault::What::kLag) discovery_->add_lag(-fault.delay);
+  if (fault.what == Fault::What::kDiscoveryDown) discovery_->start();
+  if (fault.what == Fault::What::kDiscoveryLag) discovery_->add_lag(-fault.delay);
   if (fault.what == Fault::What::kRefuse) {
     for (const DirectedLink& link : step.links) {
       const auto relay = relays_.find({link.from, link.to});
