--- a/bench/model/scenario.h
+++ b/bench/model/scenario.h
@@ -118,11 +118,10 @@
   std::vector<LinkRule> links;
   std::vector<Fault> faults;
   DiscoveryDelays discovery;
-  bool peers = false;     // nodes can send each other datagrams
-  std::string operators;  // the operators file of each node; empty: none
-  double view_convergence_time =
-      0;                   // s after the last change by which all nodes' views must be correct; 0: unchecked
-  std::string clients_at;  // "FILE:LINE: [clients]"; empty if there is no such table
+  bool peers = false;                // nodes can send each other datagrams
+  std::string operators;             // the operators file of each node; empty: none
+  double view_convergence_time = 0;  // s after the last change until all views must be correct; 0: unchecked
+  std::string clients_at;            // "FILE:LINE: [clients]"; empty if there is no such table
   // "FILE:LINE: TABLE" for each table of the file that needs a fleet of processes.
   std::vector<std::string> fleet_only;
 
--- a/fleet_rig/actors/discovery_stand_in.h
+++ b/fleet_rig/actors/discovery_stand_in.h
@@ -29,8 +29,8 @@
     std::function<std::optional<TcpRelay::Origin>(unsigned short)> origin;  // the node behind a peer's port
     // "ADDRESS:PORT" at which a node reaches a server.
     std::function<std::string(const Actor& node, const Actor& server)> address;
-    std::function<bool(const Actor& node)>
-        is_reachable;  // whether bytes written to the node now are delivered
+    // Whether bytes written to the node now are delivered.
+    std::function<bool(const Actor& node)> is_reachable;
   };
 
   DiscoveryStandIn(boost::asio::io_context& io, const bench::Scenario& scenario, HistoryWriter& history,
--- a/fleet_rig/history/checkers.h
+++ b/fleet_rig/history/checkers.h
@@ -39,8 +39,7 @@
   std::vector<Finding> violations;
   std::vector<std::string> missing_input;  // missing or unreadable checker input
   double max_lateness = 0;                 // s; maximum lateness of the rig itself, added to every tolerance
-  std::uint64_t requests_sent = 0, attempts_received = 0,
-                excused = 0;  // requests sent, attempts at servers, excused violations
+  std::uint64_t requests_sent = 0, attempts_received = 0, excused = 0;  // by servers; excused violations
   bool void_run = false;
   bool passed() const { return violations.empty() && missing_input.empty() && !void_run; }
   std::size_t violation_count(const std::string& rule) const;
--- a/fleet_rig/history/figures.h
+++ b/fleet_rig/history/figures.h
@@ -26,8 +26,7 @@
   double max_first_tier = 0;               // maximum over the seconds with at least a tenth of the mean load
   double p50 = 0, p99 = 0;                 // s; latency of served operations
   double min_second_share = 1;  // minimum served share of the seconds with at least a tenth of the mean load
-  double recovery_seconds =
-      0;  // s from the end of the last fault until recovered, see compute_figures(); -1: never
+  double recovery_seconds = 0;  // from the end of the last fault on, see compute_figures(); -1: never
   double max_server_load_ratio = 1;         // attempts at the busiest first-tier server, relative to the mean
   double min_node_share = 1, max_node = 1;  // minimum and maximum served share of the nodes
                                             // that were never down, paused or sent SIGTERM
--- a/fleet_rig/history/record.h
+++ b/fleet_rig/history/record.h
@@ -52,7 +52,7 @@
   std::string operation_id;  // id of the operation's first attempt; equal to `id` in a first attempt
   int request_class = 0, tenant = 0, tier = 0, count = 0;
   int status = 0;
-  bool flag = false;
+  bool flag = false;  // of kNotified: the server is ready; of kServerReceived: the request is not rejected
   double limit = 0, last_byte_sent_at = 0;
   double work = 0, cold_capacity = 0;  // s of work; s of work a second that a cold server can do, 0: warm
   double wait = 0;
--- a/fleet_rig/net/udp_hub.h
+++ b/fleet_rig/net/udp_hub.h
@@ -1,7 +1,7 @@
 // Forwards datagrams between nodes under the conditions of the link table. Each node has one proxy address
-// at which all others reach it. A datagram for it is sent on from the proxy address of the sending
-// peer, so that the source is the sender's address in `peers` (PROTOCOL, Between nodes). A datagram to the
-// broadcast address, broadcast_endpoint(), goes to every other node.
+// at which all others reach it. A datagram for it is sent on from the proxy address of the sending peer, so
+// that the source is the sender's address in `peers` (PROTOCOL, Between nodes). A datagram to the broadcast
+// address, broadcast_endpoint(), goes to every other node.
 #pragma once
 
 #include <array>
