--- a/bench/rig/node_process.cpp
+++ b/bench/rig/node_process.cpp
@@ -37,11 +37,11 @@
   node.listen = "127.0.0.1:0";
   node.discovery = "127.0.0.1:9";  // nothing listens there: the node uses only the endpoints known at startup
   node.seed = static_cast<std::uint64_t>(replica) + 1;
-  node.position = replica;
-  node.count = s.replicas;
+  node.replica_index = replica;
+  node.replica_count = s.replicas;
   node.sockets = kDescriptorLimit;
   node.memory_mb = kMemoryMb;
-  node.can_hedge = node.cancel = false;  // as in virtual-time runs
+  node.can_hedge = node.can_cancel = false;  // as in virtual-time runs
   std::ostringstream endpoints_json;
   endpoints_json << R"({"index":1,"snapshot":true,"endpoints":[)";
   for (std::size_t i = 0; i < servers.size(); ++i) {
@@ -50,7 +50,7 @@
                    << s.servers[i].weight << "}";
   }
   endpoints_json << "]}";
-  node.known = endpoints_json.str();
+  node.initial_endpoints = endpoints_json.str();
   return fleet::node_config(s, node);
 }
 
--- a/fleet_rig/actors/http_client.cpp
+++ b/fleet_rig/actors/http_client.cpp
@@ -32,13 +32,13 @@
   RequestHead head;
   head.host = "fleet";
   head.class_name = request.class_name;
-  head.operation = request.operation_id;
+  head.operation_id = request.operation_id;
   head.id = request.id;
   head.tenant = request.tenant;
-  head.key = request.idempotency_key;
+  head.idempotency_key = request.idempotency_key;
   head.timeout_ms = std::max(1L, std::lround(request.timeout * 1000));
   head.has_body = request.has_body;
-  return request_text(head);
+  return serialize_http_request(head);
 }
 
 // Closes a socket at its deadline unless the exchange has finished, as the connection may be reused by then.
@@ -80,7 +80,7 @@
     r.by = client_;
     r.to = node_;
     r.id = request.id;
-    r.first = request.operation_id;
+    r.operation_id = request.operation_id;
     r.request_class = request.request_class;
     r.tenant = request.tenant_index;
     r.tier = request.tier;
@@ -127,7 +127,7 @@
       co_return result;
     }
     if (deadline.state->expired) {
-      record(Record::What::kClientLeft, 0);
+      record(Record::What::kClientDisconnected, 0);
       co_return result;
     }
     // The node may close an idle connection just as a request is sent; the request is resent on another one.
--- a/fleet_rig/actors/server_stand_in.h
+++ b/fleet_rig/actors/server_stand_in.h
@@ -35,22 +35,22 @@
   // `second_tier_client`: calls the second tier; null for a server that makes no calls. All reference and
   // pointer arguments outlive the server.
   ServerStandIn(boost::asio::io_context& io, const bench::Scenario& scenario, HistoryWriter& history,
-                const Actor& actor, const bench::ScenarioServer& spec, const Endpoint& where, Origin origin,
-                HttpClient* second_tier_client, std::uint64_t seed);
+                const Actor& actor, const bench::ScenarioServer& spec, const Endpoint& endpoint,
+                Origin origin, HttpClient* second_tier_client, std::uint64_t seed);
   ~ServerStandIn();
   ServerStandIn(const ServerStandIn&) = delete;
   ServerStandIn& operator=(const ServerStandIn&) = delete;
 
   // Starts listening; `cold`: with an unwarmed capacity model, as after a restart. Throws
   // boost::system::system_error.
-  void up(bool cold);
+  void start(bool cold);
   // Simulates a process exit: resets all connections and drops all requests in progress.
-  void down();
+  void stop();
   bool is_up() const { return acceptor_.is_open(); }
   void slow_down(double factor);
-  void fail(double share) { fail_share_ = share; }  // share of requests that fail at once
-  void mute(double share) { mute_share_ = share; }  // share of requests that get no response
-  const Endpoint& where() const { return where_; }
+  void set_failure_share(double share) { fail_share_ = share; }      // share of requests that fail at once
+  void set_no_response_share(double share) { mute_share_ = share; }  // share of requests that get no response
+  const Endpoint& endpoint() const { return endpoint_; }
   std::size_t connections() const { return sockets_.size(); }
   double work_done() const { return work_done_; }  // s of completed work
 
@@ -96,7 +96,7 @@
   HistoryWriter& history_;
   Actor actor_;
   bench::ScenarioServer spec_;
-  Endpoint where_;
+  Endpoint endpoint_;
   Origin origin_;
   HttpClient* second_tier_client_;
   bench::Random random_;
--- a/fleet_rig/run/fleet.cpp
+++ b/fleet_rig/run/fleet.cpp
@@ -71,7 +71,7 @@
 Fleet::~Fleet() = default;
 
 void Fleet::build() {
-  for (const Actor& actor : topology_.everyone()) {
+  for (const Actor& actor : topology_.all_actors()) {
     if (actor.kind != ActorKind::kNode && actor.kind != ActorKind::kSidecar) continue;
     Node& node = nodes_[actor];
     const std::string folder = options_.folder + "/" + bench::name_of(actor);
@@ -95,22 +95,23 @@
             return std::nullopt;
           },
           [this](const Actor& node, const Actor& server) {
-            return endpoint_text(relay(node, server).where());
+            return endpoint_text(relay(node, server).endpoint());
           },
-          [this](const Actor& node) { return !links_.way(kDiscoveryActor, node).cut(); }},
+          [this](const Actor& node) { return !links_.direction(kDiscoveryActor, node).cut(); }},
       options_.seed ^ 0xD15C);
   build_relays();
   build_servers();
   std::vector<HttpClient::Endpoint> node_endpoints;
   node_endpoints.reserve(static_cast<std::size_t>(scenario_.replicas));
   for (int i = 0; i < scenario_.replicas; ++i)
-    node_endpoints.push_back(relay(kClientsActor, {ActorKind::kNode, i}).where());
+    node_endpoints.push_back(relay(kClientsActor, {ActorKind::kNode, i}).endpoint());
   clients_ = std::make_unique<ClientPool>(io_, scenario_, history_, node_endpoints, options_.seed);
 }
 
 void Fleet::build_relays() {
-  for (const auto& [way, shape] : standing_shapes(scenario_))
-    links_.way(way.from, way.to).lay(std::numeric_limits<std::uint64_t>::max() - relays_.size(), shape);
+  for (const auto& [link, shape] : configured_link_shapes(scenario_))
+    links_.direction(link.from, link.to)
+        .add_fault(std::numeric_limits<std::uint64_t>::max() - relays_.size(), shape);
   std::vector<UdpHub::Peer> peers;
   for (const auto& [actor, node] : nodes_) {
     const bool sidecar = actor.kind == ActorKind::kSidecar;
@@ -121,7 +122,7 @@
     };
     const Actor client = sidecar ? Actor{ActorKind::kServer, actor.number} : kClientsActor;
     add(client, actor, addresses_.relay_to_node(actor), addresses_.node(actor));
-    add(actor, kDiscoveryActor, addresses_.relay_to_discovery(actor), discovery_->where());
+    add(actor, kDiscoveryActor, addresses_.relay_to_discovery(actor), discovery_->endpoint());
     const std::size_t targets = sidecar ? scenario_.backends.size() : scenario_.servers.size();
     for (std::size_t i = 0; i < targets; ++i) {
       const int number = static_cast<int>(i);
@@ -141,7 +142,7 @@
     const Actor sidecar{ActorKind::kSidecar, actor.number};
     if (actor.kind == ActorKind::kServer && scenario_.chain.calls > 0) {
       nodes_.at(sidecar).client =
-          std::make_unique<HttpClient>(io_, history_, actor, sidecar, relay(actor, sidecar).where());
+          std::make_unique<HttpClient>(io_, history_, actor, sidecar, relay(actor, sidecar).endpoint());
       second_tier_client = nodes_.at(sidecar).client.get();
     }
     const auto origin = [this, actor](unsigned short port) -> std::optional<TcpRelay::Origin> {
@@ -168,7 +169,7 @@
   for (auto& [actor, server] : servers_) {
     const auto& specs = actor.kind == ActorKind::kBackend ? scenario_.backends : scenario_.servers;
     if (specs.at(static_cast<std::size_t>(actor.number)).up) {
-      server->up(false);
+      server->start(false);
     } else {
       refuse_connections_to(actor, true);
     }
@@ -203,7 +204,8 @@
   for (const Actor& sidecar : sidecars)
     asio::co_spawn(io_, count_when_healthy(sidecar, healthy), asio::detached);
   const double deadline = history_.now() + kStartupTimeout;
-  while (clients_->up() < static_cast<std::size_t>(scenario_.replicas) || *healthy < sidecars.size()) {
+  while (clients_->available_count() < static_cast<std::size_t>(scenario_.replicas) ||
+         *healthy < sidecars.size()) {
     io_.run_for(std::chrono::milliseconds(10));
     for (auto& [actor, node] : nodes_) {
       const bool exited = node.should_run && !node.machine->running();
@@ -222,13 +224,13 @@
     schedule_at(flood.at, [this, note] { record(Record::What::kFault, kDiscoveryActor, note); });
     if (std::isfinite(flood.lasts))
       schedule_at(flood.at + flood.lasts,
-                  [this, note] { record(Record::What::kHealed, kDiscoveryActor, note); });
+                  [this, note] { record(Record::What::kFaultEnded, kDiscoveryActor, note); });
   }
 }
 
 std::string Fleet::run() {
   start_servers();
-  discovery_->up();
+  discovery_->start();
   await_healthy(start_nodes());
   constexpr double kLeadTime = 0.1;  // s; before the load begins
   history_.begin(kLeadTime);
--- a/fleet_rig/run/fleet_faults.cpp
+++ b/fleet_rig/run/fleet_faults.cpp
@@ -70,16 +70,16 @@
 }
 
 void Fleet::apply(const Step& step) {
-  if (step.what == Step::What::kChange) return apply_change(scenario_.changes.at(step.change));
+  if (step.what == Step::What::kServerChange) return apply_change(scenario_.changes.at(step.change));
   const Fault& fault = scenario_.faults.at(step.fault);
-  const bool begins = step.what == Step::What::kBegins;
+  const bool begins = step.what == Step::What::kFaultBegins;
   if (options_.progress) options_.progress(history_.now(), (begins ? "" : "ended: ") + step.note);
   if (begins) {
     begin_fault(fault, step);
     record(Record::What::kFault, kDiscoveryActor, step.note);
   } else {
     end_fault(fault, step);
-    record(Record::What::kHealed, kDiscoveryActor, step.note);
+    record(Record::What::kFaultEnded, kDiscoveryActor, step.note);
   }
 }
 
@@ -89,7 +89,7 @@
   switch (fault.what) {
     case Fault::What::kKill:
       if (node.should_run && actor.kind == ActorKind::kNode)
-        clients_->lost(actor.number, scenario_.client_behavior.failure_detection);
+        clients_->remove_after(actor.number, scenario_.client_behavior.failure_detection);
       stop_node(actor);
       break;
     case Fault::What::kRestart:
@@ -99,17 +99,17 @@
       record(Record::What::kPaused, actor);
       node.machine->pause();
       break;
-    case Fault::What::kStarve:
+    case Fault::What::kCpuLimit:
       record(Record::What::kPaused, actor);
       node.cpu_limited = true;
       asio::co_spawn(io_, limit_cpu(actor, fault.share), asio::detached);
       break;
-    case Fault::What::kHangup:
+    case Fault::What::kSighup:
       // SIGHUP is sent neither in the process's first second nor before the clients see the node as healthy.
-      if (history_.now() - node.started_at > kMinAgeForHangup && clients_->is_up(actor.number))
+      if (history_.now() - node.started_at > kMinAgeForHangup && clients_->is_available(actor.number))
         node.machine->signal(SIGHUP);
       break;
-    case Fault::What::kCrowd:
+    case Fault::What::kIdleConnections:
       open_idle_connections(actor, fault.count);
       break;
     case Fault::What::kDescriptors:
@@ -124,21 +124,21 @@
 }
 
 void Fleet::begin_fault(const Fault& fault, const Step& step) {
-  for (const Actor& actor : step.who) {
+  for (const Actor& actor : step.actors) {
     if (actor.kind == ActorKind::kDiscovery) break;
     begin_node_fault(fault, actor);
   }
-  if (fault.what == Fault::What::kSilence) discovery_->down();
-  if (fault.what == Fault::What::kLag) discovery_->lag_more(fault.delay);
-  if (!step.ways.empty()) apply_link_fault(step, true);
+  if (fault.what == Fault::What::kDiscoveryDown) discovery_->stop();
+  if (fault.what == Fault::What::kDiscoveryLag) discovery_->add_lag(fault.delay);
+  if (!step.links.empty()) apply_link_fault(step, true);
   if (fault.what == Fault::What::kReset || fault.what == Fault::What::kRefuse) {
-    for (const Way& way : step.ways) {
-      const auto relay = relays_.find({way.from, way.to});
+    for (const DirectedLink& link : step.links) {
+      const auto relay = relays_.find({link.from, link.to});
       if (relay == relays_.end()) continue;
       if (fault.what == Fault::What::kReset) {
         relay->second->reset();
       } else {
-        relay->second->refuse(true);
+        relay->second->set_refusing(true);
       }
     }
   }
@@ -155,12 +155,12 @@
       node.machine->resume();
       record(Record::What::kResumed, actor);
       break;
-    case Fault::What::kStarve:
+    case Fault::What::kCpuLimit:
       node.cpu_limited = false;
       node.machine->resume();
       record(Record::What::kResumed, actor);
       break;
-    case Fault::What::kCrowd:
+    case Fault::What::kIdleConnections:
       idle_connections_.erase(actor);
       break;
     case Fault::What::kDescriptors:
@@ -175,47 +175,48 @@
 }
 
 void Fleet::end_fault(const Fault& fault, const Step& step) {
-  for (const Actor& actor : step.who) {
+  for (const Actor& actor : step.actors) {
     if (actor.kind == ActorKind::kDiscovery) break;
     end_node_fault(fault, actor);
   }
-  if (fault.what == Fault::What::kSilence) discovery_->up();
-  if (fault.what == Fault::What::kLag) discovery_->lag_more(-fault.delay);
+  if (fault.what == Fault::What::kDiscoveryDown) discovery_->start();
+  if (fault.what == Fault::What::kDiscoveryLag) discovery_->add_lag(-fault.delay);
   if (fault.what == Fault::What::kRefuse) {
-    for (const Way& way : step.ways) {
-      const auto relay = relays_.find({way.from, way.to});
-      if (relay != relays_.end()) relay->second->refuse(false);
+    for (const DirectedLink& link : step.links) {
+      const auto relay = relays_.find({link.from, link.to});
+      if (relay != relays_.end()) relay->second->set_refusing(false);
     }
   }
-  if (!step.ways.empty()) apply_link_fault(step, false);
+  if (!step.links.empty()) apply_link_fault(step, false);
 }
 
 void Fleet::apply_link_fault(const Step& step, bool on) {
-  for (const Way& way : step.ways) {
-    Direction& direction = links_.way(way.from, way.to);
+  for (const DirectedLink& link : step.links) {
+    Direction& direction = links_.direction(link.from, link.to);
     if (on) {
-      direction.lay(step.number, step.shape);
+      direction.add_fault(step.interval_id, step.shape);
     } else {
-      direction.lift(step.number);
+      direction.remove_fault(step.interval_id);
     }
     Record r;
-    r.what = on ? Record::What::kBadLink : Record::What::kGoodLink;
-    r.by = way.from;
-    r.to = way.to;
+    r.what = on ? Record::What::kLinkFaulty : Record::What::kLinkRestored;
+    r.by = link.from;
+    r.to = link.to;
     history_.add(r);
   }
-  for (const Way& way : step.ways) {
-    for (const auto& link : {std::pair{way.from, way.to}, std::pair{way.to, way.from}}) {
-      const auto relay = relays_.find(link);
-      if (relay != relays_.end()) relay->second->changed();
+  for (const DirectedLink& link : step.links) {
+    for (const auto& actors : {std::pair{link.from, link.to}, std::pair{link.to, link.from}}) {
+      const auto relay = relays_.find(actors);
+      if (relay != relays_.end()) relay->second->on_link_changed();
     }
-    if (!on && way.from == kDiscoveryActor && !links_.way(way.from, way.to).cut()) discovery_->healed(way.to);
+    if (!on && link.from == kDiscoveryActor && !links_.direction(link.from, link.to).cut())
+      discovery_->link_restored(link.to);
   }
 }
 
 void Fleet::refuse_connections_to(const Actor& actor, bool on) {
   for (const auto& [link, relay] : relays_) {
-    if (link.second == actor) relay->refuse(on);
+    if (link.second == actor) relay->set_refusing(on);
   }
 }
 
@@ -225,7 +226,7 @@
   for (int i = 0; i < count; ++i) {
     const auto socket = std::make_shared<asio::ip::tcp::socket>(io_);
     sockets.push_back(socket);
-    socket->async_connect(relay(kClientsActor, node).where(), [socket](error_code error) {
+    socket->async_connect(relay(kClientsActor, node).endpoint(), [socket](error_code error) {
       if (error) return;
       socket->async_wait(asio::ip::tcp::socket::wait_read, [socket](error_code) {
         error_code ignored;
@@ -240,9 +241,9 @@
 void Fleet::start_server(const Actor& actor) {
   ServerStandIn& server = *servers_.at(actor);
   if (server.is_up()) stop_server(actor);
-  server.fail(0);
-  server.mute(0);
-  server.up(true);
+  server.set_failure_share(0);
+  server.set_no_response_share(0);
+  server.start(true);
   refuse_connections_to(actor, false);
   record(Record::What::kUp, actor);
   const Actor sidecar{ActorKind::kSidecar, actor.number};
@@ -251,7 +252,7 @@
 }
 
 void Fleet::stop_server(const Actor& actor) {
-  servers_.at(actor)->down();
+  servers_.at(actor)->stop();
   refuse_connections_to(actor, true);
   record(Record::What::kDown, actor);
   const Actor sidecar{ActorKind::kSidecar, actor.number};
@@ -260,7 +261,7 @@
 
 void Fleet::kill_and_restart(int replica, double down_time) {
   const Actor node{ActorKind::kNode, replica};
-  clients_->lost(replica, scenario_.client_behavior.failure_detection);
+  clients_->remove_after(replica, scenario_.client_behavior.failure_detection);
   stop_node(node);
   schedule_at(history_.now() + down_time, [this, node] { start_node(node); });
 }
@@ -275,10 +276,10 @@
       server.slow_down(change.factor);
       return std::nullopt;
     case What::kFail:
-      server.fail(change.part);
+      server.set_failure_share(change.part);
       return std::nullopt;
     case What::kMute:
-      server.mute(change.part);
+      server.set_no_response_share(change.part);
       return std::nullopt;
     case What::kDrain:
       return DiscoveryStandIn::Status::kDraining;
@@ -305,7 +306,7 @@
     const std::optional<DiscoveryStandIn::Status> status = change_server(change, actor);
     if (!status) continue;
     const auto announce = [this, actor, status = *status, now_ms] {
-      discovery_->change(actor, status, status == DiscoveryStandIn::Status::kUp ? now_ms : 0);
+      discovery_->set_status(actor, status, status == DiscoveryStandIn::Status::kUp ? now_ms : 0);
     };
     if (change.notify_delay > 0) {
       schedule_at(history_.now() + change.notify_delay, announce);
--- a/fleet_rig/run/fleet_nodes.cpp
+++ b/fleet_rig/run/fleet_nodes.cpp
@@ -33,19 +33,19 @@
   NodeParameters parameters;
   parameters.name = bench::name_of(actor);
   parameters.listen = endpoint_text(addresses_.node(actor));
-  parameters.discovery = endpoint_text(relay(actor, kDiscoveryActor).where());
+  parameters.discovery = endpoint_text(relay(actor, kDiscoveryActor).endpoint());
   parameters.seed = options_.seed * 1000003 + static_cast<std::uint64_t>(member) * 1009 +
                     static_cast<std::uint64_t>(node.incarnation) * (sidecar ? 31 : 17);
-  parameters.position = actor.number;
-  parameters.count = sidecar ? topology_.sidecar : scenario_.replicas;
+  parameters.replica_index = actor.number;
+  parameters.replica_count = sidecar ? topology_.sidecar : scenario_.replicas;
   parameters.tier = sidecar ? 1 : 0;
   parameters.zone = topology_.zone_of(actor);
-  parameters.known = discovery_->known(actor);
+  parameters.initial_endpoints = discovery_->initial_list(actor);
   if (hub_ && !sidecar) {
     parameters.peer_listen = endpoint_text(addresses_.node_gossip(actor));
-    parameters.peers_all = endpoint_text(hub_->all());
+    parameters.peers_all = endpoint_text(hub_->broadcast_endpoint());
     for (int i = 0; i < scenario_.replicas; ++i)
-      parameters.peers.push_back(endpoint_text(hub_->face(static_cast<std::size_t>(i))));
+      parameters.peers.push_back(endpoint_text(hub_->proxy_endpoint(static_cast<std::size_t>(i))));
   }
   if (!scenario_.operators.empty()) {
     std::ofstream operators(node.machine->folder() + "/operators.toml", std::ios::trunc);
@@ -69,7 +69,7 @@
   node.started_at = history_.now();
   asio::co_spawn(io_, admit_when_listening(actor, node.incarnation), asio::detached);
   record(Record::What::kUp, actor);
-  if (actor.kind == ActorKind::kNode) clients_->expect(actor.number);
+  if (actor.kind == ActorKind::kNode) clients_->add_when_healthy(actor.number);
 }
 
 // Before a process listens, a real machine refuses connections. A relay would accept them and then break
@@ -96,7 +96,7 @@
   node.should_run = false;
   node.machine->kill();
   refuse_connections_to(actor, true);
-  if (node.client) node.client->forget();
+  if (node.client) node.client->drop_idle_connections();
   record(Record::What::kDown, actor);
 }
 
@@ -110,7 +110,7 @@
   const int incarnation = node.incarnation;
   node.should_run = false;  // its exit is no crash from now on
   node.machine->terminate();
-  if (actor.kind == ActorKind::kNode) clients_->lost(actor.number, kRoutingAfterSigterm);
+  if (actor.kind == ActorKind::kNode) clients_->remove_after(actor.number, kRoutingAfterSigterm);
   const double deadline = history_.now() + longest_deadline + kKillMargin;
   asio::steady_timer timer(io_);
   error_code ignored;
