--- a/adapter/reply_writer.cpp
+++ b/adapter/reply_writer.cpp
@@ -7,7 +7,7 @@
 
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
-// Writes one action as a JSON object.
+// Writes an element of the "steps" array: a JSON object with the field "kind" and the fields of that kind.
 class ActionWriter {
  public:
   explicit ActionWriter(Writer& out) : out_(out) {}
--- a/bench/discovery/reconnect_herd.h
+++ b/bench/discovery/reconnect_herd.h
@@ -1,6 +1,6 @@
-// Simulates, in virtual time, many nodes that request the endpoint list from one discovery service that comes
-// back after an outage in which all watches ended. Discovery serves calls in order of arrival. A call that
-// would wait too long is rejected after the maximum wait, and the work on it is wasted.
+// Simulates, in virtual time, a fleet of nodes that request the endpoint list from one discovery service
+// after an outage. All watches end when the outage begins. Discovery serves calls in order of arrival. A call
+// that would wait too long is rejected after the maximum wait, and the work on it is wasted.
 #pragma once
 
 #include <algorithm>
@@ -38,7 +38,8 @@
   double last() const { return *std::max_element(recovered_after.begin(), recovered_after.end()); }
 };
 
-// Returns the delay of one node before its next call.
+// Returns the delay of one node before its next call, in seconds. An empty optional means that nothing is
+// known about the failure, as for WatchBackoff; the simulation always passes a failure.
 using BackoffPolicy = std::function<double(const std::optional<WatchFailure>&, Random&)>;
 
 // `make_policy` creates the policy of each process: one for each node, and a new one when a node restarts.
--- a/fleet_rig/actors/http_client.cpp
+++ b/fleet_rig/actors/http_client.cpp
@@ -20,7 +20,8 @@
 
 namespace {
 
-// s. A client keeps reading for this long after its timeout, so that a late response is recorded as late.
+// In seconds. A client keeps reading for this long after its timeout, so that a late response is recorded as
+// late.
 constexpr double kLateResponseWindow = 0.3;
 constexpr double kHealthCheckTimeout = 1;
 
@@ -41,7 +42,8 @@
   return request_text(head);
 }
 
-// Closes a socket at its deadline unless the exchange has finished, as the connection may be reused by then.
+// Closes a socket at its deadline. After the exchange has finished, the socket is left open, since it may be
+// in use for the next request.
 struct Deadline {
   Deadline(asio::io_context& io, std::shared_ptr<tcp::socket> socket, double seconds)
       : timer(io, to_duration(seconds)), state(std::make_shared<State>()) {
--- a/fleet_rig/plan/planner.h
+++ b/fleet_rig/plan/planner.h
@@ -1,6 +1,6 @@
 // Expands a scenario into the timed steps that the rig applies to the fleet, in order. Deterministic: the
-// same scenario and seed give the same plan. The actors of a share such as 'node:70%' are drawn once per
-// fault, from the seed and the index of the fault in the file.
+// same scenario and seed give the same plan. If a fault affects a share of the actors, such as 'node:70%',
+// they are drawn at random once for the whole fault, from the seed and the index of the fault in the file.
 #pragma once
 
 #include <cstdint>
@@ -26,25 +26,25 @@
   enum class What {
     kBegins,  // `fault` begins
     kEnds,    // `fault` ends
-    kChange   // `change` of the scenario is applied to servers
+    kChange   // the scenario's change `change` is applied, to servers or to a replica of the node
   };
   double at = 0;
   What what = What::kBegins;
   std::size_t fault = 0, change = 0;  // indices in the scenario
   std::uint64_t number = 0;           // identifies one active interval of a fault
-  std::vector<Actor> who;             // actors that the fault affects: machines or discovery
+  std::vector<Actor> who;             // nodes, sidecar nodes or discovery; empty for a link fault
   std::vector<Way> ways;              // link directions that the fault affects
   Shape shape;                        // applied to `ways`
-  std::string note;                   // such as "cut zone:1, 2 of 5"
+  std::string note;                   // such as "cut zone:1, 2 of 5": its second active interval of 5
 };
 
 // All links of the topology: clients to nodes; nodes to servers, discovery and each other; the servers'
-// sidecar nodes to backends, discovery and each other. Each pair occurs once, in the direction in which it
-// connects.
+// sidecar nodes to backends, discovery and each other. Each pair occurs once, in the direction from the actor
+// that opens the connection, or between two nodes from the one with the lower number.
 std::vector<Way> links_of(const bench::Topology& topology);
 
-// The shapes that [[link]] rules apply to each direction from the beginning; those of later rules come on top
-// of those of earlier ones.
+// The shapes that [[link]] rules apply to each direction from the beginning, in the order of the rules. If
+// several rules apply to a direction, their shapes are combined (see link_table.h).
 std::vector<std::pair<Way, Shape>> standing_shapes(const bench::Scenario& scenario);
 
 std::vector<Step> plan(const bench::Scenario& scenario, std::uint64_t seed);
--- a/fleet_rig/run/relay_cost.cpp
+++ b/fleet_rig/run/relay_cost.cpp
@@ -30,7 +30,6 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// Echoes each byte that it receives.
 class EchoServer {
  public:
   explicit EchoServer(asio::io_context& io) : acceptor_(io, {asio::ip::address_v4::loopback(), 0}) {
@@ -73,10 +72,11 @@
 }
 
 // A listener in a child process, so that its open connections count against a descriptor limit of its own.
-// The process ends with this object or with its parent.
+// The process is killed when this object is destroyed or its parent process ends.
 class ListenerProcess {
  public:
-  // `start_listener` starts a listener on the event loop, stores its owner and returns its endpoint.
+  // `start_listener` starts a listener on the event loop, stores in its second argument a pointer that keeps
+  // the listener alive, and returns the listener's endpoint.
   explicit ListenerProcess(
       const std::function<tcp::endpoint(asio::io_context&, std::shared_ptr<void>&)>& start_listener) {
     int pipe_ends[2];
--- a/membership/detector.cpp
+++ b/membership/detector.cpp
@@ -7,7 +7,8 @@
 namespace thymewood::membership {
 namespace {
 
-// Fraction of the probe interval. A timer that is later than this means that the event loop was paused.
+// If a timer fires later than its deadline by more than this fraction of the probe interval, the event loop
+// was paused.
 constexpr double kPauseFraction = 0.5;
 
 // Runs the validation before any data member is constructed from `local`.
@@ -64,8 +65,8 @@
   return take_outputs();
 }
 
-// No datagram could be received while the event loop was paused, so missing acks and refutations in this time
-// must not count against peers. The pause itself counts against this node's local health.
+// This node could not receive datagrams while its event loop was paused, so acks and refutations that did not
+// arrive in that time must not count against its peers. The pause counts against this node's local health.
 void Detector::recover_from_pause(double now, double duration) {
   counters_.pauses += 1;
   outputs_.emplace_back(LoopPaused{duration});
@@ -104,8 +105,9 @@
   const std::uint64_t start_time = start_time_of(message.incarnation);
   if (start_time < start_time_of(member.record.incarnation)) {
     counters_.stale += 1;
-    // Sent either by an earlier process of this node, or by a new one whose clock was set back. The ack
-    // carries the receiver's own record, so that a new process can raise its incarnation above it.
+    // Sent either by an earlier process of the peer, or by a new one whose clock was set back. The ack
+    // carries this node's record of the peer, so that a new process of the peer can raise its incarnation
+    // above it.
     if (message.kind == MessageKind::kPing)
       sender_.send(MessageKind::kAck, message.sender, local_.id, message.sequence_number);
     return std::nullopt;
@@ -160,7 +162,7 @@
     case MessageKind::kNack:
       prober_.on_nack(message);
       break;
-    case MessageKind::kLeaving:
+    case MessageKind::kLeaving:  // handled by merge_message()
       break;
   }
 }
--- a/node/endpoint_list.h
+++ b/node/endpoint_list.h
@@ -15,14 +15,15 @@
 
 namespace thymewood::node {
 
-// Zone names; the settings refer to a zone by its index.
+// The names in the "azs" setting, in its order. Settings::zone and Endpoint::zone are indices into this list;
+// an endpoint in an unlisted zone has the index names.size().
 struct ZoneNames {
   std::vector<std::string> names;
 };
 
 struct ListedEndpoint {
-  // `endpoint.address` is the server's name, which is the same at every replica; the socket address may
-  // differ.
+  // `endpoint.address` is the server's name. It is only an identifier and is the same at every replica;
+  // `socket_address`, to which the node connects, may differ.
   Endpoint endpoint;
   boost::asio::ip::tcp::endpoint socket_address;
 };
@@ -40,6 +41,8 @@
 
 // Throws std::exception, whose message names the field, if `in` is not an endpoint list. A malformed entry
 // does not affect the others: its server is treated as draining, or the entry is skipped if it has no name.
+// `start_times` converts the start times of the servers. It is updated: it stores those that it has not
+// converted before, and is told which servers were removed.
 [[nodiscard]] EndpointList read_endpoint_list(const json::Value& in, const ZoneNames& zones,
                                               const ClockReading& now, StartTimes& start_times);
 
--- a/node/session_table.h
+++ b/node/session_table.h
@@ -29,7 +29,8 @@
     return {sessions_.begin(), sessions_.end()};
   }
 
-  // Allocates the list node before the session is created, so that insert() cannot fail.
+  // Adds an empty element before the session is created, so that insert(), which fills it, cannot fail.
+  // size() counts the element.
   void reserve() { sessions_.emplace_back(); }
   void cancel_reservation() { sessions_.pop_back(); }
   void insert(const std::shared_ptr<ClientSession>& session);
@@ -39,8 +40,9 @@
   void add_idle(ClientSession& session, IdleKind kind);
   void remove_idle(ClientSession& session);
 
-  // Closes the session that has been idle the longest, except sessions accepted within the last `min_age`
-  // seconds that have not sent a valid request. Returns false if there is none.
+  // Closes one idle session without unread data: the one that has been idle the longest among those without a
+  // valid request, or else among those between two requests. Sessions without a valid request are kept for
+  // `min_age` seconds after they were accepted. Returns false if no session can be closed.
   bool evict(double min_age);
 
  private:
--- a/policy/balancer.cpp
+++ b/policy/balancer.cpp
@@ -27,23 +27,23 @@
 
 constexpr std::uint64_t kWatchTimer = 0;
 
-// Fraction of the requests with too little time that is sent anyway. Without these, a latency that was
-// learned under load would never be corrected.
+// Fraction of the requests that are sent although they have too little time left. If all were shed, no
+// response would be measured, and a mean latency learned under load could never fall.
 constexpr double kTooLittleTimeSampleRate = 0.05;
-// Fraction of the latency objective. Only faster responses raise a tenant's limit: slower ones indicate
-// queueing before the objective is missed.
+// Fraction of the latency objective. Only faster responses raise a tenant's limit: slower ones already
+// indicate queueing, although they still meet the objective.
 constexpr double kFastResponseFraction = 0.6;
 // Fractions of the longest Retry-After that clients honor.
 constexpr double kMinRetryAfterFraction = 0.375, kRetryAfterJitterFraction = 0.25;
-// s; how much sooner replicas count as notified of changes that discovery had when it moved than of later
-// ones.
+// In seconds. How much earlier replicas count as notified of a change made before discovery's address changed
+// than of a change made after that.
 constexpr double kDiscoveryMoveLeaseReduction = 2;
 // A response must reach the client this many steps of the clock (Settings::clock_granularity) before the
-// latency objective, which the client timeout bounds.
+// latency objective or the client timeout of its class, whichever is sooner.
 constexpr double kDeadlineMarginSteps = 2;
 
-// Appends the class and the tenant of requests whose own index is out of range: a class that is not
-// idempotent and has no latency objective, and a tenant without a quota.
+// Appends the class and the tenant that are used for requests whose class or tenant index is out of range: a
+// class that is not idempotent and has no latency objective, and a tenant without a quota.
 Settings with_fallback_class_and_tenant(Settings settings) {
   validate(settings);
   settings.classes.emplace_back();
@@ -135,28 +135,28 @@
 
   // ---- requests
 
-  void on(const Request& arrived) {
-    if (pending_.contains(arrived.id)) return;  // a repeated id must not get a second final answer
-    const std::size_t tenant = std::min(arrived.tenant, tenants_.size() - 1);
+  void on(const Request& incoming) {
+    if (pending_.contains(incoming.id)) return;  // a repeated id must not get a second final answer
+    const std::size_t tenant = std::min(incoming.tenant, tenants_.size() - 1);
     const bool within_quota = tenants_[tenant].is_within_quota(now_);
-    if (!tenants_[tenant].admits(now_, random_)) return shed(arrived.id, SheddingReason::kOverTenantLimit);
-    const std::size_t request_class = std::min(arrived.request_class, settings_.classes.size() - 1);
-    if (has_too_little_time(request_class, arrived.time_left))
-      return shed(arrived.id, SheddingReason::kTooLittleTime);
+    if (!tenants_[tenant].admits(now_, random_)) return shed(incoming.id, SheddingReason::kOverTenantLimit);
+    const std::size_t request_class = std::min(incoming.request_class, settings_.classes.size() - 1);
+    if (has_too_little_time(request_class, incoming.time_left))
+      return shed(incoming.id, SheddingReason::kTooLittleTime);
     slow_start_.request_admitted(now_);
 
-    PendingRequest& request = pending_.add(arrived.id);
+    PendingRequest& request = pending_.add(incoming.id);
     request.tenant = tenant;
     request.request_class = request_class;
-    request.response_deadline = response_deadline(arrived, settings_.classes[request_class]);
+    request.response_deadline = response_deadline(incoming, settings_.classes[request_class]);
     request.within_quota = within_quota;
-    if (send(arrived.id, request, false)) return;
+    if (send(incoming.id, request, false)) return;
 
     limit_.record_rejection(now_, servers_.in_flight(), settings_.tier == 0, subset_.replicas_per_server());
     tenants_[tenant].record_overload();
     record_shed(SheddingReason::kNoCapacity);
-    reject_or_fail(arrived.id, request);
-    pending_.remove(arrived.id);
+    reject_or_fail(incoming.id, request);
+    pending_.remove(incoming.id);
   }
 
   void on(const ResponseStarted& response) {
@@ -192,9 +192,9 @@
   // ---- attempts and final answers
 
   // Whether the client times out sooner than requests of its class usually complete. Sending such a request
-  // would waste work, and it would fail permanently if it must not run twice; after a rejection the client
-  // can retry it. Beyond the first tier all are sent, since a rejection would waste the work of the tiers
-  // above.
+  // would waste work, and a request that must not run twice would then fail permanently, whereas the client
+  // can retry a rejected one. Tiers other than tier 0 send all requests, since a rejection would waste the
+  // work of the lower-numbered tiers.
   bool has_too_little_time(std::size_t request_class, double time_left) {
     return settings_.tier == 0 && latency_.is_too_short(request_class, time_left) &&
            random_.unit() >= kTooLittleTimeSampleRate;
@@ -255,7 +255,7 @@
     if (const auto report = shedding_.record(now_, reason)) emit(*report);
   }
 
-  // s. Randomized, since clients that were rejected together would otherwise retry together.
+  // In seconds. Randomized, since clients that were rejected together would otherwise retry together.
   double retry_after() {
     return settings_.max_retry_after * (kMinRetryAfterFraction + kRetryAfterJitterFraction * random_.unit());
   }
@@ -277,8 +277,8 @@
   void update_statistics(const PendingRequest& request, const Attempt& attempt, const AttemptResult& result) {
     if (result.outcome == Outcome::kCancelled || result.outcome == Outcome::kNotSent) return;
     const double class_mean = latency_.mean(request.request_class);
-    // A timeout of the first attempt below the mean latency is due to a short client timeout and does not
-    // indicate a slow server. The timeout of a retry does, since the balancer chose it.
+    // If the first attempt times out in less than the mean latency, the client's timeout was short, and the
+    // server need not be slow. Retries count in any case, since the balancer chose their timeout.
     if (result.outcome == Outcome::kTimedOut && result.attempt == 0 && result.elapsed < class_mean) return;
     Server& server = servers_[attempt.server];
     const bool was_ejected = server.outlier.is_ejected(now_);
@@ -314,8 +314,8 @@
   }
 
   // Fast responses raise a tenant's limit, signs of overload lower it. Errors are no such sign, since they
-  // occur at any load; nor are failures of a server that was already ejected, since they do not reflect the
-  // tier.
+  // occur at any load; nor are failures of a server that was already ejected, since they say nothing about
+  // the load of the tier.
   void update_tenant_limit(const PendingRequest& request, const AttemptResult& result, bool was_ejected) {
     TenantLimiter& tenant = tenants_[request.tenant];
     if (result.outcome == Outcome::kSuccess) {
--- a/policy/concurrency_limit.h
+++ b/policy/concurrency_limit.h
@@ -23,26 +23,29 @@
   // Uses the latency objective of each class, clamped to the range from 1 ms to 60 s.
   explicit ConcurrencyLimit(const std::vector<RequestClass>& classes);
 
-  // Records a response. `in_flight`: the other requests in flight. `server`: the throughput of the server
-  // that responded, which is updated too.
+  // Records a successful response. `in_flight`: the number of other requests in flight. `mean_latency`: the
+  // mean over all request classes, in seconds. `server`: the throughput of the server that responded, which
+  // is updated too.
   void record_success(double now, std::size_t request_class, double elapsed, double in_flight,
                       double mean_latency, Throughput& server);
   // Records the latency of a request that completed or timed out.
   void record_latency(double now, std::size_t request_class, double elapsed);
   // Records that a request was rejected for lack of capacity. `may_probe`: whether lower limits may be
-  // probed. `replicas`: the number of replicas that use the same server.
+  // probed. `replicas`: the mean number of replicas that send to the same server.
   void record_rejection(double now, double in_flight, bool may_probe, double replicas);
   // Discards probe results; called when the set of servers has changed.
   void reset_probe() { probe_.reset(); }
 
-  // The limit for one server, and for `servers` of them together. Each server is used by `replicas` replicas
-  // and has been known since `known_since`.
+  // This replica's limit for one server, and for `servers` of them together. `replicas`: the mean number of
+  // replicas that send to the same server. `known_since`: when this replica first saw the server listed after
+  // its last start or removal; for the tier, when this replica received its first endpoint update.
   double server_limit(double now, const Throughput& server, double known_since, double replicas) const;
   double tier_limit(double now, double servers, double known_since, double replicas) const;
   // The upper bound on the limit found by probing; infinite if there is none.
   double probed_bound(double now) const { return probe_.bound(now); }
 
-  // 1 if responses are as fast as on an idle tier, 0 if they must have queued, and in between in proportion.
+  // 1 if responses are as fast as on an idle tier, 0 if they must have queued, and in between linear in
+  // the smoothed ratio of latency to idle latency.
   double unqueued() const;
   // Latency of the current mix of request classes on an idle tier, in seconds.
   double idle_latency() const { return idle_latency_; }
--- a/policy/idle_latency.cpp
+++ b/policy/idle_latency.cpp
@@ -5,14 +5,17 @@
 namespace thymewood {
 namespace {
 
-// Ratio of the objective; keeps queueing during a start under load out of the idle latency.
+// Ratio of the idle latency to the latency objective. Bounds the estimate, so that queueing during a start
+// under load is not mistaken for idle latency. A higher ratio must be confirmed by confirm_unqueued().
 constexpr double kMaxUnconfirmedRatio = 0.3;
-constexpr double kMinSamples = 20;          // responses before the first estimate
-constexpr double kInitialDelay = 3;         // s; until then only the fastest requests have completed
+constexpr double kMinSamples = 20;  // responses before the first estimate
+// In seconds after the first response. There is no estimate before that, because only the fastest requests
+// have completed.
+constexpr double kInitialDelay = 3;
 constexpr double kGain = 0.02;              // weight of one response
 constexpr double kFallTime = 5;             // s; time constant when the tier gets faster
 constexpr double kRiseTime = 60;            // s; time constant when it gets slower
-constexpr double kUnreliableRiseTime = 15;  // s; the same until a response without queueing is seen
+constexpr double kUnreliableRiseTime = 15;  // s; used instead of kRiseTime until a response did not queue
 
 }  // namespace
 
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -1,4 +1,4 @@
-// Basic behaviour of the node over loopback sockets: client connections, the discovery watch, and the
+// Basic behavior of the node over loopback sockets: client connections, the discovery watch, and the
 // lifecycle.
 #include "node_harness.h"
 
@@ -116,7 +116,7 @@
   }));
 }
 
-// A removed server that is listed again is used again, and so is a draining one.
+// Also covers a server that was draining: its idle connections are closed too, and must be opened again.
 TEST(Watch, RemovedServerIsUsedAgainAfterItsReturn) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
@@ -138,13 +138,13 @@
   }
 }
 
-TEST(Watch, SilentWatchIsAbandoned) {
+TEST(Watch, SilentWatchIsReplaced) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   EXPECT_TRUE(eventually([&] { return d.discovery.calls().size() >= 2; }));
 }
 
-TEST(Watch, InvalidListsAreLoggedOnceAndTheLastOneIsRetained) {
+TEST(Watch, InvalidListIsLoggedOnceAndTheLastValidListIsRetained) {
   FakeServer server(replies(200, "ok"));
   Deployment d({&server});
   d.discovery.set_response("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("{\"index\":\n"));
@@ -159,7 +159,7 @@
   EXPECT_EQ(status_of(client.read_message()), 200);
 }
 
-TEST(Watch, UnavailableDiscoveryIsPolledAgain) {
+TEST(Watch, UnavailableDiscoveryIsCalledAgain) {
   FakeServer server(replies(200, "ok"));
   FakeDiscovery discovery;
   discovery.set_response(http_response(503, ""));
@@ -227,7 +227,8 @@
   const std::string response = other.read_message();
   EXPECT_EQ(status_of(response), 502) << response;
   EXPECT_EQ(d.program->exit_status(), 0);
-  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s) << "the client's timeout is 15 s";
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 10s)
+      << "the node must exit before the client's timeout of 15 s";
 }
 
 TEST(Lifecycle, FirstRequestDuringTheDrainIsServed) {
@@ -241,7 +242,7 @@
   EXPECT_EQ(d.program->exit_status(), 0);
 }
 
-TEST(Lifecycle, InvalidConfigurationExitsWithTheNameOfTheField) {
+TEST(Lifecycle, InvalidConfigurationIsRejectedWithTheNameOfTheField) {
   const auto expect_rejected = [](const std::string& config, const std::string& field) {
     Program program(config, 0, false);
     EXPECT_EQ(program.exit_status(), 2);
@@ -277,8 +278,8 @@
   }));
 }
 
-// The response arrives about when the attempt times out, 1 ms before the timeout that the server was given.
-// The client must get exactly one response.
+// The server responds 1 ms before the timeout that the node gave it, so the response and the timeout of the
+// attempt reach the node at almost the same time. The client must get exactly one response.
 TEST(Races, ExactlyOneResponse) {
   FakeServer server([](RawConnection& connection, const std::string& request) {
     std::this_thread::sleep_for(std::chrono::milliseconds(std::stoi(field_of(request, "X-Timeout-Ms")) - 1));
@@ -297,7 +298,8 @@
     EXPECT_TRUE(first == 200 || first == 502 || first == 503) << first;
     client.write("GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     const std::string remaining = client.read_until_close();
-    EXPECT_EQ(body_of(remaining), "ok\n") << "the response to the next request is the only one that follows";
+    EXPECT_EQ(body_of(remaining), "ok\n")
+        << "after the first response, only the health check may be answered";
   }
 }
 
